--- a/benchmarks/footprint.py
+++ b/benchmarks/footprint.py
@@ -45,9 +45,9 @@
         found[0] += 1
         found[1] += grew - within
 machinery._load_unlocked = load
-from stepflow import lean
-lean.begin()
-import stepflow.node.start, stepflow.node.service
+from stepflow import lazy_imports
+lazy_imports.begin()
+import stepflow.node.process.start, stepflow.node.process.service
 print(json.dumps([len(sys.modules), added]))
 """
 
--- a/standins/sharer.py
+++ b/standins/sharer.py
@@ -12,14 +12,14 @@
 import time
 
 from stepflow import logs
+from stepflow.address import Endpoint
 from stepflow.budgets.shares import ONE, Shares
-from stepflow.endpoint import Endpoint
 from stepflow.members import View
-from stepflow.node.clock import Clock, micros
-from stepflow.node.counters import Counters
-from stepflow.node.deadlines import Deadlines
-from stepflow.node.neighbours import NeighbourPort
-from stepflow.node.reactor import serving_reactor
+from stepflow.node.member_port import NeighbourPort
+from stepflow.node.runtime.clock import Clock, micros
+from stepflow.node.runtime.counters import Counters
+from stepflow.node.runtime.reactor import serving_reactor
+from stepflow.node.runtime.timers import Deadlines
 
 WINDOW_US = 1_000_000
 
--- a/stepflow/cli/__init__.py
+++ b/stepflow/cli/__init__.py
@@ -10,7 +10,7 @@
 from stepflow import __version__
 from stepflow.cli.check import check
 from stepflow.cli.fleet import fleet
-from stepflow.faults import BadInput
+from stepflow.errors import BadInput
 
 EXIT_BAD_INPUT, EXIT_FAILED = 2, 1
 EXTRA = ("numpy", "pyarrow", "scipy")  # what the extra `fleet` brings
--- a/stepflow/cli/check.py
+++ b/stepflow/cli/check.py
@@ -9,8 +9,8 @@
 import msgspec
 
 from stepflow.daemon import read
-from stepflow.faults import BadInput
-from stepflow.node.config import load
+from stepflow.errors import BadInput
+from stepflow.node.process.config import load
 
 
 @click.command()
--- a/stepflow/cli/fleet.py
+++ b/stepflow/cli/fleet.py
@@ -9,7 +9,7 @@
 import click
 import msgspec
 
-from stepflow.faults import BadInput
+from stepflow.errors import BadInput
 from stepflow.traffic.writer import journals
 
 
--- a/stepflow/daemon/lines.py
+++ b/stepflow/daemon/lines.py
@@ -15,7 +15,7 @@
 import shlex
 from typing import NamedTuple
 
-from stepflow.faults import BadInput
+from stepflow.errors import BadInput
 
 MOST_BYTES = 1 << 20
 
--- a/stepflow/daemon/model.py
+++ b/stepflow/daemon/model.py
@@ -9,7 +9,7 @@
 import msgspec
 
 from stepflow.daemon.lines import MOST_BYTES, Directive, FileError, parse
-from stepflow.faults import read_fault
+from stepflow.errors import read_fault
 
 _UNITS = {"": 1, "K": 1 << 10, "M": 1 << 20, "G": 1 << 30}
 _SIZE = re.compile(r"([0-9]{1,12})([KMG]?)")
--- a/stepflow/faults.py
+++ b/stepflow/errors.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 from typing import TypeVar
 
-from stepflow.shortage import OF_THE_DISK
+from stepflow.os_errors import OF_THE_DISK
 
 T = TypeVar("T")
 
--- a/stepflow/fleet/fit.py
+++ b/stepflow/fleet/fit.py
@@ -27,7 +27,7 @@
 from numpy.typing import NDArray
 from scipy import stats
 
-from stepflow.faults import BadInput
+from stepflow.errors import BadInput
 from stepflow.fleet.scenario import NORMAL_95, Class, Day
 from stepflow.fleet.trace import Trace
 
--- a/stepflow/fleet/makers.py
+++ b/stepflow/fleet/makers.py
@@ -13,7 +13,7 @@
 
 from stepflow import interface as face
 from stepflow import policy as present
-from stepflow.faults import BadInput
+from stepflow.errors import BadInput
 from stepflow.fleet.baselines import Maker, RandomChoice
 
 HOME = "stepflow.policy"
--- a/stepflow/fleet/report.py
+++ b/stepflow/fleet/report.py
@@ -19,7 +19,7 @@
 from matplotlib.figure import Figure
 from numpy.typing import NDArray
 
-from stepflow.faults import BadInput
+from stepflow.errors import BadInput
 from stepflow.fleet import scenario as scenarios
 from stepflow.fleet.compare import FIGURES, Interval, interval
 
--- a/stepflow/fleet/synth.py
+++ b/stepflow/fleet/synth.py
@@ -6,7 +6,7 @@
 from pathlib import Path
 
 from stepflow import interface as face
-from stepflow.faults import BadInput
+from stepflow.errors import BadInput
 from stepflow.fleet.baselines import Maker
 from stepflow.fleet.scenario import Scenario
 from stepflow.fleet.servers import Server
--- a/stepflow/fleet/trace.py
+++ b/stepflow/fleet/trace.py
@@ -13,7 +13,7 @@
 import pyarrow.compute as pc
 import pyarrow.parquet as pq
 
-from stepflow.faults import BadInput
+from stepflow.errors import BadInput
 from stepflow.interface import ListForm, Result
 from stepflow.traffic import Kind, Reading, read_journal
 
--- a/stepflow/node/__init__.py
+++ b/stepflow/node/__init__.py
@@ -5,9 +5,9 @@
 
 def run_node() -> int:
     """Run one node, with GW_CONFIG naming its configuration; its exit code."""
-    from stepflow import lean
+    from stepflow import lazy_imports
 
-    lean.begin()  # before the first import of what it puts off
-    from stepflow.node.start import start
+    lazy_imports.begin()  # before the first import of what it puts off
+    from stepflow.node.process.start import start
 
     return start()
--- a/stepflow/node/figures.py
+++ b/stepflow/node/admin/metrics.py
@@ -8,7 +8,7 @@
 from typing import NamedTuple
 
 from stepflow.interface import Availability
-from stepflow.node.counters import ClassCounts, Counters
+from stepflow.node.runtime.counters import ClassCounts, Counters
 from stepflow.policy import ServerState
 
 PREFIX = "edge_gw"
--- a/stepflow/node/ops.py
+++ b/stepflow/node/admin/site.py
@@ -11,9 +11,9 @@
 from twisted.internet.protocol import Factory, Protocol, connectionDone
 from twisted.python.failure import Failure
 
-from stepflow.endpoint import Endpoint
-from stepflow.node.deadlines import Deadline, Deadlines
-from stepflow.node.ports import Port, Reactor, Transport
+from stepflow.address import Endpoint
+from stepflow.node.runtime.timers import Deadline, Deadlines
+from stepflow.node.runtime.transports import Port, Reactor, Transport
 
 CALLS_KEPT = 12  # descriptors for calls; clients never get them, and calls no others
 CALL = timedelta(seconds=2)  # from a caller's first moment to the end of its call, however it drips
--- /dev/null
+++ b/stepflow/node/clients/__init__.py
@@ -0,0 +1,1 @@
+"""Client connections: the listener, the line protocol toward clients, admission by descriptors."""
--- a/stepflow/node/client.py
+++ b/stepflow/node/clients/connection.py
@@ -14,16 +14,16 @@
 
 from stepflow import interface as face
 from stepflow.logs import get_logger
-from stepflow.node.clock import Clock, micros, millis
 from stepflow.node.core import Attempt, Core, RequestContext
-from stepflow.node.counters import Counters
-from stepflow.node.deadlines import Deadline, Deadlines
-from stepflow.node.dial import Dial
-from stepflow.node.lines import LineProtocol, was_reset
-from stepflow.node.peer import PeerAttempt, Peers
-from stepflow.node.ports import Reactor, family, finish, flush, has_ended, has_unread
-from stepflow.node.pulse import Pulses
 from stepflow.node.relay import Relay
+from stepflow.node.runtime.clock import Clock, micros, millis
+from stepflow.node.runtime.counters import Counters
+from stepflow.node.runtime.lines import LineProtocol, was_reset
+from stepflow.node.runtime.timers import Deadline, Deadlines
+from stepflow.node.runtime.transports import Reactor, family, finish, flush, has_ended, has_unread
+from stepflow.node.upstreams.attempt import PeerAttempt, Peers
+from stepflow.node.upstreams.dialer import Dial
+from stepflow.node.upstreams.liveness import Pulses
 
 # From the connection's first moment, whatever comes: neither a drip of bytes nor PINGs put it off, or a
 # crowd that sends those would hold the node's sockets. True clients may write for 2 s; bad ones are owed
--- a/stepflow/node/listener.py
+++ b/stepflow/node/clients/listener.py
@@ -16,11 +16,11 @@
 from twisted.internet.protocol import Factory
 from twisted.python.failure import Failure
 
-from stepflow.endpoint import Endpoint
+from stepflow.address import Endpoint
 from stepflow.logs import get_logger
-from stepflow.node.counters import Counters
-from stepflow.node.ports import Reactor, has_unread
-from stepflow.shortage import ACCEPT_AGAIN, OF_ONE_CONNECTION
+from stepflow.node.runtime.counters import Counters
+from stepflow.node.runtime.transports import Reactor, has_unread
+from stepflow.os_errors import ACCEPT_AGAIN, OF_ONE_CONNECTION
 
 log = get_logger()
 
--- a/stepflow/node/core.py
+++ b/stepflow/node/core.py
@@ -16,11 +16,11 @@
 from stepflow import interface as face
 from stepflow.interface import Result
 from stepflow.logs import get_logger
-from stepflow.node.clock import ZERO, Clock, micros
-from stepflow.node.counters import Counters
-from stepflow.node.deadlines import Deadlines
-from stepflow.node.request_log import RequestLog
-from stepflow.node.slots import SlotTable
+from stepflow.node.runtime.clock import ZERO, Clock, micros
+from stepflow.node.runtime.counters import Counters
+from stepflow.node.runtime.request_log import RequestLog
+from stepflow.node.runtime.slots import SlotTable
+from stepflow.node.runtime.timers import Deadlines
 from stepflow.policy import Policy
 from stepflow.upstream.start_times import StartTimes
 
--- a/stepflow/node/discovery.py
+++ b/stepflow/node/discovery.py
@@ -10,15 +10,15 @@
 from twisted.internet.protocol import ClientFactory, Protocol, connectionDone
 from twisted.python.failure import Failure
 
-from stepflow.endpoint import Endpoint
+from stepflow.address import Endpoint
 from stepflow.interface import ListForm
 from stepflow.logs import get_logger
 from stepflow.node.core import Core
-from stepflow.node.counters import Counters
-from stepflow.node.deadlines import Deadline, Deadlines
-from stepflow.node.ports import Connector, Reactor, Transport
+from stepflow.node.runtime.counters import Counters
+from stepflow.node.runtime.timers import Deadline, Deadlines
+from stepflow.node.runtime.transports import Connector, Reactor, Transport
 from stepflow.upstream import BadList, BadValue, Group, ValueStream
-from stepflow.upstream.asking import ANSWER_US, SILENCE_US
+from stepflow.upstream.poll_schedule import ANSWER_US, SILENCE_US
 
 log = get_logger()
 
--- a/stepflow/node/neighbours.py
+++ b/stepflow/node/member_port.py
@@ -8,12 +8,12 @@
 
 from twisted.internet.protocol import DatagramProtocol
 
+from stepflow.address import Endpoint
 from stepflow.budgets.shares import Shares
-from stepflow.endpoint import Endpoint
 from stepflow.members import BadMessage, Message, read, written
-from stepflow.node.clock import Clock, micros
-from stepflow.node.deadlines import Deadlines
-from stepflow.node.ports import DatagramTransport
+from stepflow.node.runtime.clock import Clock, micros
+from stepflow.node.runtime.timers import Deadlines
+from stepflow.node.runtime.transports import DatagramTransport
 
 POLL = timedelta(milliseconds=25)  # between two looks for what is to be sent
 
--- a/stepflow/node/config.py
+++ b/stepflow/node/process/config.py
@@ -9,8 +9,8 @@
 
 import msgspec
 
-from stepflow.endpoint import Endpoint
-from stepflow.faults import BadInput, read_fault
+from stepflow.address import Endpoint
+from stepflow.errors import BadInput, read_fault
 from stepflow.settings import NodeSettings, SettingsError, node_settings
 
 
--- a/stepflow/node/successor.py
+++ b/stepflow/node/process/handover.py
@@ -18,9 +18,9 @@
 from zope.interface import implementer  # type: ignore[import-untyped]
 
 from stepflow.logs import get_logger
-from stepflow.node.deadlines import Deadline, Deadlines
-from stepflow.node.ports import Port, Reactor, UnixTransport
-from stepflow.shortage import OF_THE_DISK, OF_THIS_MACHINE, errno_of
+from stepflow.node.runtime.timers import Deadline, Deadlines
+from stepflow.node.runtime.transports import Port, Reactor, UnixTransport
+from stepflow.os_errors import OF_THE_DISK, OF_THIS_MACHINE, errno_of
 
 log = get_logger()
 
--- a/stepflow/node/service.py
+++ b/stepflow/node/process/service.py
@@ -11,37 +11,37 @@
 
 from twisted.internet.error import CannotListenError
 
+from stepflow.address import Endpoint
 from stepflow.daemon import OperatorFile
-from stepflow.endpoint import Endpoint
-from stepflow.faults import BadInput
+from stepflow.errors import BadInput
 from stepflow.interface import RequestClass, Settings
 from stepflow.logs import close as close_logs
 from stepflow.logs import get_logger, print_plainly, set_up, take_twisted
-from stepflow.node.client import ClientFactory
-from stepflow.node.clock import ZERO, Clock, micros
-from stepflow.node.config import NodeConfig
+from stepflow.node.admin.metrics import Gauges, excluded, render
+from stepflow.node.admin.site import CALLS_KEPT, OpsSite
+from stepflow.node.admin.site import listen as listen_for_operators
+from stepflow.node.clients.connection import ClientFactory
+from stepflow.node.clients.listener import ClientListener, listen
 from stepflow.node.core import Core
-from stepflow.node.counters import Counters
-from stepflow.node.deadlines import Deadlines
 from stepflow.node.discovery import DiscoveryClient
-from stepflow.node.figures import Gauges, excluded, render
-from stepflow.node.garbage import GarbageCollection
-from stepflow.node.learned import learned, recall
-from stepflow.node.listener import ClientListener, listen
-from stepflow.node.notes import NoteReader
-from stepflow.node.ops import CALLS_KEPT, OpsSite
-from stepflow.node.ops import listen as listen_for_operators
-from stepflow.node.peer import Peers
-from stepflow.node.ports import Reactor
-from stepflow.node.pulse import Pulses
-from stepflow.node.reactor import serving_reactor
+from stepflow.node.process.config import NodeConfig
+from stepflow.node.process.handover import Handover
+from stepflow.node.process.shutdown import Shutdown
+from stepflow.node.process.snapshot import learned, recall
 from stepflow.node.recording import DISK_WAIT, Recording
-from stepflow.node.shutdown import Shutdown
-from stepflow.node.successor import Handover
-from stepflow.node.wall_clock import WallClockMonitor
+from stepflow.node.runtime.clock import ZERO, Clock, micros
+from stepflow.node.runtime.counters import Counters
+from stepflow.node.runtime.garbage import GarbageCollection
+from stepflow.node.runtime.reactor import serving_reactor
+from stepflow.node.runtime.timers import Deadlines
+from stepflow.node.runtime.transports import Reactor
+from stepflow.node.runtime.wall_clock import WallClockMonitor
+from stepflow.node.upstreams.attempt import Peers
+from stepflow.node.upstreams.liveness import Pulses
+from stepflow.node.upstreams.load_reports import NoteReader
+from stepflow.os_errors import LISTEN_AGAIN, LISTEN_FOR, SHORTAGE, errno_of
 from stepflow.policy import Policy
 from stepflow.settings import NodeSettings, follow
-from stepflow.shortage import LISTEN_AGAIN, LISTEN_FOR, SHORTAGE, errno_of
 from stepflow.upstream import BadList, Group
 
 log = get_logger()
--- a/stepflow/node/shutdown.py
+++ b/stepflow/node/process/shutdown.py
@@ -10,13 +10,13 @@
 from typing import cast
 
 from stepflow.logs import get_logger
-from stepflow.node.client import ClientConnection, ClientFactory
-from stepflow.node.clock import ZERO, Clock
+from stepflow.node.clients.connection import ClientConnection, ClientFactory
+from stepflow.node.clients.listener import ClientListener
 from stepflow.node.core import Core, RequestContext
-from stepflow.node.deadlines import Deadlines
-from stepflow.node.leaving import MOVES_FROM, Leave, leave, move_waits
-from stepflow.node.listener import ClientListener
-from stepflow.node.successor import Handover
+from stepflow.node.process.handover import Handover
+from stepflow.node.process.shutdown_schedule import MOVES_FROM, Leave, leave, move_waits
+from stepflow.node.runtime.clock import ZERO, Clock
+from stepflow.node.runtime.timers import Deadlines
 
 log = get_logger()
 
--- a/stepflow/node/start.py
+++ b/stepflow/node/process/start.py
@@ -8,8 +8,8 @@
 
 from stepflow import logs
 from stepflow.daemon import OperatorFile, read
-from stepflow.faults import BadInput, read_patiently
-from stepflow.node.config import load
+from stepflow.errors import BadInput, read_patiently
+from stepflow.node.process.config import load
 
 CONF = os.path.join("deploy", "stepflow.conf")
 
@@ -38,6 +38,6 @@
         print(f"stepflow: {fault}", file=sys.stderr)
         return 2
     logs.set_up(operators.log.form, operators.log.level)
-    from stepflow.node.service import run
+    from stepflow.node.process.service import run
 
     return run(config, operators, lambda before: (load(os.environ, before), operator_file()), reloads)
--- a/stepflow/node/recording.py
+++ b/stepflow/node/recording.py
@@ -7,9 +7,9 @@
 from stepflow import interface as face
 from stepflow.daemon import Record
 from stepflow.logs import get_logger
-from stepflow.node.clock import Clock, micros
 from stepflow.node.core import Core
-from stepflow.node.deadlines import Deadline, Deadlines
+from stepflow.node.runtime.clock import Clock, micros
+from stepflow.node.runtime.timers import Deadline, Deadlines
 from stepflow.traffic import Recorder, Writer
 from stepflow.traffic.writer import JOIN_S
 
--- a/stepflow/node/relay.py
+++ b/stepflow/node/relay.py
@@ -10,13 +10,13 @@
 from typing import NamedTuple, Protocol
 
 from stepflow.interface import Result
-from stepflow.node.clock import Clock
 from stepflow.node.core import Core, RequestContext
-from stepflow.node.counters import Counters
-from stepflow.node.deadlines import Deadline, Deadlines
-from stepflow.node.lines import LineScanner
-from stepflow.node.ports import Transport, finish, let_go, unsent
-from stepflow.node.pulse import Pulses
+from stepflow.node.runtime.clock import Clock
+from stepflow.node.runtime.counters import Counters
+from stepflow.node.runtime.lines import LineScanner
+from stepflow.node.runtime.timers import Deadline, Deadlines
+from stepflow.node.runtime.transports import Transport, finish, let_go, unsent
+from stepflow.node.upstreams.liveness import Pulses
 
 # A connection that brings nothing back for so long is broken. It is owed an end within 7 s of its peer's last
 # line, and up to 2 s of them pass before the client's next line shows anything.
--- /dev/null
+++ b/stepflow/node/runtime/__init__.py
@@ -0,0 +1,1 @@
+"""What all parts of a node share: clock, timers, reactor, slots, counters and the line codec."""
--- a/stepflow/node/garbage.py
+++ b/stepflow/node/runtime/garbage.py
@@ -9,7 +9,7 @@
 import gc
 from datetime import timedelta
 
-from stepflow.node.deadlines import Deadlines
+from stepflow.node.runtime.timers import Deadlines
 
 YOUNG = 20_000  # new objects until the youngest generation is collected
 MIDDLE = 5  # times of that until the middle one is
--- a/stepflow/node/lines.py
+++ b/stepflow/node/runtime/lines.py
@@ -13,7 +13,7 @@
 from twisted.internet.protocol import Protocol, connectionDone
 from twisted.python.failure import Failure
 
-from stepflow.node.ports import Transport
+from stepflow.node.runtime.transports import Transport
 
 
 def was_reset(reason: Failure) -> bool:
--- a/stepflow/node/reactor.py
+++ b/stepflow/node/runtime/reactor.py
@@ -15,7 +15,7 @@
 from twisted.internet import reactor as twisted_reactor
 from twisted.internet import tcp
 
-from stepflow.node.ports import Reactor
+from stepflow.node.runtime.transports import Reactor
 
 
 def serving_reactor() -> Reactor:
--- a/stepflow/node/request_log.py
+++ b/stepflow/node/runtime/request_log.py
@@ -12,8 +12,8 @@
 from stepflow import interface as face
 from stepflow.interface import Result
 from stepflow.logs import debugging, get_logger
-from stepflow.node.clock import Clock, micros, millis
-from stepflow.node.counters import Counters
+from stepflow.node.runtime.clock import Clock, micros, millis
+from stepflow.node.runtime.counters import Counters
 
 log = get_logger()
 
--- a/stepflow/node/deadlines.py
+++ b/stepflow/node/runtime/timers.py
@@ -7,9 +7,9 @@
 from heapq import heapify, heappop, heappush
 
 from stepflow.logs import get_logger
-from stepflow.node.clock import Clock
-from stepflow.node.counters import Counters
-from stepflow.node.ports import DelayedCall, Reactor
+from stepflow.node.runtime.clock import Clock
+from stepflow.node.runtime.counters import Counters
+from stepflow.node.runtime.transports import DelayedCall, Reactor
 
 log = get_logger()
 
--- a/stepflow/node/wall_clock.py
+++ b/stepflow/node/runtime/wall_clock.py
@@ -6,8 +6,8 @@
 from datetime import timedelta
 
 from stepflow.logs import get_logger
-from stepflow.node.counters import Counters
-from stepflow.node.deadlines import Deadlines
+from stepflow.node.runtime.counters import Counters
+from stepflow.node.runtime.timers import Deadlines
 
 log = get_logger()
 
--- /dev/null
+++ b/stepflow/node/upstreams/__init__.py
@@ -0,0 +1,1 @@
+"""Connections to endpoints: attempts, health checks, liveness and load reports."""
--- a/stepflow/node/peer.py
+++ b/stepflow/node/upstreams/attempt.py
@@ -10,17 +10,17 @@
 from twisted.internet.protocol import connectionDone
 from twisted.python.failure import Failure
 
-from stepflow.endpoint import Endpoint
+from stepflow.address import Endpoint
 from stepflow.interface import Result
-from stepflow.node.clock import Clock
 from stepflow.node.core import Core, RequestContext
-from stepflow.node.counters import Counters
-from stepflow.node.deadlines import Deadline, Deadlines
-from stepflow.node.dial import Dial
-from stepflow.node.lines import LineProtocol, was_reset
-from stepflow.node.peer_connection import adopt, network_failed
-from stepflow.node.ports import Reactor, family, flush
 from stepflow.node.relay import Relay
+from stepflow.node.runtime.clock import Clock
+from stepflow.node.runtime.counters import Counters
+from stepflow.node.runtime.lines import LineProtocol, was_reset
+from stepflow.node.runtime.timers import Deadline, Deadlines
+from stepflow.node.runtime.transports import Reactor, family, flush
+from stepflow.node.upstreams.connection import adopt, network_failed
+from stepflow.node.upstreams.dialer import Dial
 from stepflow.settings import NodeSettings
 
 PROBE_WAIT = timedelta(milliseconds=250)  # the most that a probe waits for its answer
--- a/stepflow/node/peer_connection.py
+++ b/stepflow/node/upstreams/connection.py
@@ -15,8 +15,8 @@
 
 from twisted.internet import main, tcp
 
-from stepflow.endpoint import Endpoint
-from stepflow.node.ports import Reactor
+from stepflow.address import Endpoint
+from stepflow.node.runtime.transports import Reactor
 
 OF_THE_NETWORK = frozenset({
     errno.ETIMEDOUT, errno.EHOSTUNREACH, errno.ENETUNREACH, errno.EHOSTDOWN, errno.ENETDOWN, errno.ENONET,
--- a/stepflow/node/dial.py
+++ b/stepflow/node/upstreams/dialer.py
@@ -8,10 +8,10 @@
 from twisted.internet.protocol import ClientFactory, Protocol
 from twisted.python.failure import Failure
 
-from stepflow.endpoint import Endpoint
-from stepflow.node.peer_connection import connect
-from stepflow.node.ports import Connector, DelayedCall, Reactor
-from stepflow.shortage import DIAL_AGAIN, OF_THIS_MACHINE, errno_of
+from stepflow.address import Endpoint
+from stepflow.node.runtime.transports import Connector, DelayedCall, Reactor
+from stepflow.node.upstreams.connection import connect
+from stepflow.os_errors import DIAL_AGAIN, OF_THIS_MACHINE, errno_of
 
 
 class Dial(ClientFactory):
--- a/stepflow/node/pulse.py
+++ b/stepflow/node/upstreams/liveness.py
@@ -8,10 +8,10 @@
 
 from stepflow.interface import NoteKind
 from stepflow.logs import get_logger
-from stepflow.node.clock import ZERO, Clock
 from stepflow.node.core import Core, RequestContext
-from stepflow.node.deadlines import Deadline, Deadlines
-from stepflow.node.notes import NoteReader
+from stepflow.node.runtime.clock import ZERO, Clock
+from stepflow.node.runtime.timers import Deadline, Deadlines
+from stepflow.node.upstreams.load_reports import NoteReader
 
 log = get_logger()
 
--- a/stepflow/policy/decide.py
+++ b/stepflow/policy/decide.py
@@ -9,14 +9,14 @@
 from typing import get_args
 
 from stepflow import interface as face
-from stepflow.budgets.cold import Ramp
-from stepflow.budgets.setups import THROTTLE_S, Throttle
+from stepflow.budgets.attempt_throttle import THROTTLE_S, Throttle
+from stepflow.budgets.slow_start import Ramp
 from stepflow.estimates.arrivals import Arrivals
 from stepflow.interface import Availability, Effect, ListForm, NoteKind, Result, Scope
 from stepflow.policy.controller import JAM, Controller, harm
 from stepflow.policy.model import HEALTH_FLOOR, Flight, Model, ServerState, clamp
 from stepflow.rendezvous import homes
-from stepflow.upstream.asking import Asking
+from stepflow.upstream.poll_schedule import Asking
 
 SECOND = 1_000_000
 
--- a/stepflow/traffic/journal.py
+++ b/stepflow/traffic/journal.py
@@ -20,7 +20,7 @@
 
 import msgspec
 
-from stepflow.faults import BadInput
+from stepflow.errors import BadInput
 
 MAGIC = struct.Struct("<6sH")
 NAME = b"SFTRAF"
--- a/stepflow/traffic/writer.py
+++ b/stepflow/traffic/writer.py
@@ -13,7 +13,7 @@
 from functools import partial
 from typing import Final, TypeVar
 
-from stepflow.shortage import OF_THE_DISK
+from stepflow.os_errors import OF_THE_DISK
 
 T = TypeVar("T")
 
--- a/stepflow/upstream/group.py
+++ b/stepflow/upstream/endpoint_group.py
@@ -6,7 +6,7 @@
 from collections.abc import Sequence
 from typing import Any
 
-from stepflow.endpoint import Endpoint
+from stepflow.address import Endpoint
 from stepflow.interface import Availability, Server
 
 _STATES = {"Ready": Availability.READY, "Terminating": Availability.DRAINING, "Gone": Availability.GONE}
--- a/tests/test_asking.py
+++ b/tests/test_asking.py
@@ -13,13 +13,13 @@
 from twisted.internet.task import Clock as VirtualClock
 from twisted.python.failure import Failure
 
-from stepflow.endpoint import Endpoint
-from stepflow.node.clock import Clock
+from stepflow.address import Endpoint
 from stepflow.node.core import Core, Uplink
-from stepflow.node.counters import Counters
-from stepflow.node.deadlines import Deadlines
 from stepflow.node.discovery import DiscoveryClient
-from stepflow.node.ports import Reactor
+from stepflow.node.runtime.clock import Clock
+from stepflow.node.runtime.counters import Counters
+from stepflow.node.runtime.timers import Deadlines
+from stepflow.node.runtime.transports import Reactor
 from stepflow.policy import Policy
 from stepflow.upstream import Group
 from tests.bench import plain_settings
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -20,7 +20,7 @@
 
 import pytest
 
-from stepflow.node.leaving import STILL_COMING
+from stepflow.node.process.shutdown_schedule import STILL_COMING
 from stepflow.node.relay import DEAF, DEAF_LOOK
 from tests.node_kit import PATIENCE, Discovery, Line, Listener, Node, Peer, opening
 
--- a/tests/test_failing_calls.py
+++ b/tests/test_failing_calls.py
@@ -17,8 +17,8 @@
 import pytest
 
 from standins.preload import Call, Machine
-from stepflow.node import service, start
-from stepflow.node.leaving import STILL_COMING
+from stepflow.node.process import service, start
+from stepflow.node.process.shutdown_schedule import STILL_COMING
 from tests.node_kit import PATIENCE, Discovery, Node, Peer, opening
 from tests.test_crossings import let_pass
 from tests.test_wall_clock import on
--- a/tests/test_listener.py
+++ b/tests/test_listener.py
@@ -8,10 +8,10 @@
 from twisted.internet.protocol import Factory, Protocol
 from twisted.internet.testing import MemoryReactorClock
 
-from stepflow.endpoint import Endpoint
-from stepflow.node.counters import Counters
-from stepflow.node.listener import ClientPort, listen
-from stepflow.node.ports import Reactor
+from stepflow.address import Endpoint
+from stepflow.node.clients.listener import ClientPort, listen
+from stepflow.node.runtime.counters import Counters
+from stepflow.node.runtime.transports import Reactor
 
 
 class Moody(Factory):
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -13,7 +13,7 @@
 
 import pytest
 
-from stepflow.node.client import FIRST_LINE
+from stepflow.node.clients.connection import FIRST_LINE
 from stepflow.node.relay import SILENCE
 from tests.node_kit import PATIENCE, Discovery, Node, Peer, opening
 
--- a/tests/test_ops.py
+++ b/tests/test_ops.py
@@ -8,9 +8,9 @@
 
 import pytest
 
-from stepflow.node.counters import Counters
-from stepflow.node.figures import Gauges, render
-from stepflow.node.ops import CALLS_KEPT
+from stepflow.node.admin.metrics import Gauges, render
+from stepflow.node.admin.site import CALLS_KEPT
+from stepflow.node.runtime.counters import Counters
 from tests.node_kit import PATIENCE, Line, Node, Peer, opening
 
 
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -14,18 +14,18 @@
 
 from stepflow import interface as face
 from stepflow.interface import NoteKind
-from stepflow.node.client import MalformedLine, parse_opening
-from stepflow.node.clock import Clock
+from stepflow.node.clients.connection import MalformedLine, parse_opening
 from stepflow.node.core import Core, Front, RequestContext
-from stepflow.node.counters import Counters
-from stepflow.node.deadlines import COMPACT_FROM, Deadlines
-from stepflow.node.leaving import MOVES_FROM, leave, move_waits
-from stepflow.node.lines import LineScanner
-from stepflow.node.notes import NoteReader
-from stepflow.node.peer import parse_report
-from stepflow.node.ports import Reactor
-from stepflow.node.pulse import Pulses
-from stepflow.node.slots import SlotTable
+from stepflow.node.process.shutdown_schedule import MOVES_FROM, leave, move_waits
+from stepflow.node.runtime.clock import Clock
+from stepflow.node.runtime.counters import Counters
+from stepflow.node.runtime.lines import LineScanner
+from stepflow.node.runtime.slots import SlotTable
+from stepflow.node.runtime.timers import COMPACT_FROM, Deadlines
+from stepflow.node.runtime.transports import Reactor
+from stepflow.node.upstreams.attempt import parse_report
+from stepflow.node.upstreams.liveness import Pulses
+from stepflow.node.upstreams.load_reports import NoteReader
 from stepflow.settings import node_settings, parse_settings
 from stepflow.upstream import BadList, Group
 from tests.node_kit import SETTINGS
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -11,7 +11,7 @@
 
 from stepflow import interface as face
 from stepflow import rendezvous
-from stepflow.budgets import cold, setups
+from stepflow.budgets import attempt_throttle, slow_start
 from stepflow.interface import Effect, Result, Scope
 from stepflow.policy import Controller, Model, Policy, ServerState, decide
 from stepflow.policy import controller as trimming
@@ -308,7 +308,7 @@
         if step == 0:
             assert sent == 0
     # 40 s at 2 requests a second and warm server, times multiple and safety and the share that is warm.
-    assert 0 < sent <= 80 / 9 * 10 * cold.SAFETY * 2.5
+    assert 0 < sent <= 80 / 9 * 10 * slow_start.SAFETY * 2.5
 
 
 def test_retries_spend_the_cold_budget_as_well() -> None:
@@ -341,7 +341,7 @@
     for id in range(40):
         for send in only(face.Send, drive.request(id)):
             drive.end(send, Result.ERROR)
-    assert len(only(face.Send, drive.done)) <= setups.THROTTLE_FREE + 1
+    assert len(only(face.Send, drive.done)) <= attempt_throttle.THROTTLE_FREE + 1
     assert not final(drive.done)
     drive.tick(30.0)
     assert only(face.Send, drive.request(100))
@@ -561,7 +561,10 @@
         for send in only(face.Send, drive.request(id)):
             drive.up(send)
             drive.end(send, Result.RESET, complete=True)
-    assert len(only(face.Send, drive.done)) <= setups.THROTTLE_FREE * setups.THROTTLE_RATIO + 1
+    assert (
+        len(only(face.Send, drive.done))
+        <= attempt_throttle.THROTTLE_FREE * attempt_throttle.THROTTLE_RATIO + 1
+    )
 
 
 def test_an_instance_with_few_requests_takes_few_steps() -> None:
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -10,7 +10,7 @@
 from hypothesis import strategies as st
 
 from stepflow import interface as face
-from stepflow.budgets.cold import FULL_FROM
+from stepflow.budgets.slow_start import FULL_FROM
 from stepflow.interface import Effect, Result, Scope
 from stepflow.policy import Policy
 from tests.bench import SECOND, START, entry
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -197,7 +197,7 @@
 
 
 def test_run_loads_nothing_of_it() -> None:
-    assert not {"stepflow.members", "stepflow.budgets.shares", "stepflow.node.neighbours"} & loaded(LEAN)
+    assert not {"stepflow.members", "stepflow.budgets.shares", "stepflow.node.member_port"} & loaded(LEAN)
 
 
 def test_a_view_too_large_is_turned_down() -> None:
--- a/tests/test_terms.py
+++ b/tests/test_terms.py
@@ -102,7 +102,10 @@
     return set(json.loads(done.stdout.splitlines()[-1]))
 
 
-LEAN = "from stepflow import lean; lean.begin(); import stepflow.node.start, stepflow.node.service"
+LEAN = (
+    "from stepflow import lazy_imports; lazy_imports.begin(); "
+    "import stepflow.node.process.start, stepflow.node.process.service"
+)
 
 
 def test_run_loads_no_more_modules_than_it_needs() -> None:
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -16,7 +16,7 @@
 import pytest
 
 from stepflow import interface as face
-from stepflow.node.learned import learned, recall
+from stepflow.node.process.snapshot import learned, recall
 from stepflow.policy import Policy
 from stepflow.settings import node_settings
 from tests.node_kit import PATIENCE, SETTINGS, Discovery, Line, Node, Peer, opening
