--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -25,8 +25,12 @@
 }
 CLASSES = {"view": Class(0.59), "save-edge": Class(0.41, (4, 8), (1, 3), aim_ms=800, wait_ms=4800, worth=3)}
 SIZES = ((22, 2, 24.0), (50, 5, 55.0), (150, 14, 165.0), (500, 48, 1000.0))
-SMALL = Scenario(Day(seconds=15, warm=2, servers=8, nodes=2, rate=10, life=20, groups=30, utilization=0.6),
-                 KINDS, CLASSES, (Fault("start", 6, 1, 0.2),))  # fmt: skip
+SMALL = Scenario(
+    Day(seconds=15, warm=2, servers=8, nodes=2, rate=10, life=20, groups=30, utilization=0.6),
+    KINDS,
+    CLASSES,
+    (Fault("start", 6, 1, 0.2),),
+)
 
 
 def speed(seconds: float) -> None:
--- a/example/toy.py
+++ b/example/toy.py
@@ -32,11 +32,17 @@
     """Answer a watch with the whole list, then with an empty line every 2 s."""
     targets = [
         {
-            "uid": uid, "endpoint": f"127.0.0.1:{port}", "az": "room", "model": "toy", "pod_group": 0,
-            "state": "Ready", "capacity_hint": 1.0, "boot_ms": 0,
+            "uid": uid,
+            "endpoint": f"127.0.0.1:{port}",
+            "az": "room",
+            "model": "toy",
+            "pod_group": 0,
+            "state": "Ready",
+            "capacity_hint": 1.0,
+            "boot_ms": 0,
         }
         for uid, port in SERVERS.items()
-    ]  # fmt: skip
+    ]
     try:
         while (await reader.readline()).strip():
             pass
--- a/standins/fleet.py
+++ b/standins/fleet.py
@@ -31,9 +31,15 @@
     def entry(self) -> dict[str, Any]:
         """The server's entry in discovery's form."""
         return {
-            "uid": self.uid, "endpoint": f"{HOST}:{self.port}", "az": "room", "model": self.kind,
-            "pod_group": 0, "state": self.state, "capacity_hint": 1.0, "boot_ms": self.boot_ms,
-        }  # fmt: skip
+            "uid": self.uid,
+            "endpoint": f"{HOST}:{self.port}",
+            "az": "room",
+            "model": self.kind,
+            "pod_group": 0,
+            "state": self.state,
+            "capacity_hint": 1.0,
+            "boot_ms": self.boot_ms,
+        }
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         """One connection, until either side ends it."""
--- a/standins/live.py
+++ b/standins/live.py
@@ -196,8 +196,10 @@
                     asyncio.create_task(self._client(number, None))
                     for number in range(self.traffic.stood, len(self.traffic.at_us))
                 ]
-                tasks += [asyncio.create_task(self._fault(number, one))
-                          for number, one in enumerate(self.scenario.faults)]  # fmt: skip
+                tasks += [
+                    asyncio.create_task(self._fault(number, one))
+                    for number, one in enumerate(self.scenario.faults)
+                ]
                 tasks.append(asyncio.create_task(self._watch_loop()))
                 await asyncio.sleep(day.warm + day.seconds)
             finally:
@@ -238,32 +240,51 @@
     def _configuration(self, number: int) -> dict[str, Any]:
         told = self.scenario.settings(number)
         return {
-            "name": f"n{number}", "listen": f"{HOST}:{self._ports[number]}",
+            "name": f"n{number}",
+            "listen": f"{HOST}:{self._ports[number]}",
             "discovery": self.fleet.address,
-            "seed": f"{self.seed * 1000 + number:x}", "limits": {"sockets": 8192},
+            "seed": f"{self.seed * 1000 + number:x}",
+            "limits": {"sockets": 8192},
             "known": self.fleet.known(),
             "settings": {
-                "group_size": told.balancers, "position": number, "discovery": "on_request", "azs": ["room"],
+                "group_size": told.balancers,
+                "position": number,
+                "discovery": "on_request",
+                "azs": ["room"],
                 "kinds": list(told.kinds),
                 "classes": [
-                    {"name": c.name, "aim_us": c.aim_us, "give_up_us": c.deadline_us,
-                     "effect": "repeatable", "credit": c.worth} for c in told.classes
+                    {
+                        "name": c.name,
+                        "aim_us": c.latency_objective_us,
+                        "give_up_us": c.deadline_us,
+                        "effect": "repeatable",
+                        "credit": c.priority_weight,
+                    }
+                    for c in told.classes
                 ],
-                "domain": {"mode": "proxy", "groups": True,
-                           "message_aim_us": [c.message_aim_us for c in told.classes]},
+                "domain": {
+                    "mode": "proxy",
+                    "groups": True,
+                    "message_aim_us": [c.message_latency_objective_us for c in told.classes],
+                },
                 "policy_limits": {
-                    "most_tries": told.limits.max_attempts, "probing": True, "cancel": True,
-                    "retry_after": True, "connect_timeout_us": 200_000,
+                    "most_tries": told.limits.max_attempts,
+                    "probing": True,
+                    "cancel": True,
+                    "retry_after": True,
+                    "connect_timeout_us": 200_000,
                 },
                 "costs": {n: getattr(told.prices, n) for n in ("late_fail", "moves", "probe", "waste")},
                 "safety": {
-                    "cold_share": told.rules.cold_share, "warm_after_us": told.rules.warm_after_us,
-                    "fall_multiple": told.rules.fall_multiple, "overload_for_us": told.rules.fall_after_us,
+                    "cold_share": told.rules.slow_start_share,
+                    "warm_after_us": told.rules.slow_start_us,
+                    "fall_multiple": told.rules.overload_multiple,
+                    "overload_for_us": told.rules.overload_after_us,
                     "drain_grace_us": told.rules.drain_grace_us,
                 },
-                "report": {"fields": list(told.report_fields), "via": "probe"},
+                "report": {"fields": list(told.load_report_fields), "via": "probe"},
             },
-        }  # fmt: skip
+        }
 
     # Clients.
 
--- a/standins/node.py
+++ b/standins/node.py
@@ -14,9 +14,13 @@
 ) -> tuple[asyncio.subprocess.Process, int]:
     """Start a node of a checkout (`root`, else this one) and wait until it listens: its process and port."""
     process = await asyncio.create_subprocess_exec(
-        sys.executable, "-m", "stepflow", cwd=root, stderr=asyncio.subprocess.PIPE,
+        sys.executable,
+        "-m",
+        "stepflow",
+        cwd=root,
+        stderr=asyncio.subprocess.PIPE,
         env={**os.environ, "GW_CONFIG": str(config), **env},
-    )  # fmt: skip
+    )
     assert process.stderr is not None
     while b"event=listens" not in (line := await process.stderr.readline()):
         if not line:
--- a/standins/ramp.py
+++ b/standins/ramp.py
@@ -23,9 +23,12 @@
 COLD_SHARE, WARM_S, MULTIPLE, WINDOW_S = 0.3, 8.0, 2.5, 1.5
 LIFE_S, AGAIN_S, WAIT_S = 4.0, 0.3, 2.0  # of a session; until a client that was refused comes again; it waits
 RULES = {
-    "cold_share": COLD_SHARE, "warm_after_us": int(WARM_S * 1e6), "fall_multiple": MULTIPLE,
-    "overload_for_us": int(WINDOW_S * 1e6), "drain_grace_us": 500_000,
-}  # fmt: skip
+    "cold_share": COLD_SHARE,
+    "warm_after_us": int(WARM_S * 1e6),
+    "fall_multiple": MULTIPLE,
+    "overload_for_us": int(WINDOW_S * 1e6),
+    "drain_grace_us": 500_000,
+}
 
 
 def bound(age: float) -> float:
@@ -104,10 +107,14 @@
         folder = self.folder / f"n{number}"
         folder.mkdir(exist_ok=True)
         told = {
-            "name": f"n{number}", "listen": f"{HOST}:0", "discovery": self.fleet.address,
-            "seed": f"{number:x}", "limits": {"sockets": 1024}, "known": self.fleet.known(),
+            "name": f"n{number}",
+            "listen": f"{HOST}:0",
+            "discovery": self.fleet.address,
+            "seed": f"{number:x}",
+            "limits": {"sockets": 1024},
+            "known": self.fleet.known(),
             "settings": {**self.settings, "group_size": self.count, "position": number},
-        }  # fmt: skip
+        }
         (folder / "config.json").write_text(json.dumps(told))
         env = {"TMPDIR": str(folder), "STEPFLOW_CONF": os.devnull}
         process, port = await start_node(folder / "config.json", env)
--- a/standins/sharer.py
+++ b/standins/sharer.py
@@ -12,7 +12,7 @@
 import time
 
 from stepflow import logs
-from stepflow.address import Endpoint
+from stepflow.address import Address
 from stepflow.budgets.shares import ONE, Shares
 from stepflow.members import View
 from stepflow.node.member_port import NeighbourPort
@@ -29,7 +29,7 @@
     told = json.loads(sys.argv[1])
     logs.set_up()  # what is written down goes to standard output, and the log must not
     reactor, clock, rng = serving_reactor(), Clock(), random.Random(told["me"])
-    peers = [Endpoint.parse(peer) for peer in told["peers"]]
+    peers = [Address.parse(peer) for peer in told["peers"]]
     now = micros(clock.now())
     view = View(told["me"], now // 1000, range(len(peers)), now)
     shares = Shares(view, WINDOW_US, rng, now)
@@ -43,7 +43,7 @@
             if shares.spend((decided + clock.offset_ns) // 1000, 0, amount):
                 print(decided, amount, flush=True)
 
-    listen = Endpoint.parse(told["listen"])
+    listen = Address.parse(told["listen"])
     port = NeighbourPort(clock, Deadlines(clock, reactor, Counters()), shares, peers, spend)
     reactor.listenUDP(listen.port, port, interface=listen.host)
     print("listens", flush=True)
--- a/standins/soak/run.py
+++ b/standins/soak/run.py
@@ -163,27 +163,40 @@
     def _configuration(self, node: NodeProcess, at: int) -> dict[str, Any]:
         classes = [
             {
-                "name": kind.name, "aim_us": 300_000, "give_up_us": int(kind.wait_s * 1e6),
-                "effect": kind.effect, "key_scope": "all", "key_ttl_us": int(kind.window_s * 1e6),
+                "name": kind.name,
+                "aim_us": 300_000,
+                "give_up_us": int(kind.wait_s * 1e6),
+                "effect": kind.effect,
+                "key_scope": "all",
+                "key_ttl_us": int(kind.window_s * 1e6),
                 "credit": 1.0,
             }
             for kind in KINDS
-        ]  # fmt: skip
+        ]
         return {
-            "name": f"n{node.number}", "listen": f"{HOST}:0", "discovery": self._fleets[at].address,
-            "seed": f"{node.number + 5:x}", "limits": {"sockets": SOCKETS},
+            "name": f"n{node.number}",
+            "listen": f"{HOST}:0",
+            "discovery": self._fleets[at].address,
+            "seed": f"{node.number + 5:x}",
+            "limits": {"sockets": SOCKETS},
             "known": self._fleets[0].known(),
             "settings": {
-                "group_size": len(self._nodes), "position": node.number,
+                "group_size": len(self._nodes),
+                "position": node.number,
                 "discovery": "pushed" if self._pushed else "on_request",
-                "azs": ["room"], "kinds": ["toy"], "classes": classes,
+                "azs": ["room"],
+                "kinds": ["toy"],
+                "classes": classes,
                 "domain": {"mode": "proxy", "message_aim_us": [100_000] * len(classes)},
                 "policy_limits": {
-                    "most_tries": 5, "probing": True, "cancel": True, "connect_timeout_us": 200_000,
+                    "most_tries": 5,
+                    "probing": True,
+                    "cancel": True,
+                    "connect_timeout_us": 200_000,
                 },
                 "report": {"fields": ["x0", "x1", "util"], "via": "probe"},
             },
-        }  # fmt: skip
+        }
 
     def _begin_clients(self, node: NodeProcess) -> None:
         for _ in range(CLIENTS):
--- a/stepflow/address.py
+++ b/stepflow/address.py
@@ -5,7 +5,7 @@
 from typing import NamedTuple
 
 
-class Endpoint(NamedTuple):
+class Address(NamedTuple):
     """HOST:PORT, read."""
 
     host: str
@@ -15,7 +15,7 @@
         return f"{self.host}:{self.port}"
 
     @classmethod
-    def parse(cls, text: object) -> Endpoint:
+    def parse(cls, text: object) -> Address:
         """Read HOST:PORT; a ValueError says what is wrong with it."""
         if not isinstance(text, str):
             raise ValueError(f"{text!r} is not HOST:PORT")
--- a/stepflow/budgets/slow_start.py
+++ b/stepflow/budgets/slow_start.py
@@ -5,7 +5,7 @@
 import math
 
 from stepflow.estimates.arrivals import SECOND, Arrivals
-from stepflow.interface import Rules
+from stepflow.interface import SafetyRules
 
 SAFETY = 0.8  # share of the allowed work used, for chance and for what others do
 FULL_FROM = 0.3  # a fleet loaded less than this isn't held to have room for more than that tells
@@ -32,12 +32,12 @@
             share = 1 - math.exp(-seconds / KEPT_S) if self._full else 1.0
             self._full += share * (now - self._full)
 
-    def pace(self, own: Arrivals, warm: int, servers: int, load: float, rules: Rules) -> float:
+    def pace(self, own: Arrivals, warm: int, servers: int, load: float, rules: SafetyRules) -> float:
         """Connections a second that the node may send to a mean server at full capacity."""
         enough = max(1, math.ceil(TOLD_FROM * servers))
         full = own.open / max(warm, enough) / max(load, FULL_FROM)
         if warm < enough and self._full:
             full = self._full
         # A node that has none yet begins at the pace of what comes: nothing tells it more.
-        pace = full / max(1.0, rules.warm_after_us / SECOND) or own.rate() / max(warm, enough)
-        return pace * SAFETY * rules.fall_multiple
+        pace = full / max(1.0, rules.slow_start_us / SECOND) or own.rate() / max(warm, enough)
+        return pace * SAFETY * rules.overload_multiple
--- a/stepflow/cli/fleet.py
+++ b/stepflow/cli/fleet.py
@@ -133,9 +133,18 @@
 @click.option("-o", "--out", type=click.Path(), help="Folder where the runs are kept, with a manifest.")
 @click.option("--json", "as_json", is_flag=True, help="One JSON object, for programs.")
 def compare(
-    a: str, b: str, scenario: str, scenario_b: str | None, runs: int, width: float | None, level: float,
-    seed: int, jobs: int | None, out: str | None, as_json: bool,
-) -> None:  # fmt: skip
+    a: str,
+    b: str,
+    scenario: str,
+    scenario_b: str | None,
+    runs: int,
+    width: float | None,
+    level: float,
+    seed: int,
+    jobs: int | None,
+    out: str | None,
+    as_json: bool,
+) -> None:
     """Play A and B on the same days, and tell B's difference with its interval.
 
     A and B each name a policy: present, random, rev:REVISION, or NAME=FIGURE for one of its figures (several,
@@ -160,9 +169,15 @@
     rows = {name: (found.side(0, name), found.side(1, name), found.difference(name)) for name in FIGURES}
     if as_json:
         shown: dict[str, Any] = {
-            name: {"a": one[0].mean, "b": one[1].mean, "difference": one[2].mean,
-                   "low": one[2].low, "high": one[2].high} for name, one in rows.items()
-        }  # fmt: skip
+            name: {
+                "a": one[0].mean,
+                "b": one[1].mean,
+                "difference": one[2].mean,
+                "low": one[2].low,
+                "high": one[2].high,
+            }
+            for name, one in rows.items()
+        }
         click.echo(msgspec.json.encode({"runs": len(found.rows), "level": level, "figures": shown}))
         return
     click.echo(f"{len(found.rows)} pairs of runs from seed {seed}, intervals of {level:.0%}")
@@ -250,10 +265,19 @@
     def told(one: Check) -> None:
         span = one.predicted
         if as_json:
-            click.echo(msgspec.json.encode({
-                "seed": one.seed, "predicted": span.mean, "low": span.low, "high": span.high,
-                "measured": one.measured, "within": one.within, "late_s": one.late_s,
-            }))  # fmt: skip
+            click.echo(
+                msgspec.json.encode(
+                    {
+                        "seed": one.seed,
+                        "predicted": span.mean,
+                        "low": span.low,
+                        "high": span.high,
+                        "measured": one.measured,
+                        "within": one.within,
+                        "late_s": one.late_s,
+                    }
+                )
+            )
             return
         said = "within" if one.within else "outside"
         busy = f"; this machine was late by {one.late_s * 1000:.0f} ms" if one.late_s > LATE else ""
--- a/stepflow/fleet/attempts.py
+++ b/stepflow/fleet/attempts.py
@@ -9,7 +9,7 @@
 from stepflow.fleet.clients import Client
 from stepflow.fleet.servers import SECOND, Server
 from stepflow.fleet.streams import stream
-from stepflow.interface import Availability, Result
+from stepflow.interface import AttemptResult, Availability
 
 if TYPE_CHECKING:
     from stepflow.fleet.nodes import Node
@@ -28,13 +28,13 @@
         self._luck = stream(world.seed, "reports")
         self._sick_luck = stream(world.seed, "sick answers")
 
-    def send(self, node: Node, action: face.Send) -> None:
+    def send(self, node: Node, action: face.StartAttempt) -> None:
         """One attempt of a request."""
         world = self._world
-        client = node.clients.get(action.request)
+        client = node.clients.get(action.request_id)
         if client is None or client.out:
             return
-        server = world.names[str(action.server)]
+        server = world.names[str(action.endpoint)]
         self._count += 1
         client.attempt, client.out, client.sent_us = client.attempt + 1, self._count, world.now
         client.server = server
@@ -44,9 +44,9 @@
         wait = min(action.timeout_us, left) if action.timeout_us else left
         attempt, trip = client.out, self._day.trip_us
         if not server.runs:
-            world.after(2 * trip, partial(self._fails, client, attempt, Result.CONNECT_FAILED))
+            world.after(2 * trip, partial(self._fails, client, attempt, AttemptResult.CONNECT_FAILED))
             return
-        world.after(max(1, wait), partial(self._fails, client, attempt, Result.TIMEOUT))
+        world.after(max(1, wait), partial(self._fails, client, attempt, AttemptResult.TIMEOUT))
         if world.faults.silent_since(node, server) is None:
             world.after(2 * trip, partial(self._reaches, client, attempt, server))
 
@@ -67,16 +67,16 @@
             return
         world, day = self._world, self._day
         if not server.runs:
-            self.ended(client, Result.CONNECT_FAILED)
+            self.ended(client, AttemptResult.CONNECT_FAILED)
             return
         if server.state != Availability.READY or server.connections >= server.cap:
-            world.after(day.trip_us, partial(self._fails, client, attempt, Result.FULL))
+            world.after(day.trip_us, partial(self._fails, client, attempt, AttemptResult.FULL))
             return
         if world.faults.resets and self._sick_luck.random() < world.faults.resets:
-            world.after(day.trip_us, partial(self._fails, client, attempt, Result.RESET))
+            world.after(day.trip_us, partial(self._fails, client, attempt, AttemptResult.RESET))
             return
         if server.errors and self._sick_luck.random() < server.errors:
-            world.after(day.trip_us, partial(self._fails, client, attempt, Result.ERROR))
+            world.after(day.trip_us, partial(self._fails, client, attempt, AttemptResult.ERROR))
             return
         cls = world.classes[client.cls]
         work = cls.work_ms / 1000 * float(world.traffic.work[client.number])
@@ -106,7 +106,7 @@
         self.joined(client)
         if node is not None:
             wait = world.now - client.sent_us
-            world.feed(node, face.Established(client.request, client.attempt, server.uid, wait))
+            world.feed(node, face.SessionEstablished(client.request, client.attempt, server.uid, wait))
         world.clients.swing(client, client.request, client.swing)
 
     def joined(self, client: Client) -> None:
@@ -125,11 +125,11 @@
             server.release(client.group, client.load)
             self._world.standing[server][client.cls] -= 1
 
-    def _fails(self, client: Client, attempt: int, result: Result) -> None:
+    def _fails(self, client: Client, attempt: int, result: AttemptResult) -> None:
         if client.out == attempt:
             self.ended(client, result)
 
-    def ended(self, client: Client, result: Result, answered: bool = False) -> None:
+    def ended(self, client: Client, result: AttemptResult, answered: bool = False) -> None:
         """The one place that ends an attempt, before it is up or after."""
         node, server, up, request = client.node, client.server, client.up, client.request
         if up:
@@ -140,10 +140,10 @@
         if up:
             node.clients.pop(request, None)
         wait = self._world.now - client.sent_us
-        outcome = face.Outcome(request, client.attempt, server.uid, result, up or answered, wait)
+        outcome = face.AttemptEnded(request, client.attempt, server.uid, result, up or answered, wait)
         self._world.feed(node, outcome)
 
-    def broken(self, client: Client, result: Result = Result.RESET) -> None:
+    def broken(self, client: Client, result: AttemptResult = AttemptResult.RESET) -> None:
         """What stands ends by a fault: its client comes again. What is out fails."""
         up = client.up
         self._world.tally.broken += self._world.counting and up
@@ -156,14 +156,14 @@
         client = node.clients.get(request)
         if client is not None and client.up:
             self._world.tally.moves += self._world.counting
-            self.ended(client, Result.CANCELLED)
+            self.ended(client, AttemptResult.CANCELLED)
             self._world.clients.back(client)
 
     def cancel(self, node: Node, request: int) -> None:
         """The node stops waiting for an attempt."""
         client = node.clients.get(request)
         if client is not None and client.out and not client.up:
-            self.ended(client, Result.CANCELLED)
+            self.ended(client, AttemptResult.CANCELLED)
 
     # Probes.
 
@@ -172,15 +172,15 @@
         rho = server.rho(self._world.now)
         return rho * noise, server.wait_s(self._world.now), min(1.0, rho * noise)
 
-    def probe(self, node: Node, action: face.Probe) -> None:
+    def probe(self, node: Node, action: face.StartHealthCheck) -> None:
         """One question for a server's report."""
         world, day = self._world, self._day
-        server, life, now = world.names[str(action.server)], node.life, world.now
+        server, life, now = world.names[str(action.endpoint)], node.life, world.now
         world.tally.probes += world.counting
         server.probes += 1
         silent = world.faults.silent_since(node, server) is not None
         if not server.runs or silent:
-            result = Result.TIMEOUT if silent else Result.CONNECT_FAILED
+            result = AttemptResult.TIMEOUT if silent else AttemptResult.CONNECT_FAILED
             wait = PROBE_US if silent else 2 * day.trip_us
             world.after(wait, partial(self._probed, node, life, server, result, (), now))
             return
@@ -191,12 +191,18 @@
         took = 2 * day.trip_us + server.wait_s(now) * SECOND
         if not server.report or now - server.report_us > late:
             server.report, server.report_us = self._report(server), now
-        result = Result.OK if took <= PROBE_US else Result.TIMEOUT
-        answer = server.report if result == Result.OK else ()
+        result = AttemptResult.OK if took <= PROBE_US else AttemptResult.TIMEOUT
+        answer = server.report if result == AttemptResult.OK else ()
         world.after(min(took, PROBE_US), partial(self._probed, node, life, server, result, answer, now))
 
     def _probed(
-        self, node: Node, life: int, server: Server, result: Result, report: tuple[float, ...], asked: int
+        self,
+        node: Node,
+        life: int,
+        server: Server,
+        result: AttemptResult,
+        report: tuple[float, ...],
+        asked: int,
     ) -> None:
         if node.life == life:
-            self._world.feed(node, face.Probed(server.uid, result, self._world.now - asked, report))
+            self._world.feed(node, face.HealthCheckEnded(server.uid, result, self._world.now - asked, report))
--- a/stepflow/fleet/baselines.py
+++ b/stepflow/fleet/baselines.py
@@ -7,7 +7,7 @@
 
 from stepflow import interface as face
 from stepflow.fleet.streams import stream
-from stepflow.interface import Availability, ListForm
+from stepflow.interface import Availability, ListUpdateKind
 
 
 class Decides(Protocol):
@@ -25,7 +25,7 @@
 
     def __init__(self, settings: face.Settings, seed: int) -> None:
         self._settings, self._rng = settings, stream(seed, "random choice")
-        self._servers: dict[face.ServerId, face.Server] = {}
+        self._servers: dict[face.EndpointId, face.Server] = {}
         self._open: dict[int, int] = {}
 
     def retune(self, settings: face.Settings) -> None:
@@ -33,35 +33,35 @@
 
     def handle(self, now: int, event: face.Event) -> list[face.Action]:
         if isinstance(event, face.Started):
-            return [face.Watch(True)]
-        if isinstance(event, face.ServerList):
-            if event.form == ListForm.FAILED:
+            return [face.WatchEndpointList(True)]
+        if isinstance(event, face.EndpointListUpdate):
+            if event.kind == ListUpdateKind.FAILED:
                 return [face.SetTimer(int(self._rng.integers(250_000, 1_000_000)), 1)]
-            if event.form != ListForm.DELTA:
+            if event.kind != ListUpdateKind.DELTA:
                 self._servers.clear()
-            for entry in event.servers:
+            for entry in event.endpoints:
                 if entry.availability == Availability.READY:
                     self._servers[entry.id] = entry
                 else:
                     self._servers.pop(entry.id, None)
-        if isinstance(event, face.Timer):
-            return [face.Watch(True)]
+        if isinstance(event, face.TimerFired):
+            return [face.WatchEndpointList(True)]
         if isinstance(event, face.Request):
             self._open[event.id] = 0
             return self._try(event.id)
-        if isinstance(event, face.Outcome):
-            if event.complete:
-                self._open.pop(event.request, None)
-            elif event.request in self._open:
-                return self._try(event.request)
-        if isinstance(event, face.ClientGone):
-            self._open.pop(event.request, None)
+        if isinstance(event, face.AttemptEnded):
+            if event.is_final:
+                self._open.pop(event.request_id, None)
+            elif event.request_id in self._open:
+                return self._try(event.request_id)
+        if isinstance(event, face.ClientDisconnected):
+            self._open.pop(event.request_id, None)
         return []
 
     def _try(self, id: int) -> list[face.Action]:
         if not self._servers or self._open[id] >= self._settings.limits.max_attempts:
             del self._open[id]
-            return [face.Refuse(id)]
+            return [face.RejectRequest(id)]
         self._open[id] += 1
         listed = list(self._servers)
-        return [face.Send(id, listed[int(self._rng.integers(len(listed)))], 0)]
+        return [face.StartAttempt(id, listed[int(self._rng.integers(len(listed)))], 0)]
--- a/stepflow/fleet/clients.py
+++ b/stepflow/fleet/clients.py
@@ -12,7 +12,7 @@
 from stepflow.fleet.servers import SECOND, Server
 from stepflow.fleet.streams import stream
 from stepflow.fleet.traffic import CHANCES, LOADS
-from stepflow.interface import NoteKind, Result
+from stepflow.interface import AttemptResult, SessionReportKind
 
 if TYPE_CHECKING:
     from stepflow.fleet.nodes import Node
@@ -84,8 +84,8 @@
         client.out = -1
         node.clients[client.request] = client
         self._world.attempts.joined(client)
-        request = face.Request(client.request, client.cls, 0, group=client.group)
-        self._world.feed(node, face.Adopted(request, server.uid))
+        request = face.Request(client.request, client.cls, 0, affinity_group=client.group)
+        self._world.feed(node, face.SessionAdopted(request, server.uid))
         self.swing(client, client.request, 0)
 
     def arrive(self, number: int) -> None:
@@ -144,10 +144,18 @@
         self._world.feed(
             node,
             face.Request(
-                request, client.cls, client.expires, None, 0, client.number, client.group, repeated, False,
+                request,
+                client.cls,
+                client.expires,
+                None,
+                0,
+                client.number,
+                client.group,
+                repeated,
+                False,
                 client.returned,
             ),
-        )  # fmt: skip
+        )
 
     # What comes back.
 
@@ -161,7 +169,7 @@
             world.tally.failed += failed
             world.tally.late_fails += world.now >= client.expires
         if client.out:
-            world.attempts.ended(client, Result.CANCELLED, answered=True)
+            world.attempts.ended(client, AttemptResult.CANCELLED, answered=True)
         node.clients.pop(request, None)
         world.after(self._day.trip_us, partial(self._again, client, request, advice_us))
 
@@ -195,12 +203,12 @@
         if node is None or client.request not in node.clients:
             return
         if client.up:
-            self._world.attempts.ended(client, Result.CANCELLED)
+            self._world.attempts.ended(client, AttemptResult.CANCELLED)
         else:
             request = client.request
-            self._world.feed(node, face.ClientGone(request))
+            self._world.feed(node, face.ClientDisconnected(request))
             if client.out:
-                self._world.attempts.ended(client, Result.CANCELLED, answered=True)
+                self._world.attempts.ended(client, AttemptResult.CANCELLED, answered=True)
             node.clients.pop(request, None)
 
     def swing(self, client: Client, request: int, number: int) -> None:
@@ -224,4 +232,6 @@
         node, server = client.node, client.server
         if client.up and client.request == request and node is not None and server is not None:
             told = client.load * LOAD_UNIT * (HUNG_SHARE if server.hung else 1.0)
-            self._world.feed(node, face.Note(request, client.attempt, server.uid, NoteKind.LOAD, told))
+            self._world.feed(
+                node, face.SessionReport(request, client.attempt, server.uid, SessionReportKind.LOAD, told)
+            )
--- a/stepflow/fleet/compare.py
+++ b/stepflow/fleet/compare.py
@@ -32,9 +32,9 @@
 FIRST = 10  # runs of the first stage, at the least
 MOST = 1000  # runs in all
 FIGURES = ("net", *(one.name for one in fields(Score)))
-SERIES = pa.schema([
-    ("side", pa.string()), ("seed", pa.int64()), ("name", pa.string()), ("values", pa.list_(pa.float64())),
-])  # fmt: skip
+SERIES = pa.schema(
+    [("side", pa.string()), ("seed", pa.int64()), ("name", pa.string()), ("values", pa.list_(pa.float64()))]
+)
 
 
 class CompareError(BadInput):
@@ -135,9 +135,14 @@
 
 
 def compare(
-    sides: tuple[Side, Side], runs: int, seed: int, level: float = 0.95, width: float | None = None,
-    jobs: int | None = None, told: Callable[[int, int], None] = lambda done, wanted: None,
-) -> Found:  # fmt: skip
+    sides: tuple[Side, Side],
+    runs: int,
+    seed: int,
+    level: float = 0.95,
+    width: float | None = None,
+    jobs: int | None = None,
+    told: Callable[[int, int], None] = lambda done, wanted: None,
+) -> Found:
     """Play both sides on the seeds from `seed` on; with a width, as many more as it takes.
 
     An interrupt ends it with the pairs that are whole, as long as they are two.
@@ -203,9 +208,13 @@
         "seeds": [row[0] for row in found.rows],
         "wanted": found.wanted,
         "sides": [
-            {"policy": one.policy, "file": one.file, "scenario": one.scenario,
-             "digest": sha256(one.scenario.encode()).hexdigest()}
+            {
+                "policy": one.policy,
+                "file": one.file,
+                "scenario": one.scenario,
+                "digest": sha256(one.scenario.encode()).hexdigest(),
+            }
             for one in found.sides
         ],
-    }  # fmt: skip
+    }
     (target / f"{name}.json").write_bytes(msgspec.json.format(msgspec.json.encode(manifest)))
--- a/stepflow/fleet/fit.py
+++ b/stepflow/fleet/fit.py
@@ -153,9 +153,12 @@
 
 def _arrivals(found: Fit, rows: Sequence[dict[str, Any]], seconds: float, began: int) -> None:
     first = np.array(
-        [(row["at_us"] - began) / SECOND for row in rows
-         if not (row["stood"] or row["repeated"] or row["returned"])]
-    )  # fmt: skip
+        [
+            (row["at_us"] - began) / SECOND
+            for row in rows
+            if not (row["stood"] or row["repeated"] or row["returned"])
+        ]
+    )
     spans = np.diff(np.sort(first))
     flaw = ""
     if len(spans) > 2 * LEAST:
@@ -184,9 +187,12 @@
 
 
 def _classes(
-    found: Fit, told: Sequence[dict[str, Any]], rows: Sequence[dict[str, Any]],
-    loads: dict[tuple[str, int, int], list[tuple[int, float]]], began: int,
-) -> None:  # fmt: skip
+    found: Fit,
+    told: Sequence[dict[str, Any]],
+    rows: Sequence[dict[str, Any]],
+    loads: dict[tuple[str, int, int], list[tuple[int, float]]],
+    began: int,
+) -> None:
     """Each class's share, life and loads; the day's life is that of a mean fresh connection."""
     names = [cls["name"] for cls in told]
     fresh = Counter(row["class"] for row in rows if not (row["stood"] or row["repeated"] or row["returned"]))
@@ -229,9 +235,13 @@
         load = means[name] / mean_load if math.isfinite(means[name]) else 1.0
         between, within = sigmas[name]
         found.classes[name] = Class(
-            share=shares[name], load=(load, load), life=(relative, relative), load_sigma=between,
-            swing_sigma=within, **_told(cls),
-        )  # fmt: skip
+            share=shares[name],
+            load=(load, load),
+            life=(relative, relative),
+            load_sigma=between,
+            swing_sigma=within,
+            **_told(cls),
+        )
     found.absent += ["set-up work", "message aims", "how late the list and the reports are"]
     if held:
         spans, ended = np.array([one[0] for one in held]), np.array([one[1] for one in held])
@@ -267,9 +277,12 @@
 
 
 def _servers(
-    found: Fit, trace: Trace, rows: Sequence[dict[str, Any]],
-    loads: dict[tuple[str, int, int], list[tuple[int, float]]], group_load: float,
-) -> None:  # fmt: skip
+    found: Fit,
+    trace: Trace,
+    rows: Sequence[dict[str, Any]],
+    loads: dict[tuple[str, int, int], list[tuple[int, float]]],
+    group_load: float,
+) -> None:
     kind_of, state = _listed(trace)
     found.servers = sum(1 for name in kind_of if state.get(name, 0) != 2) or len(kind_of)
     fields = trace.manifest.fields
@@ -365,9 +378,11 @@
 
 
 def _asked(
-    rows: Sequence[dict[str, Any]], loads: dict[tuple[str, int, int], list[tuple[int, float]]],
-    mean_load: float, group_load: float,
-) -> dict[str, Steps]:  # fmt: skip
+    rows: Sequence[dict[str, Any]],
+    loads: dict[tuple[str, int, int], list[tuple[int, float]]],
+    mean_load: float,
+    group_load: float,
+) -> dict[str, Steps]:
     """What each server was asked for over time, in mean connection loads, by all nodes that recorded."""
     changes: dict[str, list[tuple[int, float, int, int]]] = defaultdict(list)
     for row in rows:
@@ -417,9 +432,11 @@
 def text(found: Fit, source: str) -> str:
     """A scenario file, each figure with what it rests on."""
     day = [
-        f"    servers {found.servers}", f"    nodes {found.nodes}", f"    groups {found.groups}",
+        f"    servers {found.servers}",
+        f"    nodes {found.nodes}",
+        f"    groups {found.groups}",
         f"    report-noise {found.noise:.4g}",
-    ]  # fmt: skip
+    ]
     spans = []
     for name in ("rate", "life", "utilization"):
         one = next((one for one in found.estimates if one.name == name), None)
@@ -437,10 +454,15 @@
         blocks.append(_block(f"kind {name}", lines))
     for name, cls in found.classes.items():
         lines = [
-            f"    share {cls.share:.4g}", f"    load {cls.load[0]:.4g}", f"    life {cls.life[0]:.4g}",
-            f"    load-sigma {cls.load_sigma:.4g}", f"    swing-sigma {cls.swing_sigma:.4g}",
-            f"    aim-ms {cls.aim_ms:g}", f"    wait-ms {cls.wait_ms:g}", f"    worth {cls.worth:g}",
-        ]  # fmt: skip
+            f"    share {cls.share:.4g}",
+            f"    load {cls.load[0]:.4g}",
+            f"    life {cls.life[0]:.4g}",
+            f"    load-sigma {cls.load_sigma:.4g}",
+            f"    swing-sigma {cls.swing_sigma:.4g}",
+            f"    aim-ms {cls.aim_ms:g}",
+            f"    wait-ms {cls.wait_ms:g}",
+            f"    worth {cls.worth:g}",
+        ]
         blocks.append(_block(f"class {name}", lines))
     head = [f"# Fitted to {source}", "# Not in the trace, so by default: " + ", ".join(found.absent)]
     head += [f"# Poor fit: {one.name}: {one.flaw}" for one in found.estimates if one.flaw]
--- a/stepflow/fleet/listing.py
+++ b/stepflow/fleet/listing.py
@@ -9,7 +9,7 @@
 from stepflow import interface as face
 from stepflow.fleet.servers import SECOND, Server
 from stepflow.fleet.streams import stream
-from stepflow.interface import ListForm
+from stepflow.interface import ListUpdateKind
 
 if TYPE_CHECKING:
     from stepflow.fleet.nodes import Node
@@ -36,25 +36,25 @@
         """A node asks for the list and its changes: the call waits its turn."""
         world, day, life = self._world, self._day, node.life
         if self._down:
-            world.after(REFUSED_US, partial(self._answer, node, life, ListForm.FAILED))
+            world.after(REFUSED_US, partial(self._answer, node, life, ListUpdateKind.FAILED))
         elif not day.list_calls:
-            self._answer(node, life, ListForm.FULL)
+            self._answer(node, life, ListUpdateKind.FULL)
         elif self._free - world.now > day.list_wait_s * SECOND:
-            world.after(day.list_wait_s * SECOND, partial(self._answer, node, life, ListForm.FAILED))
+            world.after(day.list_wait_s * SECOND, partial(self._answer, node, life, ListUpdateKind.FAILED))
         else:
             self._free = max(self._free, world.now) + SECOND / day.list_calls
-            world.after(self._free - world.now, partial(self._answer, node, life, ListForm.FULL))
+            world.after(self._free - world.now, partial(self._answer, node, life, ListUpdateKind.FULL))
 
-    def _answer(self, node: Node, life: int, form: ListForm) -> None:
+    def _answer(self, node: Node, life: int, form: ListUpdateKind) -> None:
         if node.life != life or node.policy is None:
             return
-        failed = form == ListForm.FAILED or self._down
+        failed = form == ListUpdateKind.FAILED or self._down
         node.watching = not failed
-        self._tell(node, ListForm.FAILED if failed else form, () if failed else self.entries())
+        self._tell(node, ListUpdateKind.FAILED if failed else form, () if failed else self.entries())
 
-    def _tell(self, node: Node, form: ListForm, entries: Sequence[face.Server]) -> None:
+    def _tell(self, node: Node, form: ListUpdateKind, entries: Sequence[face.Server]) -> None:
         self._world.tally.lines += self._world.counting * len(entries)
-        self._world.feed(node, face.ServerList(form, tuple(entries)))
+        self._world.feed(node, face.EndpointListUpdate(form, tuple(entries)))
 
     def change(self, server: Server) -> None:
         """Something has changed: it is told some seconds later, as it is then."""
@@ -71,7 +71,7 @@
             self._seen[server.uid] = entry
         for node in self._world.nodes:
             if node.watching and node.policy is not None:
-                self._tell(node, ListForm.DELTA, (entry,))
+                self._tell(node, ListUpdateKind.DELTA, (entry,))
 
     def go_down(self, span_us: float) -> None:
         """Out of reach: all watches end."""
@@ -79,7 +79,7 @@
         for node in self._world.nodes:
             if node.watching and node.policy is not None:
                 node.watching = False
-                self._tell(node, ListForm.FAILED, ())
+                self._tell(node, ListUpdateKind.FAILED, ())
         self._world.after(span_us, partial(setattr, self, "_down", False))
 
 
--- a/stepflow/fleet/nodes.py
+++ b/stepflow/fleet/nodes.py
@@ -5,7 +5,7 @@
 from stepflow import interface as face
 from stepflow.fleet.baselines import Decides
 from stepflow.fleet.clients import Client
-from stepflow.interface import Availability, ListForm
+from stepflow.interface import Availability, ListUpdateKind
 
 
 class Node:
@@ -18,15 +18,15 @@
         self.clients: dict[int, Client] = {}
         self.dead_since = -1
         self.watching = self.leaving = False
-        self.known: dict[face.ServerId, face.Server] = {}  # its list as last told: all that outlives it
+        self.known: dict[face.EndpointId, face.Server] = {}  # its list as last told: all that outlives it
 
-    def told(self, event: face.ServerList) -> None:
+    def told(self, event: face.EndpointListUpdate) -> None:
         """Keep what the list says."""
-        if event.form == ListForm.FAILED:
+        if event.kind == ListUpdateKind.FAILED:
             return
-        if event.form != ListForm.DELTA:
+        if event.kind != ListUpdateKind.DELTA:
             self.known.clear()
-        for entry in event.servers:
+        for entry in event.endpoints:
             if entry.availability == Availability.GONE:
                 self.known.pop(entry.id, None)
             else:
--- a/stepflow/fleet/referee.py
+++ b/stepflow/fleet/referee.py
@@ -13,7 +13,7 @@
 
 from stepflow import interface as face
 from stepflow.fleet.servers import SECOND, Server
-from stepflow.interface import Availability, ListForm
+from stepflow.interface import Availability, ListUpdateKind
 
 SLACK_US = 50_000  # that the protocol adds to each limit on sockets
 
@@ -59,7 +59,7 @@
 
     settings: face.Settings
     requests: dict[int, _Request] = field(default_factory=dict)
-    listed: dict[face.ServerId, int | None] = field(default_factory=dict)  # since when it must get nothing
+    listed: dict[face.EndpointId, int | None] = field(default_factory=dict)  # since when it must get nothing
 
 
 class Referee:
@@ -77,16 +77,23 @@
         self.cold = Rule("work sent to a cold server, of what makes it fall", 1)
         self.moves = Rule("moves of what does not stand", 0)
         self.rules = [
-            self.late, self.lost, self.twice, self.attempts, self.overlap, self.drained, self.unlisted,
-            self.cold, self.moves,
-        ]  # fmt: skip
+            self.late,
+            self.lost,
+            self.twice,
+            self.attempts,
+            self.overlap,
+            self.drained,
+            self.unlisted,
+            self.cold,
+            self.moves,
+        ]
         self._heard: dict[type, Callable[[int, _Seen, Any], None]] = {
-            face.ServerList: self._listed,
+            face.EndpointListUpdate: self._listed,
             face.Request: self._requested,
-            face.Adopted: self._adopted,
-            face.Established: self._established,
-            face.Outcome: self._ended,
-            face.ClientGone: self._left,
+            face.SessionAdopted: self._adopted,
+            face.SessionEstablished: self._established,
+            face.AttemptEnded: self._ended,
+            face.ClientDisconnected: self._left,
         }
 
     @property
@@ -108,15 +115,15 @@
     def _does(self, now: int, node: int, action: face.Action) -> None:
         seen = self._nodes[node]
         where = f"{now / SECOND:.3f} s, node {node}: {action}"
-        if isinstance(action, face.Send):
+        if isinstance(action, face.StartAttempt):
             self._sent(now, seen, action, where)
-        elif isinstance(action, face.Refuse | face.Fail):
-            request = seen.requests.get(action.request)
+        elif isinstance(action, face.RejectRequest | face.FailRequest):
+            request = seen.requests.get(action.request_id)
             self.twice.saw(request is None or request.over, where)
             if request is not None:
                 self._answered(now, request, where)
-        elif isinstance(action, face.Move):
-            request = seen.requests.get(action.request)
+        elif isinstance(action, face.MigrateSession):
+            request = seen.requests.get(action.request_id)
             self.moves.saw(request is None or not request.up, where)
 
     def close(self, now: int, servers: Iterable[Server]) -> None:
@@ -131,15 +138,15 @@
     # What modules hear.
 
     @staticmethod
-    def _listed(now: int, seen: _Seen, event: face.ServerList) -> None:
-        if event.form == ListForm.FAILED:
+    def _listed(now: int, seen: _Seen, event: face.EndpointListUpdate) -> None:
+        if event.kind == ListUpdateKind.FAILED:
             return
-        if event.form != ListForm.DELTA:
-            named = {entry.id for entry in event.servers}
+        if event.kind != ListUpdateKind.DELTA:
+            named = {entry.id for entry in event.endpoints}
             for id, since in seen.listed.items():
                 if id not in named and since is None:
                     seen.listed[id] = now
-        for entry in event.servers:
+        for entry in event.endpoints:
             if entry.availability == Availability.READY:
                 seen.listed[entry.id] = None
             elif seen.listed.get(entry.id) is None:
@@ -150,31 +157,31 @@
         seen.requests[event.id] = _Request(event.expires_us, seen.settings.limits.max_attempts)
 
     @staticmethod
-    def _adopted(now: int, seen: _Seen, event: face.Adopted) -> None:
+    def _adopted(now: int, seen: _Seen, event: face.SessionAdopted) -> None:
         seen.requests[event.request.id] = _Request(now, 1, 1, out=True, up=True, over=True)
 
-    def _established(self, now: int, seen: _Seen, event: face.Established) -> None:
-        request = seen.requests[event.request]
+    def _established(self, now: int, seen: _Seen, event: face.SessionEstablished) -> None:
+        request = seen.requests[event.request_id]
         request.up = True
         self._answered(now, request, f"{now / SECOND:.3f} s: {event}")
 
     @staticmethod
-    def _ended(now: int, seen: _Seen, event: face.Outcome) -> None:
-        request = seen.requests[event.request]
+    def _ended(now: int, seen: _Seen, event: face.AttemptEnded) -> None:
+        request = seen.requests[event.request_id]
         request.out = request.up = False
-        if event.complete:
-            del seen.requests[event.request]
+        if event.is_final:
+            del seen.requests[event.request_id]
 
     @staticmethod
-    def _left(now: int, seen: _Seen, event: face.ClientGone) -> None:
-        request = seen.requests.get(event.request)
+    def _left(now: int, seen: _Seen, event: face.ClientDisconnected) -> None:
+        request = seen.requests.get(event.request_id)
         if request is not None:
             request.over = True
 
     # What they say.
 
-    def _sent(self, now: int, seen: _Seen, action: face.Send, where: str) -> None:
-        request = seen.requests.get(action.request)
+    def _sent(self, now: int, seen: _Seen, action: face.StartAttempt, where: str) -> None:
+        request = seen.requests.get(action.request_id)
         if request is None or request.over:
             self.twice.saw(1, where)
             return
@@ -182,7 +189,7 @@
         self.overlap.saw(request.out, where)
         request.attempts, request.out = request.attempts + 1, True
         self.attempts.saw(max(0, request.attempts - request.limit), where)
-        since = seen.listed.get(action.server, -1)
+        since = seen.listed.get(action.endpoint, -1)
         self.unlisted.saw(since == -1, where)
         if since is not None and since >= 0:
             self.drained.saw((now - since) / SECOND, where)
--- a/stepflow/fleet/replay.py
+++ b/stepflow/fleet/replay.py
@@ -66,9 +66,14 @@
 
 
 def check(
-    scenario: Scenario, play: Play, seeds: Sequence[int], runs: int, figure: str = "service",
-    level: float = 0.95, told: Callable[[Check], None] = lambda one: None,
-) -> list[Check]:  # fmt: skip
+    scenario: Scenario,
+    play: Play,
+    seeds: Sequence[int],
+    runs: int,
+    figure: str = "service",
+    level: float = 0.95,
+    told: Callable[[Check], None] = lambda one: None,
+) -> list[Check]:
     """Predict each day first, then play it on sockets, one after the other."""
     found = []
     for seed in seeds:
--- a/stepflow/fleet/report.py
+++ b/stepflow/fleet/report.py
@@ -28,8 +28,14 @@
 COLOURS = {"A": "#4269a5", "B": "#c8553d"}
 PARTS = FIGURES[: FIGURES.index("fallen")]  # what is a share, in points
 BAND = (10, 90)  # per cent of the runs, between which a chart's shade lies
-STYLE: Any = {"svg.fonttype": "none", "svg.hashsalt": "stepflow", "font.size": 9, "axes.spines.top": False,
-         "axes.spines.right": False, "font.family": "sans-serif"}  # fmt: skip
+STYLE: Any = {
+    "svg.fonttype": "none",
+    "svg.hashsalt": "stepflow",
+    "font.size": 9,
+    "axes.spines.top": False,
+    "axes.spines.right": False,
+    "font.family": "sans-serif",
+}
 
 
 class ReportError(BadInput):
@@ -252,11 +258,15 @@
     )
     shown = [
         {
-            "name": one.name, "manifest": one.manifest, "verdict": _verdict(one), "warnings": _warnings(one),
-            "rows": _rows(one), "charts": [Markup(chart) for chart in _charts(one)],
+            "name": one.name,
+            "manifest": one.manifest,
+            "verdict": _verdict(one),
+            "warnings": _warnings(one),
+            "rows": _rows(one),
+            "charts": [Markup(chart) for chart in _charts(one)],
         }
         for one in kept
-    ]  # fmt: skip
+    ]
     return environment.get_template("report.html").render(comparisons=shown)
 
 
--- a/stepflow/fleet/scenario.py
+++ b/stepflow/fleet/scenario.py
@@ -48,9 +48,22 @@
 
 
 FAULTS = (
-    "hang", "restart", "burst", "list-down", "drain", "start", "crash",
-    "roll", "replace", "zone", "cut", "errors", "slow", "resets", "settings",
-)  # fmt: skip
+    "hang",
+    "restart",
+    "burst",
+    "list-down",
+    "drain",
+    "start",
+    "crash",
+    "roll",
+    "replace",
+    "zone",
+    "cut",
+    "errors",
+    "slow",
+    "resets",
+    "settings",
+)
 
 
 @dataclass(frozen=True)
@@ -183,24 +196,24 @@
             classes=tuple(
                 face.RequestClass(
                     name,
-                    aim_us=int(cls.aim_ms * MS),
+                    latency_objective_us=int(cls.aim_ms * MS),
                     deadline_us=int(cls.wait_ms * MS),
-                    worth=cls.worth,
-                    message_aim_us=cls.message_ms * MS,
+                    priority_weight=cls.worth,
+                    message_latency_objective_us=cls.message_ms * MS,
                 )
                 for name, cls in self.classes.items()
             ),
             prices=face.Prices(day.zone_price, late_fail=0.042, moves=0.02, probe=price, waste=0.05),
             limits=face.Limits(max_attempts=tries, retry_after=True),
-            rules=face.Rules(
-                cold_share=min(cold),
-                warm_after_us=int(1e6 * max(kind.cold_s[1] for kind in self.kinds.values())),
+            rules=face.SafetyRules(
+                slow_start_share=min(cold),
+                slow_start_us=int(1e6 * max(kind.cold_s[1] for kind in self.kinds.values())),
                 drain_grace_us=500_000,
-                fall_multiple=day.fall_times,
-                fall_after_us=int(1e6 * day.fall_s),
+                overload_multiple=day.fall_times,
+                overload_after_us=int(1e6 * day.fall_s),
             ),
-            ask_for_list=True,
-            report_fields=("x0", "x1", "util"),
+            polls_endpoint_list=True,
+            load_report_fields=("x0", "x1", "util"),
         )
 
 
@@ -246,9 +259,13 @@
             named[block.name][name] = _NAMED[block.name](**_pairs(_NAMED[block.name], block, file))
     base = Scenario()
     return Scenario(
-        plain["day"], named["kind"] or base.kinds, named["class"] or base.classes, tuple(faults),
-        plain["fitted"], plain["trace"],
-    )  # fmt: skip
+        plain["day"],
+        named["kind"] or base.kinds,
+        named["class"] or base.classes,
+        tuple(faults),
+        plain["fitted"],
+        plain["trace"],
+    )
 
 
 def _pairs(model: type, block: Directive, file: str) -> dict[str, Any]:
--- a/stepflow/fleet/trace.py
+++ b/stepflow/fleet/trace.py
@@ -14,7 +14,7 @@
 import pyarrow.parquet as pq
 
 from stepflow.errors import BadInput
-from stepflow.interface import ListForm, Result
+from stepflow.interface import AttemptResult, ListUpdateKind
 from stepflow.traffic import Kind, Reading, read_journal
 
 VERSION = 1
@@ -23,26 +23,67 @@
 
 _int, _text, _real, _flag = pa.int64(), pa.string(), pa.float64(), pa.bool_()
 SCHEMAS: dict[str, pa.Schema] = {
-    "connections": pa.schema([
-        ("node", _text), ("run", _int), ("id", _int), ("at_us", _int), ("class", _text), ("group", _int),
-        ("wait_us", _int), ("repeated", _flag), ("returned", _flag), ("stood", _flag), ("server", _text),
-        ("attempts", _int), ("connect_us", _int), ("up_us", _int), ("answer", _text), ("end_us", _int),
-        ("end", _text), ("moved", _flag), ("load", _real), ("loads", _int),
-    ]),
-    "attempts": pa.schema([
-        ("node", _text), ("run", _int), ("id", _int), ("at_us", _int), ("server", _text),
-        ("timeout_us", _int), ("result", _text), ("wait_us", _int),
-    ]),
+    "connections": pa.schema(
+        [
+            ("node", _text),
+            ("run", _int),
+            ("id", _int),
+            ("at_us", _int),
+            ("class", _text),
+            ("group", _int),
+            ("wait_us", _int),
+            ("repeated", _flag),
+            ("returned", _flag),
+            ("stood", _flag),
+            ("server", _text),
+            ("attempts", _int),
+            ("connect_us", _int),
+            ("up_us", _int),
+            ("answer", _text),
+            ("end_us", _int),
+            ("end", _text),
+            ("moved", _flag),
+            ("load", _real),
+            ("loads", _int),
+        ]
+    ),
+    "attempts": pa.schema(
+        [
+            ("node", _text),
+            ("run", _int),
+            ("id", _int),
+            ("at_us", _int),
+            ("server", _text),
+            ("timeout_us", _int),
+            ("result", _text),
+            ("wait_us", _int),
+        ]
+    ),
     "loads": pa.schema([("node", _text), ("run", _int), ("id", _int), ("at_us", _int), ("load", _real)]),
-    "lists": pa.schema([
-        ("node", _text), ("at_us", _int), ("form", _text), ("server", _text), ("zone", _int), ("kind", _int),
-        ("state", _int), ("size", _real), ("started_us", _int),
-    ]),
-    "probes": pa.schema([
-        ("node", _text), ("at_us", _int), ("server", _text), ("result", _text), ("wait_us", _int),
-        ("report", pa.list_(_real)),
-    ]),
-}  # fmt: skip
+    "lists": pa.schema(
+        [
+            ("node", _text),
+            ("at_us", _int),
+            ("form", _text),
+            ("server", _text),
+            ("zone", _int),
+            ("kind", _int),
+            ("state", _int),
+            ("size", _real),
+            ("started_us", _int),
+        ]
+    ),
+    "probes": pa.schema(
+        [
+            ("node", _text),
+            ("at_us", _int),
+            ("server", _text),
+            ("result", _text),
+            ("wait_us", _int),
+            ("report", pa.list_(_real)),
+        ]
+    ),
+}
 """Times are Unix microseconds. `run` is the process (its `began_us`); `stood`: it stood before what was
 recorded, so its beginning is not known; `end` "" is one that still stood at the last row (right-censored);
 `load` is the mean of the loads told, weighed by how long each held."""
@@ -141,8 +182,15 @@
             elif kind == Kind.LIST:
                 self._list(at, row)
             elif kind == Kind.PROBED:
-                self._put("probes", node=node, at_us=at, server=row[2], result=Result(row[3]).name,
-                          wait_us=row[4], report=row[5])  # fmt: skip
+                self._put(
+                    "probes",
+                    node=node,
+                    at_us=at,
+                    server=row[2],
+                    result=AttemptResult(row[3]).name,
+                    wait_us=row[4],
+                    report=row[5],
+                )
             elif kind != Kind.END:
                 self._session(kind, at, row)
         self.sources.append(Source(reading.path, node, reading.cut, reading.ended, lost, rows))
@@ -168,15 +216,21 @@
         if kind == Kind.SEND:
             told["attempts"] += 1
             told["server"] = row[3]
-            one.attempt = {"node": told["node"], "run": told["run"], "id": told["id"], "at_us": at,
-                           "server": row[3], "timeout_us": row[4]}  # fmt: skip
+            one.attempt = {
+                "node": told["node"],
+                "run": told["run"],
+                "id": told["id"],
+                "at_us": at,
+                "server": row[3],
+                "timeout_us": row[4],
+            }
         elif kind == Kind.UP:
             told.update(connect_us=row[3], up_us=at, answer="served")
-            self._attempt(one, Result.OK, row[3])
+            self._attempt(one, AttemptResult.OK, row[3])
         elif kind == Kind.OUTCOME:
-            self._attempt(one, Result(row[3]), row[5])
+            self._attempt(one, AttemptResult(row[3]), row[5])
             if row[4] or told["up_us"] is not None:
-                self._finish(one, at, Result(row[3]).name.lower())
+                self._finish(one, at, AttemptResult(row[3]).name.lower())
                 del self._open[key]
         elif kind in (Kind.REFUSE, Kind.FAIL, Kind.LEFT):
             told["answer"] = {Kind.REFUSE: "refused", Kind.FAIL: "failed", Kind.LEFT: "left"}[kind]
@@ -193,18 +247,32 @@
     def _begun(self, kind: Kind, at: int, row: list[Any]) -> _Open:
         cls = self._names[row[3]] if row[3] < len(self._names) else f"#{row[3]}"
         stood = kind == Kind.STANDING
-        one = _Open({
-            "node": self._node, "run": self._run, "id": row[2], "at_us": at, "class": cls, "group": row[4],
-            "wait_us": None if stood else row[5], "repeated": False if stood else row[6],
-            "returned": False if stood else row[7], "stood": stood, "server": row[5] if stood else "",
-            "attempts": 0, "connect_us": None, "up_us": at if stood else None,
-            "answer": "served" if stood else "", "moved": False, "loads": 0,
-        })  # fmt: skip
+        one = _Open(
+            {
+                "node": self._node,
+                "run": self._run,
+                "id": row[2],
+                "at_us": at,
+                "class": cls,
+                "group": row[4],
+                "wait_us": None if stood else row[5],
+                "repeated": False if stood else row[6],
+                "returned": False if stood else row[7],
+                "stood": stood,
+                "server": row[5] if stood else "",
+                "attempts": 0,
+                "connect_us": None,
+                "up_us": at if stood else None,
+                "answer": "served" if stood else "",
+                "moved": False,
+                "loads": 0,
+            }
+        )
         if stood and row[6] is not None:
             one.told(at, row[6])
         return one
 
-    def _attempt(self, one: _Open, result: Result, wait: int) -> None:
+    def _attempt(self, one: _Open, result: AttemptResult, wait: int) -> None:
         attempt, one.attempt = one.attempt, None
         if attempt is not None:
             self._put("attempts", **attempt, result=result.name, wait_us=wait)
@@ -215,7 +283,9 @@
     def _list(self, at: int, row: list[Any]) -> None:
         for server, zone, kind, _, state, size, started in row[3]:
             told = {"zone": zone, "kind": kind, "state": state, "size": size, "started_us": started}
-            self._put("lists", node=self._node, at_us=at, form=ListForm(row[2]).name, server=server, **told)
+            self._put(
+                "lists", node=self._node, at_us=at, form=ListUpdateKind(row[2]).name, server=server, **told
+            )
 
     def _put(self, table: str, **row: Any) -> None:
         batch = self._batches[table]
@@ -243,9 +313,15 @@
         converter.close()
         head = converter.header
         manifest = Manifest(
-            VERSION, converter.from_us, converter.to_us, head["classes"], list(head["kinds"]),
-            list(head["zones"]), list(head["fields"]), converter.sources,
-        )  # fmt: skip
+            VERSION,
+            converter.from_us,
+            converter.to_us,
+            head["classes"],
+            list(head["kinds"]),
+            list(head["zones"]),
+            list(head["fields"]),
+            converter.sources,
+        )
         (making / MANIFEST).write_bytes(msgspec.json.format(msgspec.json.encode(manifest)))
         making.rename(target)
     finally:
@@ -306,13 +382,20 @@
         whole = up.filter(pc.and_(pc.invert(up["stood"]), pc.not_equal(up["end"], "")))
         lives = pc.divide(pc.cast(pc.subtract(whole["end_us"], whole["up_us"]), pa.float64()), 1e6)
         answers = {one["values"]: one["counts"] for one in pc.value_counts(fresh["answer"]).to_pylist()}
-        classes.append({
-            "class": cls["name"], "connections": len(rows), "stood": len(rows) - len(fresh),
-            "per_s": len(fresh) / seconds if seconds else None, "answers": answers,
-            "connect_ms": _quantiles(pc.divide(pc.cast(fresh["connect_us"], pa.float64()), 1e3)),
-            "life_s": _quantiles(lives), "lives_censored": len(up) - len(whole),
-            "load": _quantiles(rows["load"]), "moved": pc.sum(rows["moved"]).as_py() or 0,
-        })  # fmt: skip
+        classes.append(
+            {
+                "class": cls["name"],
+                "connections": len(rows),
+                "stood": len(rows) - len(fresh),
+                "per_s": len(fresh) / seconds if seconds else None,
+                "answers": answers,
+                "connect_ms": _quantiles(pc.divide(pc.cast(fresh["connect_us"], pa.float64()), 1e3)),
+                "life_s": _quantiles(lives),
+                "lives_censored": len(up) - len(whole),
+                "load": _quantiles(rows["load"]),
+                "moved": pc.sum(rows["moved"]).as_py() or 0,
+            }
+        )
     lists, probes = trace.table("lists"), trace.table("probes")
     return {
         "seconds": seconds,
--- a/stepflow/fleet/traffic.py
+++ b/stepflow/fleet/traffic.py
@@ -45,11 +45,15 @@
     stood = stream(seed, "stood").poisson(day.rate * day.life)
     arrivals = _arrivals(scenario, seed)
     count = stood + len(arrivals)
-    cls = np.concatenate([
-        # What stands at a moment is biased toward lives that are long.
-        stream(seed, "stood class").choice(len(classes), stood, p=_normal(shares * _means(classes, "life"))),
-        stream(seed, "class").choice(len(classes), len(arrivals), p=shares),
-    ]).astype(np.int64)  # fmt: skip
+    cls = np.concatenate(
+        [
+            # What stands at a moment is biased toward lives that are long.
+            stream(seed, "stood class").choice(
+                len(classes), stood, p=_normal(shares * _means(classes, "life"))
+            ),
+            stream(seed, "class").choice(len(classes), len(arrivals), p=shares),
+        ]
+    ).astype(np.int64)
     life, load = np.empty(count), np.empty(count)
     sigma, swing = np.empty(count), np.empty(count)
     for number, one in enumerate(classes):
--- a/stepflow/fleet/world.py
+++ b/stepflow/fleet/world.py
@@ -26,7 +26,7 @@
 from stepflow.fleet.streams import stream
 from stepflow.fleet.tally import Tally
 from stepflow.fleet.traffic import Traffic, draw
-from stepflow.interface import ListForm, NoteKind
+from stepflow.interface import ListUpdateKind, SessionReportKind
 from stepflow.policy import Policy
 
 LOOK_US = 100_000  # between two looks at who is served
@@ -53,9 +53,13 @@
     """One day."""
 
     def __init__(
-        self, scenario: Scenario, seed: int, maker: Maker = Policy, luck: object = "",
+        self,
+        scenario: Scenario,
+        seed: int,
+        maker: Maker = Policy,
+        luck: object = "",
         ears: Sequence[Ear] = (),
-    ) -> None:  # fmt: skip
+    ) -> None:
         self.scenario = scenario = scenario.drawn(seed)
         self.seed, self._maker = seed, maker
         self._luck_of = luck  # of the modules' own draws: the day's are the same whatever it is
@@ -80,17 +84,19 @@
         self.listing, self.faults = Listing(self), Faults(self)
         self._ears = ears
         self._actions: dict[type, Callable[..., None]] = {
-            face.Send: self.attempts.send,
-            face.Probe: self.attempts.probe,
+            face.StartAttempt: self.attempts.send,
+            face.StartHealthCheck: self.attempts.probe,
             face.SetTimer: lambda node, a: self.after(
                 a.delay_us, partial(self._timer, node, node.life, a.token)
             ),
-            face.Refuse: lambda node, a: self.clients.answered(node, a.request, False, a.retry_after_us),
-            face.Fail: lambda node, a: self.clients.answered(node, a.request, True, 0),
-            face.Move: lambda node, a: self.attempts.move(node, a.request),
-            face.Cancel: lambda node, a: self.attempts.cancel(node, a.request),
-            face.Watch: lambda node, a: self.listing.watch(node),
-            face.FetchList: lambda node, a: self.listing.watch(node),
+            face.RejectRequest: lambda node, a: self.clients.answered(
+                node, a.request, False, a.retry_after_us
+            ),
+            face.FailRequest: lambda node, a: self.clients.answered(node, a.request, True, 0),
+            face.MigrateSession: lambda node, a: self.attempts.move(node, a.request),
+            face.CancelAttempt: lambda node, a: self.attempts.cancel(node, a.request),
+            face.WatchEndpointList: lambda node, a: self.listing.watch(node),
+            face.FetchEndpointList: lambda node, a: self.listing.watch(node),
         }
 
     def make_server(self, kind: int, uid: str, zone: int, rng: np.random.Generator) -> Server:
@@ -101,9 +107,18 @@
         )
         aim = min(cls.message_ms for cls in self.classes) / 1000
         return Server(
-            uid, kind, int(told.cores), speed, 0.0, cold_from, cold_s, cap=int(CAP_CORE * told.cores),
-            group_load=day.group_load, message_s=day.message_share * aim / speed, zone=zone,
-        )  # fmt: skip
+            uid,
+            kind,
+            int(told.cores),
+            speed,
+            0.0,
+            cold_from,
+            cold_s,
+            cap=int(CAP_CORE * told.cores),
+            group_load=day.group_load,
+            message_s=day.message_share * aim / speed,
+            zone=zone,
+        )
 
     def _make_servers(self) -> list[Server]:
         day, kinds = self.scenario.day, list(self.scenario.kinds.values())
@@ -114,9 +129,7 @@
         made: list[Server] = []
         for number, count in enumerate(counts):
             for _ in range(count):
-                made.append(
-                    self.make_server(number, f"s-{len(made)}", len(made) % max(1, day.zones), rng)
-                )  # fmt: skip
+                made.append(self.make_server(number, f"s-{len(made)}", len(made) % max(1, day.zones), rng))
         return made
 
     def add(self, server: Server) -> None:
@@ -198,7 +211,7 @@
         for ear in self._ears:
             ear.begins(node.number, node.life, settings)
         self.feed(node, face.Started())
-        self.feed(node, face.ServerList(ListForm.CACHED, tuple(node.known.values())))
+        self.feed(node, face.EndpointListUpdate(ListUpdateKind.CACHED, tuple(node.known.values())))
 
     def retune(self) -> None:
         """SIGHUP at all nodes: those that run take the settings that hold now."""
@@ -210,7 +223,7 @@
         """Hand an event to a node's module, and carry out what it says."""
         if node.policy is None:
             return
-        if isinstance(event, face.ServerList):
+        if isinstance(event, face.EndpointListUpdate):
             node.told(event)
         actions = node.policy.handle(self.now, event)
         for ear in self._ears:
@@ -222,7 +235,7 @@
 
     def _timer(self, node: Node, life: int, token: int) -> None:
         if node.life == life:
-            self.feed(node, face.Timer(token))
+            self.feed(node, face.TimerFired(token))
 
     # What is counted.
 
@@ -288,8 +301,12 @@
                     seen.add(server.uid)
                     delay = server.delay_s(self.now) if since is None else (self.now - since) / SECOND
                     if delay > late:
-                        note = face.Note(
-                            client.request, client.attempt, server.uid, NoteKind.DELAY, delay * 1000
+                        note = face.SessionReport(
+                            client.request,
+                            client.attempt,
+                            server.uid,
+                            SessionReportKind.LATENCY,
+                            delay * 1000,
                         )
                         self.feed(node, note)
         self.after(NOTE_US, self._notes)
--- a/stepflow/interface.py
+++ b/stepflow/interface.py
@@ -13,21 +13,21 @@
 from enum import IntEnum
 from typing import NamedTuple
 
-ServerId = Hashable
+EndpointId = Hashable
 
 ALL_PEERS = 0xFFFFFFFF
 """As the peer of a Tell: every other instance."""
 
 
-class Effect(IntEnum):
+class Idempotency(IntEnum):
     """What a repeat of a request of a class would do."""
 
-    SAFE = 0
-    KEYED = 1
-    UNSAFE = 2
+    IDEMPOTENT = 0
+    BY_KEY = 1
+    NOT_IDEMPOTENT = 2
 
 
-class Scope(IntEnum):
+class DeduplicationScope(IntEnum):
     """Which servers drop the repeats of a keyed request."""
 
     ALL = 0
@@ -35,7 +35,7 @@
     CELL = 2
 
 
-class Result(IntEnum):
+class AttemptResult(IntEnum):
     """How an attempt or a probe ended."""
 
     OK = 0
@@ -56,7 +56,7 @@
     GONE = 2
 
 
-class ListForm(IntEnum):
+class ListUpdateKind(IntEnum):
     """What kind of news of the list this is."""
 
     DELTA = 0
@@ -65,11 +65,11 @@
     FAILED = 3
 
 
-class NoteKind(IntEnum):
+class SessionReportKind(IntEnum):
     """What a note on an open connection tells."""
 
     LOAD = 1
-    DELAY = 2
+    LATENCY = 2
 
 
 @dataclass(frozen=True, slots=True)
@@ -77,13 +77,13 @@
     """One class of requests."""
 
     name: str = ""
-    aim_us: int = 500_000
+    latency_objective_us: int = 500_000
     deadline_us: int = 2_000_000
-    effect: Effect = Effect.SAFE
-    scope: Scope = Scope.ALL
-    window_us: int = 5_000_000
-    worth: float = 1.0
-    message_aim_us: float = 0.0
+    idempotency: Idempotency = Idempotency.IDEMPOTENT
+    deduplication_scope: DeduplicationScope = DeduplicationScope.ALL
+    deduplication_window_us: int = 5_000_000
+    priority_weight: float = 1.0
+    message_latency_objective_us: float = 0.0
 
 
 @dataclass(frozen=True, slots=True)
@@ -113,24 +113,24 @@
     """What the site permits."""
 
     max_attempts: int = 3
-    probes: bool = True
-    peers: bool = False
-    cancel: bool = True
+    health_checks: bool = True
+    peer_messages: bool = False
+    cancellation: bool = True
     retry_after: bool = False
     max_retry_after_us: int = 1_000_000
 
 
 @dataclass(frozen=True, slots=True)
-class Rules:
+class SafetyRules:
     """The figures of the four rules."""
 
     answer_slack_us: int = 20_000
-    ask_within_us: int = 10_000_000
-    cold_share: float = 0.3
-    warm_after_us: int = 10_000_000
+    list_refresh_us: int = 10_000_000
+    slow_start_share: float = 0.3
+    slow_start_us: int = 10_000_000
     drain_grace_us: int = 250_000
-    fall_multiple: float = 2.5
-    fall_after_us: int = 1_000_000
+    overload_multiple: float = 2.5
+    overload_after_us: int = 1_000_000
 
 
 @dataclass(frozen=True, slots=True)
@@ -146,13 +146,13 @@
     tenants: tuple[Tenant, ...] = ()
     prices: Prices = field(default_factory=Prices)
     limits: Limits = field(default_factory=Limits)
-    rules: Rules = field(default_factory=Rules)
-    ask_for_list: bool = False
-    report_fields: tuple[str, ...] = ()
+    rules: SafetyRules = field(default_factory=SafetyRules)
+    polls_endpoint_list: bool = False
+    load_report_fields: tuple[str, ...] = ()
     pass_through: bool = False
     park_us: int = 0
-    over_share_worth: float = 0.1
-    worth_by_work: bool = False
+    over_share_weight: float = 0.1
+    weight_by_work: bool = False
     live_weights: bool = False  # a server's size falls with what it holds
     tick_us: int = 5_000
 
@@ -163,12 +163,12 @@
             "classes": len(self.classes) >= 1,
             "tick_us": self.tick_us >= 1,
             "max_attempts": self.limits.max_attempts >= 1,
-            "cold_share": 0 <= self.rules.cold_share <= 1,
-            "fall_multiple": 0 < self.rules.fall_multiple < math.inf,
-            "warm_after_us": self.rules.warm_after_us >= 0,
+            "cold_share": 0 <= self.rules.slow_start_share <= 1,
+            "fall_multiple": 0 < self.rules.overload_multiple < math.inf,
+            "warm_after_us": self.rules.slow_start_us >= 0,
         }
         for cls in self.classes:
-            checks[f"worth of class {cls.name!r}"] = math.isfinite(cls.worth)
+            checks[f"worth of class {cls.name!r}"] = math.isfinite(cls.priority_weight)
         for name in self.prices.__slots__:
             checks[f"price of {name}"] = 0 <= getattr(self.prices, name) < math.inf
         for name, possible in checks.items():
@@ -177,15 +177,17 @@
 
     def class_of(self, request: Request) -> RequestClass:
         """The class of a request."""
-        if not 0 <= request.cls < len(self.classes):
-            raise ValueError(f"request {request.id} is of class {request.cls}, which the settings lack")
-        return self.classes[request.cls]
+        if not 0 <= request.class_index < len(self.classes):
+            raise ValueError(
+                f"request {request.id} is of class {request.class_index}, which the settings lack"
+            )
+        return self.classes[request.class_index]
 
 
 class Server(NamedTuple):
     """One entry of the list of servers."""
 
-    id: ServerId
+    id: EndpointId
     zone: int
     kind: int
     cell: int
@@ -201,88 +203,88 @@
     """The instance begins its life."""
 
 
-class ServerList(NamedTuple):
+class EndpointListUpdate(NamedTuple):
     """News of the list of servers."""
 
-    form: int
-    servers: tuple[Server, ...]
+    kind: int
+    endpoints: tuple[Server, ...]
 
 
 class Request(NamedTuple):
     """A client wants a connection; the instance owes one final answer by expires_us."""
 
     id: int
-    cls: int
+    class_index: int
     expires_us: int
     load: float | None = None
     tenant: int = 0
-    key: int = 0
-    group: int = 0
-    repeated: bool = False
+    idempotency_key: int = 0
+    affinity_group: int = 0
+    is_retry: bool = False
     mid_flow: bool = False
-    returned: bool = False
+    is_migrated: bool = False
 
 
-class Adopted(NamedTuple):
+class SessionAdopted(NamedTuple):
     """A connection that was open at this instance's start; its attempt 0 counts as made."""
 
     request: Request
-    server: ServerId
+    endpoint: EndpointId
 
 
-class Established(NamedTuple):
+class SessionEstablished(NamedTuple):
     """An attempt's connection is up; only an Outcome ends it now."""
 
-    request: int
+    request_id: int
     attempt: int
-    server: ServerId
-    wait_us: int
+    endpoint: EndpointId
+    latency_us: int
 
 
-class Note(NamedTuple):
+class SessionReport(NamedTuple):
     """News of an open connection: its load now, or how long messages take at its server (ms)."""
 
-    request: int
+    request_id: int
     attempt: int
-    server: ServerId
+    endpoint: EndpointId
     kind: int
     value: float
 
 
-class Outcome(NamedTuple):
+class AttemptEnded(NamedTuple):
     """An attempt has ended; complete when the request is finished with it or was before."""
 
-    request: int
+    request_id: int
     attempt: int
-    server: ServerId
+    endpoint: EndpointId
     result: int
-    complete: bool
-    wait_us: int
-    report: tuple[float, ...] = ()
+    is_final: bool
+    latency_us: int
+    load_report: tuple[float, ...] = ()
 
 
-class ClientGone(NamedTuple):
+class ClientDisconnected(NamedTuple):
     """The client left; nothing is owed for the request any more."""
 
-    request: int
+    request_id: int
 
 
-class Timer(NamedTuple):
+class TimerFired(NamedTuple):
     """A timer that the instance set has come due."""
 
     token: int
 
 
-class Probed(NamedTuple):
+class HealthCheckEnded(NamedTuple):
     """The result of one Probe."""
 
-    server: ServerId
+    endpoint: EndpointId
     result: int
-    wait_us: int
-    report: tuple[float, ...] = ()
+    latency_us: int
+    load_report: tuple[float, ...] = ()
 
 
-class PeerMessage(NamedTuple):
+class PeerMessageReceived(NamedTuple):
     """Bytes from another instance."""
 
     peer: int
@@ -291,54 +293,54 @@
 
 Event = (
     Started
-    | ServerList
+    | EndpointListUpdate
     | Request
-    | Adopted
-    | Established
-    | Note
-    | Outcome
-    | ClientGone
-    | Timer
-    | Probed
-    | PeerMessage
+    | SessionAdopted
+    | SessionEstablished
+    | SessionReport
+    | AttemptEnded
+    | ClientDisconnected
+    | TimerFired
+    | HealthCheckEnded
+    | PeerMessageReceived
 )
 
 
 # Actions
 
 
-class Send(NamedTuple):
+class StartAttempt(NamedTuple):
     """Begin an attempt of a request at a server; 0 leaves the time-out to the client's deadline."""
 
-    request: int
-    server: ServerId
+    request_id: int
+    endpoint: EndpointId
     timeout_us: int
 
 
-class Refuse(NamedTuple):
+class RejectRequest(NamedTuple):
     """Final answer: refused, and harmless to try again (after retry_after_us, 0 for no advice)."""
 
-    request: int
+    request_id: int
     retry_after_us: int = 0
 
 
-class Fail(NamedTuple):
+class FailRequest(NamedTuple):
     """Final answer: failed; nothing is promised of its effect."""
 
-    request: int
+    request_id: int
 
 
-class Cancel(NamedTuple):
+class CancelAttempt(NamedTuple):
     """Stop waiting for an attempt."""
 
-    request: int
+    request_id: int
     attempt: int
 
 
-class Move(NamedTuple):
+class MigrateSession(NamedTuple):
     """End an open connection politely; its client comes again as a new request."""
 
-    request: int
+    request_id: int
 
 
 class SetTimer(NamedTuple):
@@ -348,39 +350,52 @@
     token: int
 
 
-class Probe(NamedTuple):
+class StartHealthCheck(NamedTuple):
     """Ask a server for its health and load report."""
 
-    server: ServerId
+    endpoint: EndpointId
 
 
-class CloseIdle(NamedTuple):
+class CloseIdleConnections(NamedTuple):
     """Close the idle connections to a server."""
 
-    server: ServerId
+    endpoint: EndpointId
 
 
-class Tell(NamedTuple):
+class SendPeerMessage(NamedTuple):
     """Send bytes to another instance, or to all."""
 
     peer: int
     data: bytes
 
 
-class Watch(NamedTuple):
+class WatchEndpointList(NamedTuple):
     """Ask for (or end) a subscription to changes of the list."""
 
-    on: bool
+    enabled: bool
 
 
-class FetchList(NamedTuple):
+class FetchEndpointList(NamedTuple):
     """Ask for the whole list once."""
 
 
-class Log(NamedTuple):
+class LogMessage(NamedTuple):
     """A line for the host's log."""
 
     text: str
 
 
-Action = Send | Refuse | Fail | Cancel | Move | SetTimer | Probe | CloseIdle | Tell | Watch | FetchList | Log
+Action = (
+    StartAttempt
+    | RejectRequest
+    | FailRequest
+    | CancelAttempt
+    | MigrateSession
+    | SetTimer
+    | StartHealthCheck
+    | CloseIdleConnections
+    | SendPeerMessage
+    | WatchEndpointList
+    | FetchEndpointList
+    | LogMessage
+)
--- a/stepflow/node/admin/site.py
+++ b/stepflow/node/admin/site.py
@@ -11,7 +11,7 @@
 from twisted.internet.protocol import Factory, Protocol, connectionDone
 from twisted.python.failure import Failure
 
-from stepflow.address import Endpoint
+from stepflow.address import Address
 from stepflow.node.runtime.timers import Deadline, Deadlines
 from stepflow.node.runtime.transports import Port, Reactor, Transport
 
@@ -104,6 +104,6 @@
         return (200, b"ready\n") if self._ready() else (503, b"not ready\n")
 
 
-def listen(reactor: Reactor, address: Endpoint, site: OpsSite) -> Port:
+def listen(reactor: Reactor, address: Address, site: OpsSite) -> Port:
     """Open the address; the port lasts until the process exits."""
     return reactor.listenTCP(address.port, site, backlog=BACKLOG, interface=address.host)
--- a/stepflow/node/clients/connection.py
+++ b/stepflow/node/clients/connection.py
@@ -100,14 +100,14 @@
         raise MalformedLine("a wait that no client has")
     request = face.Request(
         id=0,
-        cls=classes[told[b"c"]],
+        class_index=classes[told[b"c"]],
         expires_us=micros(now + wait),
         load=float(told[b"h"]) if b"h" in told else None,
         tenant=tenants.get(told.get(b"t", b""), len(tenants)),
-        key=int(words[2], 16),
-        group=int(told.get(b"g", b"0"), 16),
-        repeated=told.get(b"r") == b"1",
-        returned=told.get(b"again") == b"1",
+        idempotency_key=int(words[2], 16),
+        affinity_group=int(told.get(b"g", b"0"), 16),
+        is_retry=told.get(b"r") == b"1",
+        is_migrated=told.get(b"again") == b"1",
     )
     return Opening(b" ".join(words[:3]), tuple(pairs), request, told.get(b"at", b"").decode())
 
@@ -331,11 +331,11 @@
             "from_client": passing.from_client.decode("latin-1"),
             "from_peer": passing.from_peer.decode("latin-1"),
             "id": self._id,
-            "class": self._node.core.class_name(request.cls),
+            "class": self._node.core.class_name(request.class_index),
             "tenant": self._node.core.tenant_name(request.tenant),
             "load": self._node.core.load(self._context),
-            "key": request.key,
-            "group": request.group,
+            "key": request.idempotency_key,
+            "group": request.affinity_group,
             "at": self._context.peer,
         }
 
--- a/stepflow/node/clients/listener.py
+++ b/stepflow/node/clients/listener.py
@@ -16,7 +16,7 @@
 from twisted.internet.protocol import Factory
 from twisted.python.failure import Failure
 
-from stepflow.address import Endpoint
+from stepflow.address import Address
 from stepflow.logs import get_logger
 from stepflow.node.runtime.counters import Counters
 from stepflow.node.runtime.transports import Reactor, has_unread
@@ -117,7 +117,7 @@
 
 
 def listen(
-    reactor: Reactor, address: Endpoint, factory: Factory, counters: Counters, passed: int | None = None
+    reactor: Reactor, address: Address, factory: Factory, counters: Counters, passed: int | None = None
 ) -> ClientListener:
     """Accept clients from a listening socket that was passed, else from a new one; an OSError says why not.
 
@@ -135,7 +135,7 @@
     return cast(ClientListener, port)
 
 
-def _bound(address: Endpoint, family: int) -> socket.socket:
+def _bound(address: Address, family: int) -> socket.socket:
     """A new socket that listens at the address."""
     sock = socket.socket(family)
     try:
--- a/stepflow/node/core.py
+++ b/stepflow/node/core.py
@@ -14,7 +14,7 @@
 from typing import Protocol
 
 from stepflow import interface as face
-from stepflow.interface import Result
+from stepflow.interface import AttemptResult
 from stepflow.logs import get_logger
 from stepflow.node.runtime.clock import ZERO, Clock, micros
 from stepflow.node.runtime.counters import Counters
@@ -123,25 +123,25 @@
         self._handling = self._leaving = False
         self.tap: Tap | None = None  # hears each event with the actions that followed
         self._actions: dict[type, Callable[..., None]] = {
-            face.Send: self._send,
-            face.Refuse: self._refuse,
-            face.Fail: self._fail,
-            face.Cancel: self._cancel,
-            face.Move: self._move,
+            face.StartAttempt: self._send,
+            face.RejectRequest: self._refuse,
+            face.FailRequest: self._fail,
+            face.CancelAttempt: self._cancel,
+            face.MigrateSession: self._move,
             face.SetTimer: self._set_timer,
-            face.Probe: lambda action: self._uplink.probe(action.server),
-            face.CloseIdle: lambda action: self._uplink.close_idle(action.server),
-            face.Watch: lambda action: self._discovery.watch(action.on),
-            face.FetchList: lambda action: self._discovery.fetch(),
-            face.Tell: lambda action: None,  # nodes have no way to talk to each other
-            face.Log: lambda action: log.info("policy", text=action.text),
+            face.StartHealthCheck: lambda action: self._uplink.probe(action.endpoint),
+            face.CloseIdleConnections: lambda action: self._uplink.close_idle(action.endpoint),
+            face.WatchEndpointList: lambda action: self._discovery.watch(action.enabled),
+            face.FetchEndpointList: lambda action: self._discovery.fetch(),
+            face.SendPeerMessage: lambda action: None,  # nodes have no way to talk to each other
+            face.LogMessage: lambda action: log.info("policy", text=action.text),
         }
 
     def start(self, uplink: Uplink, discovery: Discovery, known: tuple[face.Server, ...]) -> None:
         """Begin the module's life with the list that this node last had."""
         self._uplink, self._discovery = uplink, discovery
         self._post(face.Started())
-        self.listed(face.ListForm.CACHED, known)
+        self.listed(face.ListUpdateKind.CACHED, known)
 
     def retune(self, settings: face.Settings) -> None:
         """Take settings, at the start or later; what is open keeps its class and its limit of attempts."""
@@ -199,7 +199,7 @@
         if id is None:
             return None
         context.request = request._replace(id=id)
-        self._post(face.Adopted(context.request, peer))
+        self._post(face.SessionAdopted(context.request, peer))
         return context
 
     def load(self, context: RequestContext) -> float | None:
@@ -226,7 +226,7 @@
 
     def _count_rejected(self, request: face.Request) -> None:
         self._counters.rejected += 1
-        self._counts[request.cls].refused += 1
+        self._counts[request.class_index].refused += 1
 
     def client_gone(self, context: RequestContext) -> None:
         """The client left before its answer: an attempt that is still out would only waste work."""
@@ -236,7 +236,7 @@
         self._counters.left += 1
         self._requests.answered(context, "none", "the client left")
         if not context.standing_at:
-            self._post(face.ClientGone(context.id))
+            self._post(face.ClientDisconnected(context.id))
         if context.attempt is not None:
             context.attempt.abandon()
         self._release(context)
@@ -254,7 +254,7 @@
     def attempt_written(self, context: RequestContext) -> None:
         """The last byte of an attempt's line went out."""
         self._counters.attempts += 1
-        self._counts[context.request.cls].attempts += 1
+        self._counts[context.request.class_index].attempts += 1
 
     def attempt_up(self, context: RequestContext, attempt: Attempt) -> None:
         """A peer took the connection."""
@@ -265,19 +265,23 @@
         self._count_served(context)
         self._requests.answered(context, "UP", "the peer's answer")
         if context.standing_at:
-            self._post(face.Adopted(context.request, context.peer))
+            self._post(face.SessionAdopted(context.request, context.peer))
         else:
             wait = micros(self._clock.now() - context.sent)
-            self._post(face.Established(context.id, context.attempts - 1, context.peer, wait))
+            self._post(face.SessionEstablished(context.id, context.attempts - 1, context.peer, wait))
         context.front.served(attempt)
 
     def attempt_ended(
-        self, context: RequestContext, result: Result, report: tuple[float, ...] = (), answer: bytes = b""
+        self,
+        context: RequestContext,
+        result: AttemptResult,
+        report: tuple[float, ...] = (),
+        answer: bytes = b"",
     ) -> None:
         """An attempt is over and its socket is closed, before UP or after."""
         context.attempt = None
         self._requests.attempt_ended(context, result)
-        served = result == Result.OK and not context.answered
+        served = result == AttemptResult.OK and not context.answered
         if served:
             context.answered = True
             self._count_served(context)
@@ -285,11 +289,11 @@
             context.front.finish(answer)
         if context.standing_at and not context.up:  # the module never heard of it
             if not context.answered and not self._stand_again(context, result):
-                self._fail(face.Fail(context.id))
+                self._fail(face.FailRequest(context.id))
         else:
             wait = micros(self._clock.now() - context.sent)
             self._post(
-                face.Outcome(
+                face.AttemptEnded(
                     context.id, context.attempts - 1, context.peer, result, context.answered, wait, report
                 )
             )
@@ -297,14 +301,14 @@
 
     def _count_served(self, context: RequestContext) -> None:
         self._counters.served += 1
-        self._counts[context.request.cls].served += 1
+        self._counts[context.request.class_index].served += 1
 
-    def _stand_again(self, context: RequestContext, result: Result) -> bool:
+    def _stand_again(self, context: RequestContext, result: AttemptResult) -> bool:
         """Whether a connection that stood before the start is tried again, at the peer that holds it.
 
         At a start all of them come at once, and a peer may not get round to each in time.
         """
-        if result not in (Result.CONNECT_FAILED, Result.FULL) or self._leaving:
+        if result not in (AttemptResult.CONNECT_FAILED, AttemptResult.FULL) or self._leaving:
             return False
         now = self._clock.now()
         left = context.request.expires_us - micros(now + STAND_AGAIN)
@@ -318,23 +322,25 @@
         self._deadlines.at(now + STAND_AGAIN, again)
         return True
 
-    def note(self, context: RequestContext, kind: face.NoteKind, value: float) -> None:
+    def note(self, context: RequestContext, kind: face.SessionReportKind, value: float) -> None:
         """News of a connection that stands."""
-        self._post(face.Note(context.id, context.attempts - 1, context.peer, kind, value))
+        self._post(face.SessionReport(context.id, context.attempts - 1, context.peer, kind, value))
 
     # Facts from probes and from discovery.
 
-    def probed(self, peer: str, result: Result, wait: timedelta, report: tuple[float, ...] = ()) -> None:
-        if result != Result.OK:
+    def probed(
+        self, peer: str, result: AttemptResult, wait: timedelta, report: tuple[float, ...] = ()
+    ) -> None:
+        if result != AttemptResult.OK:
             self._counters.probes_failed += 1
-        self._post(face.Probed(peer, result, micros(wait), report))
+        self._post(face.HealthCheckEnded(peer, result, micros(wait), report))
 
-    def listed(self, form: face.ListForm, entries: tuple[face.Server, ...]) -> None:
+    def listed(self, form: face.ListUpdateKind, entries: tuple[face.Server, ...]) -> None:
         """A list or a change of it, or (`FAILED`) a call that brought none."""
-        if form != face.ListForm.FAILED:
+        if form != face.ListUpdateKind.FAILED:
             now = micros(self._clock.now())
-            entries = self._start_times.localize(now, form != face.ListForm.DELTA, entries)
-        self._post(face.ServerList(form, entries))
+            entries = self._start_times.localize(now, form != face.ListUpdateKind.DELTA, entries)
+        self._post(face.EndpointListUpdate(form, entries))
 
     # Shutdown.
 
@@ -346,7 +352,7 @@
         self._leaving = True
         for context in self._contexts:
             if not context.answered and self._policy.harmless(context.id):
-                self._refuse(face.Refuse(context.id))
+                self._refuse(face.RejectRequest(context.id))
                 if context.attempt is not None:
                     context.attempt.abandon()
 
@@ -355,7 +361,7 @@
         self.reject_pending()
         for context in self._contexts:
             if not context.answered:
-                self._fail(face.Fail(context.id))
+                self._fail(face.FailRequest(context.id))
                 if context.attempt is not None:
                     context.attempt.abandon()
 
@@ -366,7 +372,7 @@
     def move(self, context: RequestContext) -> None:
         """Move a standing client; one that is gone meanwhile is passed over."""
         if self._contexts.get(context.id) is context:
-            self._move(face.Move(context.id))
+            self._move(face.MigrateSession(context.id))
 
     # The module.
 
@@ -390,18 +396,18 @@
             # The node outlives a fault of the module, and the request at hand still gets its answer.
             self._counters.faults += 1
             log.exception("the decision module failed", on=repr(event))
-            id = event.id if isinstance(event, face.Request) else getattr(event, "request", None)
-            actions = [face.Fail(id)] if isinstance(id, int) else []
+            id = event.id if isinstance(event, face.Request) else getattr(event, "request_id", None)
+            actions = [face.FailRequest(id)] if isinstance(id, int) else []
         if self.tap is not None:
             self.tap(now, event, actions)
         for action in actions:
             self._actions[type(action)](action)
 
-    def _send(self, action: face.Send) -> None:
-        context = self._contexts.get(action.request)
+    def _send(self, action: face.StartAttempt) -> None:
+        context = self._contexts.get(action.request_id)
         if context is not None:
             now = micros(self._clock.now())
-            self._attempt(context, str(action.server), now, action.timeout_us)
+            self._attempt(context, str(action.endpoint), now, action.timeout_us)
 
     def _attempt(self, context: RequestContext, peer: str, now: int, timeout_us: int) -> None:
         if context.attempt is not None:
@@ -414,16 +420,16 @@
         context.peer, context.sent = peer, self._clock.now()
         spent = context.attempts > context.limit
         if spent or wait <= 0 or context.answered:
-            self.attempt_ended(context, Result.NOT_SENT)
+            self.attempt_ended(context, AttemptResult.NOT_SENT)
             return
         span = timedelta(microseconds=wait)
         self._requests.attempt_begun(context, span)
         context.attempt = self._uplink.attempt(context, peer, span)
         if context.attempt is None:
-            self.attempt_ended(context, Result.CONNECT_FAILED)
+            self.attempt_ended(context, AttemptResult.CONNECT_FAILED)
 
-    def _refuse(self, action: face.Refuse) -> None:
-        context = self._contexts.get(action.request)
+    def _refuse(self, action: face.RejectRequest) -> None:
+        context = self._contexts.get(action.request_id)
         if context is not None and not context.answered:
             context.answered = True
             self._count_rejected(context.request)
@@ -431,13 +437,13 @@
             context.front.reject(timedelta(microseconds=action.retry_after_us))
             self._release(context)
 
-    def _fail(self, action: face.Fail) -> None:
-        context = self._contexts.get(action.request)
+    def _fail(self, action: face.FailRequest) -> None:
+        context = self._contexts.get(action.request_id)
         if context is not None and not context.answered:
             context.answered = True
             self._counters.failed += 1
             self._requests.answered(context, "ERR", self._why())
-            self._counts[context.request.cls].failed += 1
+            self._counts[context.request.class_index].failed += 1
             context.front.fail()
             self._release(context)
 
@@ -445,21 +451,21 @@
         """What has decided an answer that no peer made."""
         return "the node leaves" if self._leaving else "the module"
 
-    def _cancel(self, action: face.Cancel) -> None:
-        context = self._contexts.get(action.request)
+    def _cancel(self, action: face.CancelAttempt) -> None:
+        context = self._contexts.get(action.request_id)
         if context is None or context.up or context.attempt is None:
             return
         if action.attempt == context.attempts - 1:
             context.attempt.abandon()
 
-    def _move(self, action: face.Move) -> None:
-        context = self._contexts.get(action.request)
+    def _move(self, action: face.MigrateSession) -> None:
+        context = self._contexts.get(action.request_id)
         if context is not None and context.up:
             self._counters.moved += 1
             context.front.move()
 
     def _set_timer(self, action: face.SetTimer) -> None:
-        timer = face.Timer(action.token)
+        timer = face.TimerFired(action.token)
         self._deadlines.after(timedelta(microseconds=action.delay_us), lambda: self._post(timer))
 
     def _release(self, context: RequestContext) -> None:
--- a/stepflow/node/discovery.py
+++ b/stepflow/node/discovery.py
@@ -10,14 +10,14 @@
 from twisted.internet.protocol import ClientFactory, Protocol, connectionDone
 from twisted.python.failure import Failure
 
-from stepflow.address import Endpoint
-from stepflow.interface import ListForm
+from stepflow.address import Address
+from stepflow.interface import ListUpdateKind
 from stepflow.logs import get_logger
 from stepflow.node.core import Core
 from stepflow.node.runtime.counters import Counters
 from stepflow.node.runtime.timers import Deadline, Deadlines
 from stepflow.node.runtime.transports import Connector, Reactor, Transport
-from stepflow.upstream import BadList, BadValue, Group, ValueStream
+from stepflow.upstream import EndpointGroup, EndpointListError, JsonStream, JsonStreamError
 from stepflow.upstream.poll_schedule import ANSWER_US, SILENCE_US
 
 log = get_logger()
@@ -56,7 +56,7 @@
     ) -> None:
         self._connect, self._request, self._deadlines, self._wait = connect, request, deadlines, answer
         self._value, self._ended = value, ended
-        self._http, self._body = h11.Connection(our_role=h11.CLIENT), ValueStream()
+        self._http, self._body = h11.Connection(our_role=h11.CLIENT), JsonStream()
         self.answered = self._over = self._unreached = False
 
     def begin(self) -> None:
@@ -84,7 +84,7 @@
             self._answer()
         except h11.RemoteProtocolError as fault:
             self.close(f"no HTTP: {fault}")
-        except BadValue as fault:
+        except JsonStreamError as fault:
             self.close(f"bad list: {fault}")
 
     def _answer(self) -> None:
@@ -163,8 +163,8 @@
     def __init__(
         self,
         reactor: Reactor,
-        address: Endpoint,
-        group: Group,
+        address: Address,
+        group: EndpointGroup,
         core: Core,
         deadlines: Deadlines,
         counters: Counters,
@@ -210,7 +210,7 @@
         self._fetches[call] = None
         call.begin()
 
-    def move(self, address: Endpoint) -> None:
+    def move(self, address: Address) -> None:
         """Go on at another address in one step: from the version held, and without news of a failure."""
         self._address, self._again = address, AGENT_RETRY[0]
         # The module that was told of a failure asks again in its own time: that may be too late.
@@ -256,7 +256,7 @@
     def _take(self, call: Call, message: object) -> None:
         try:
             whole, servers = self._group.apply(message, begins=not call.answered)
-        except BadList as fault:
+        except EndpointListError as fault:
             call.close(f"bad list: {fault}")
             return
         call.answered = True
@@ -264,7 +264,7 @@
         if call is self._watch:
             self._retries = 0  # the new address serves; what fails from now on is the module's affair
             self._again = AGENT_RETRY[0]
-        self._core.listed(ListForm.FULL if whole else ListForm.DELTA, servers)
+        self._core.listed(ListUpdateKind.FULL if whole else ListUpdateKind.DELTA, servers)
         if call is self._watch:
             self._hear()
 
@@ -288,4 +288,4 @@
             if ahead:
                 return  # the module waits to ask again as it is
         # Never from within the module's own call: it hears of the failure as of any other event.
-        self._core.listed(ListForm.FAILED, ())
+        self._core.listed(ListUpdateKind.FAILED, ())
--- a/stepflow/node/member_port.py
+++ b/stepflow/node/member_port.py
@@ -8,7 +8,7 @@
 
 from twisted.internet.protocol import DatagramProtocol
 
-from stepflow.address import Endpoint
+from stepflow.address import Address
 from stepflow.budgets.shares import Shares
 from stepflow.members import BadMessage, Message, read, written
 from stepflow.node.runtime.clock import Clock, micros
@@ -29,7 +29,7 @@
         clock: Clock,
         deadlines: Deadlines,
         shares: Shares,
-        addresses: Sequence[Endpoint],
+        addresses: Sequence[Address],
         spend: Callable[[], None] = lambda: None,
     ) -> None:
         self._clock, self._deadlines, self._shares, self._spend = clock, deadlines, shares, spend
@@ -53,7 +53,7 @@
         except BadMessage:
             self.dropped += 1
             return
-        if self._places.get(Endpoint(addr[0], addr[1])) != message.place:
+        if self._places.get(Address(addr[0], addr[1])) != message.place:
             self.dropped += 1
             return
         self.taken += 1
--- a/stepflow/node/process/config.py
+++ b/stepflow/node/process/config.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from stepflow.address import Endpoint
+from stepflow.address import Address
 from stepflow.errors import BadInput, read_fault
 from stepflow.settings import NodeSettings, SettingsError, node_settings
 
@@ -67,9 +67,9 @@
     """All that a node is told at its start."""
 
     name: str
-    listen: Endpoint
-    discovery: Endpoint
-    ops: Endpoint | None  # the operators' address
+    listen: Address
+    discovery: Address
+    ops: Address | None  # the operators' address
     seed: int
     sockets: int
     known: object  # in discovery's form
@@ -105,9 +105,9 @@
     def told(key: str) -> str:
         return getattr(file, key) or environ.get(f"GW_{key.upper()}", "")
 
-    def endpoint(key: str) -> Endpoint:
+    def endpoint(key: str) -> Address:
         try:
-            return Endpoint.parse(told(key))
+            return Address.parse(told(key))
         except ValueError as fault:
             raise ConfigError(f"{path}: {key}: {fault}") from None
 
@@ -115,7 +115,7 @@
     # says is this process's.
     ops = environ.get("GW_OPS") or file.ops
     try:
-        ops_endpoint = Endpoint.parse(ops) if ops else None
+        ops_endpoint = Address.parse(ops) if ops else None
     except ValueError as fault:
         raise ConfigError(f"{path}: ops: {fault}") from None
     try:
--- a/stepflow/node/process/service.py
+++ b/stepflow/node/process/service.py
@@ -11,7 +11,7 @@
 
 from twisted.internet.error import CannotListenError
 
-from stepflow.address import Endpoint
+from stepflow.address import Address
 from stepflow.daemon import OperatorFile
 from stepflow.errors import BadInput
 from stepflow.interface import RequestClass, Settings
@@ -42,7 +42,7 @@
 from stepflow.os_errors import LISTEN_AGAIN, LISTEN_FOR, SHORTAGE, errno_of
 from stepflow.policy import Policy
 from stepflow.settings import NodeSettings, follow
-from stepflow.upstream import BadList, Group
+from stepflow.upstream import EndpointGroup, EndpointListError
 
 log = get_logger()
 
@@ -78,7 +78,7 @@
         slots = max(1, (config.sockets - OTHERS_KEPT - PROBES_KEPT) // 2)  # a client's socket and a peer's
         self._policy = Policy(settings, config.seed)
         self._core = Core(self._policy, settings, clock, self._deadlines, self.counters, slots)
-        self._group = Group(settings.zones, settings.kinds)
+        self._group = EndpointGroup(settings.zones, settings.kinds)
         self._peers = Peers(
             reactor, self._core, clock, self._deadlines, self.counters, self._group, config.settings
         )
@@ -147,7 +147,7 @@
             self._listen_for_operators(self._config.ops)
         self._handover.find(self._begin)
 
-    def _listen_for_operators(self, address: Endpoint) -> None:
+    def _listen_for_operators(self, address: Address) -> None:
         site = OpsSite(self._deadlines, self._can_serve, self._figures)
         try:
             port = listen_for_operators(self._reactor, address, site).getHost().port
@@ -156,7 +156,7 @@
                 raise
             self._deadlines.after(LISTEN_AGAIN, lambda: self._listen_for_operators(address))
             return
-        log.info("hears operators", address=Endpoint(address.host, port))
+        log.info("hears operators", address=Address(address.host, port))
 
     def _may_try_again(self, fault: Exception) -> bool:
         """Whether what failed at the start may succeed soon, and there is time left."""
@@ -166,7 +166,7 @@
         """Begin the module's life with the newest list there is, then take clients."""
         try:
             _, known = self._group.apply(told.get("list") or self._config.known)
-        except BadList as fault:
+        except EndpointListError as fault:
             log.warning("the known list is passed over", fault=fault)
             known = ()
         self._core.start(self._peers, self._discovery, known)
@@ -174,7 +174,7 @@
             log.info("takes over from the process that serves", node=self._config.name)
             self._inherited, self._inherited_at = told["learned"], self.now()
             self._recall()
-        if self._settings.ask_for_list:
+        if self._settings.polls_endpoint_list:
             self._listen(listener)
         else:
             self._discovery.keep(lambda: self._listen(listener))
@@ -191,7 +191,7 @@
             self.exit_code = 1
             self._stop()
             return
-        address = Endpoint(self._config.listen.host, self._port.getHost().port)
+        address = Address(self._config.listen.host, self._port.getHost().port)
         self._ready = True
         log.info("listens", address=address, node=self._config.name)
         self._recording.follow(self._operators.record, self._settings)
@@ -310,7 +310,7 @@
 
 def _late(classes: tuple[RequestClass, ...]) -> timedelta:
     """Messages that take longer are noted: a third of the shortest message aim."""
-    aims = [cls.message_aim_us for cls in classes if cls.message_aim_us > 0]
+    aims = [cls.message_latency_objective_us for cls in classes if cls.message_latency_objective_us > 0]
     return timedelta(microseconds=min(aims)) / 3 if aims else timedelta(days=1)
 
 
--- a/stepflow/node/relay.py
+++ b/stepflow/node/relay.py
@@ -9,7 +9,7 @@
 from functools import partial
 from typing import NamedTuple, Protocol
 
-from stepflow.interface import Result
+from stepflow.interface import AttemptResult
 from stepflow.node.core import Core, RequestContext
 from stepflow.node.runtime.clock import Clock
 from stepflow.node.runtime.counters import Counters
@@ -92,7 +92,7 @@
         self._linger: Deadline | None = None
         self._deaf: Deadline | None = None
         self._moving = self._over = self._passing = False
-        self.result = Result.RESET  # unless the peer says what its end means
+        self.result = AttemptResult.RESET  # unless the peer says what its end means
         self._pulse = pulses.join(self)
         # Each side stops reading while the other can't take more.
         self._client.registerProducer(Valve(self._peer, self._client_full), True)
@@ -152,9 +152,9 @@
             with suppress(ValueError):  # no number: the client gets the line all the same
                 self._pulse.told(self, float(bytes(line[5:])))
         elif word == b"BYE" or word == b"BYE ":
-            self.result = Result.OK
+            self.result = AttemptResult.OK
         elif word == b"MOVE":
-            self.result = Result.CANCELLED
+            self.result = AttemptResult.CANCELLED
         elif self._asked:
             self._pulse.echoed(self, self._clock.now() - self._asked.popleft())
 
@@ -185,7 +185,7 @@
         """Tell the client to come again: at once between two lines, else behind the line under way."""
         if self._over or self._moving or self._passing:
             return
-        self.result = Result.CANCELLED
+        self.result = AttemptResult.CANCELLED
         self._send_away_between_lines()
 
     def _send_away_between_lines(self) -> None:
@@ -226,7 +226,7 @@
             return
         self._passing = False
         if by_other:
-            self.result = Result.CANCELLED
+            self.result = AttemptResult.CANCELLED
             self._settle()
             for side in (self._client, self._peer):
                 side.unregisterProducer()
@@ -252,17 +252,17 @@
         self._cancel(self._linger)
         if self._over:
             return
-        self.result = Result.CANCELLED
+        self.result = AttemptResult.CANCELLED
         self._end(self._peer, reset)
 
-    def peer_lost(self, reset: bool, network_failed: bool) -> Result:
+    def peer_lost(self, reset: bool, network_failed: bool) -> AttemptResult:
         """The peer's socket is closed; end the client's in the same way. Returns what that end means.
 
         Where the network has failed, the peer has ended nothing: its client is told to come again.
         """
         if not self._over:
             self._settle()
-            if self.result == Result.RESET:
+            if self.result == AttemptResult.RESET:
                 self._counters.broken += 1
             if network_failed and self._from_peer.between_lines:
                 self._counters.moved += 1
--- a/stepflow/node/runtime/request_log.py
+++ b/stepflow/node/runtime/request_log.py
@@ -10,7 +10,7 @@
 from typing import Protocol
 
 from stepflow import interface as face
-from stepflow.interface import Result
+from stepflow.interface import AttemptResult
 from stepflow.logs import debugging, get_logger
 from stepflow.node.runtime.clock import Clock, micros, millis
 from stepflow.node.runtime.counters import Counters
@@ -39,7 +39,7 @@
         """A request is owed an answer from now on."""
         if debugging():
             wait = millis(self._left(context))
-            log.debug("request taken", request=context.name, waits_ms=wait, retried=context.request.repeated)
+            log.debug("request taken", request=context.name, waits_ms=wait, retried=context.request.is_retry)
 
     def turned_away(self, name: str, why: str) -> None:
         """A request was refused without being taken."""
@@ -53,7 +53,7 @@
             told = {"peer": context.peer, "attempt": context.attempts, "waits_ms": millis(wait)}
             log.debug("attempt begun", request=context.name, **told)
 
-    def attempt_ended(self, context: LoggedRequest, result: Result) -> None:
+    def attempt_ended(self, context: LoggedRequest, result: AttemptResult) -> None:
         """An attempt is over, before or after it came up."""
         if debugging():
             told = {"peer": context.peer, "attempt": context.attempts, "result": result.name.lower()}
--- a/stepflow/node/upstreams/attempt.py
+++ b/stepflow/node/upstreams/attempt.py
@@ -10,8 +10,8 @@
 from twisted.internet.protocol import connectionDone
 from twisted.python.failure import Failure
 
-from stepflow.address import Endpoint
-from stepflow.interface import Result
+from stepflow.address import Address
+from stepflow.interface import AttemptResult
 from stepflow.node.core import Core, RequestContext
 from stepflow.node.relay import Relay
 from stepflow.node.runtime.clock import Clock
@@ -26,9 +26,13 @@
 PROBE_WAIT = timedelta(milliseconds=250)  # the most that a probe waits for its answer
 
 _FIELD_ALIASES = {
-    "outstanding": "inflight", "backlog": "queue", "utilization": "util", "recent_ms": "latency_ms",
-    "throughput": "qps", "errors_per_s": "eps",
-}  # fmt: skip
+    "outstanding": "inflight",
+    "backlog": "queue",
+    "utilization": "util",
+    "recent_ms": "latency_ms",
+    "throughput": "qps",
+    "errors_per_s": "eps",
+}
 
 
 def parse_report(text: bytes, fields: tuple[str, ...]) -> tuple[float, ...]:
@@ -49,10 +53,10 @@
     """What follows a connection's failure where it has been made already."""
 
 
-class Directory(Protocol):
+class AddressBook(Protocol):
     """Where the peers are."""
 
-    def endpoint(self, peer: str) -> Endpoint | None: ...
+    def address_of(self, peer: str) -> Address | None: ...
 
 
 class OpeningFront(Protocol):
@@ -71,7 +75,7 @@
         clock: Clock,
         deadlines: Deadlines,
         counters: Counters,
-        directory: Directory,
+        directory: AddressBook,
         settings: NodeSettings,
     ) -> None:
         self.reactor, self.core, self.clock, self.deadlines = reactor, core, clock, deadlines
@@ -85,7 +89,7 @@
         return len(self._links)
 
     def attempt(self, context: RequestContext, peer: str, wait: timedelta) -> PeerAttempt | None:
-        endpoint = self.directory.endpoint(peer)
+        endpoint = self.directory.address_of(peer)
         if endpoint is None:
             return None
         attempt = PeerAttempt(self, context, wait)
@@ -100,9 +104,9 @@
         return attempt
 
     def probe(self, peer: str) -> None:
-        endpoint = self.directory.endpoint(peer)
+        endpoint = self.directory.address_of(peer)
         if endpoint is None:
-            self.core.probed(peer, Result.CONNECT_FAILED, timedelta(0))
+            self.core.probed(peer, AttemptResult.CONNECT_FAILED, timedelta(0))
             return
         link = self._links.get(peer)
         if link is None or link.endpoint != endpoint:
@@ -139,7 +143,7 @@
         super().__init__()
         self._peers, self._context = peers, context
         self._expires = peers.clock.now() + wait
-        self._result: Result | None = None  # what the end will mean, once something has settled it
+        self._result: AttemptResult | None = None  # what the end will mean, once something has settled it
         self._report: tuple[float, ...] = ()
         self._answer = b""
         self._made = self._written = self._sent = self._detached = self._over = False
@@ -149,7 +153,7 @@
         self._deadline = peers.deadlines.after(connect, self._connect_late)
         peers.attempts += 1
 
-    def dial(self, endpoint: Endpoint) -> None:
+    def dial(self, endpoint: Address) -> None:
         """Begin the connection."""
         self._dial = Dial(self, self._connect_failed)
         self._dial.begin(self._peers.reactor, endpoint)
@@ -168,7 +172,7 @@
         self._deadline.cancel()
         self._over = True
         self._peers.attempts -= 1
-        result = Result.CONNECT_FAILED if self._result is None else self._result
+        result = AttemptResult.CONNECT_FAILED if self._result is None else self._result
         # connectTCP may fail before it returns: the core must know of the attempt first.
         self._peers.reactor.callLater(0, self._peers.core.attempt_ended, self._context, result)
 
@@ -180,7 +184,7 @@
         self._deadline.cancel()
         # To come up took its time: what was allowed when this was decided may not be any more.
         if not self._peers.core.may_begin(self._context):
-            self._give_up(Result.NOT_SENT)
+            self._give_up(AttemptResult.NOT_SENT)
             return
         self._deadline = self._peers.deadlines.at(self._expires, self._late)
         # As a pull producer, it is asked for more once the line's last byte was written: from then
@@ -210,12 +214,12 @@
         """The connection broke before the line was written."""
 
     def _late(self) -> None:
-        self._give_up(Result.TIMEOUT)
+        self._give_up(AttemptResult.TIMEOUT)
 
     def abandon(self) -> None:
-        self._give_up(Result.CANCELLED)
+        self._give_up(AttemptResult.CANCELLED)
 
-    def _give_up(self, result: Result) -> None:
+    def _give_up(self, result: AttemptResult) -> None:
         """Close the socket, unless something has settled the end already."""
         if self._over or self._result is not None:
             return
@@ -240,14 +244,14 @@
             self._early = self.setRawMode()
             self._peers.core.attempt_up(self._context, self)
             return
-        results = {b"BYE": Result.OK, b"MOVE": Result.CANCELLED, b"BUSY": Result.FULL}
-        self._result = results.get(word, Result.ERROR)  # ERR, or a line that no peer sends
+        results = {b"BYE": AttemptResult.OK, b"MOVE": AttemptResult.CANCELLED, b"BUSY": AttemptResult.FULL}
+        self._result = results.get(word, AttemptResult.ERROR)  # ERR, or a line that no peer sends
         self._answer = bytes(line) + b"\r\n"
-        self._report = parse_report(rest, self._peers.settings.module.report_fields) if rest else ()
+        self._report = parse_report(rest, self._peers.settings.module.load_report_fields) if rest else ()
         self.wire.abortConnection()
 
     def lineLengthExceeded(self) -> None:
-        self._give_up(Result.ERROR)
+        self._give_up(AttemptResult.ERROR)
 
     def rawDataReceived(self, data: bytes) -> None:
         if self._relay is not None:
@@ -262,7 +266,7 @@
             result = self._relay.peer_lost(was_reset(reason), network_failed(self.transport))
             self._relay = None  # which holds this attempt
         elif result is None:
-            result = Result.RESET if self._sent else Result.CONNECT_FAILED
+            result = AttemptResult.RESET if self._sent else AttemptResult.CONNECT_FAILED
         if not self._detached:
             self._peers.core.attempt_ended(self._context, result, self._report, self._answer)
 
@@ -283,7 +287,7 @@
 class ProbeLink(LineProtocol):
     """A kept connection to a peer for its probes, one at a time; closes after a while without any."""
 
-    def __init__(self, peers: Peers, peer: str, endpoint: Endpoint) -> None:
+    def __init__(self, peers: Peers, peer: str, endpoint: Address) -> None:
         super().__init__()
         self._peers, self.peer, self.endpoint = peers, peer, endpoint
         self._made = self._closed = self.busy = False
@@ -310,25 +314,25 @@
         if not self.busy:
             self.close()  # an answer to nothing: the stream is out of step
         elif word == b"PONG":
-            self._settle(Result.OK, parse_report(rest, self._peers.settings.module.report_fields))
+            self._settle(AttemptResult.OK, parse_report(rest, self._peers.settings.module.load_report_fields))
             self._set_deadline(self._peers.settings.idle_close, self.close)
         else:
-            self._settle(Result.FULL if word == b"BUSY" else Result.ERROR)
+            self._settle(AttemptResult.FULL if word == b"BUSY" else AttemptResult.ERROR)
             self.close()
 
     def lineLengthExceeded(self) -> None:
-        self.close(Result.ERROR)
+        self.close(AttemptResult.ERROR)
 
     def _late(self) -> None:
-        self.close(Result.TIMEOUT if self._made else Result.CONNECT_FAILED)
+        self.close(AttemptResult.TIMEOUT if self._made else AttemptResult.CONNECT_FAILED)
 
     def _connect_failed(self) -> None:
-        self._peers.reactor.callLater(0, self._dropped, Result.CONNECT_FAILED)
+        self._peers.reactor.callLater(0, self._dropped, AttemptResult.CONNECT_FAILED)
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:
-        self._dropped(Result.RESET)
+        self._dropped(AttemptResult.RESET)
 
-    def close(self, result: Result = Result.CANCELLED) -> None:
+    def close(self, result: AttemptResult = AttemptResult.CANCELLED) -> None:
         """Close the socket; a probe that is out ends with this result."""
         if self._closed:
             return
@@ -338,7 +342,7 @@
         else:
             self._dial.stop()
 
-    def _dropped(self, result: Result) -> None:
+    def _dropped(self, result: AttemptResult) -> None:
         if not self._closed:
             self._closed = True
             if self._deadline is not None:
@@ -346,7 +350,7 @@
             self._peers.dropped(self)
         self._settle(result)
 
-    def _settle(self, result: Result, report: tuple[float, ...] = ()) -> None:
+    def _settle(self, result: AttemptResult, report: tuple[float, ...] = ()) -> None:
         """The one place that ends a probe."""
         if self.busy:
             self.busy = False
--- a/stepflow/node/upstreams/connection.py
+++ b/stepflow/node/upstreams/connection.py
@@ -15,13 +15,21 @@
 
 from twisted.internet import main, tcp
 
-from stepflow.address import Endpoint
+from stepflow.address import Address
 from stepflow.node.runtime.transports import Reactor
 
-OF_THE_NETWORK = frozenset({
-    errno.ETIMEDOUT, errno.EHOSTUNREACH, errno.ENETUNREACH, errno.EHOSTDOWN, errno.ENETDOWN, errno.ENONET,
-    errno.EPROTO, errno.ENOPROTOOPT,
-})  # fmt: skip
+OF_THE_NETWORK = frozenset(
+    {
+        errno.ETIMEDOUT,
+        errno.EHOSTUNREACH,
+        errno.ENETUNREACH,
+        errno.EHOSTDOWN,
+        errno.ENETDOWN,
+        errno.ENONET,
+        errno.EPROTO,
+        errno.ENOPROTOOPT,
+    }
+)
 _NOT_NOW = (errno.EAGAIN, errno.EINTR)
 _NO_ROOM = (errno.EAGAIN, errno.EINTR, errno.ENOBUFS, errno.ENOMEM)
 
@@ -71,7 +79,7 @@
         return _Client(self.host, self.port, self.bindAddress, self, self.reactor)
 
 
-def connect(reactor: Reactor, endpoint: Endpoint, factory: Any) -> Any:
+def connect(reactor: Reactor, endpoint: Address, factory: Any) -> Any:
     """Begin a connection to a peer; its connector."""
     no_timeout = cast(float, None)
     connector = _Connector(endpoint.host, endpoint.port, factory, no_timeout, None, reactor)
--- a/stepflow/node/upstreams/dialer.py
+++ b/stepflow/node/upstreams/dialer.py
@@ -8,7 +8,7 @@
 from twisted.internet.protocol import ClientFactory, Protocol
 from twisted.python.failure import Failure
 
-from stepflow.address import Endpoint
+from stepflow.address import Address
 from stepflow.node.runtime.transports import Connector, DelayedCall, Reactor
 from stepflow.node.upstreams.connection import connect
 from stepflow.os_errors import DIAL_AGAIN, OF_THIS_MACHINE, errno_of
@@ -30,7 +30,7 @@
         self._connector: Connector | None = None
         self._again: DelayedCall | None = None
 
-    def begin(self, reactor: Reactor, endpoint: Endpoint) -> None:
+    def begin(self, reactor: Reactor, endpoint: Address) -> None:
         """Begin the connection; whoever owns it sets its deadline, and calls `stop` then."""
         self._reactor = reactor
         self._connector = connect(reactor, endpoint, self)
--- a/stepflow/node/upstreams/liveness.py
+++ b/stepflow/node/upstreams/liveness.py
@@ -6,7 +6,7 @@
 from datetime import timedelta
 from typing import Protocol
 
-from stepflow.interface import NoteKind
+from stepflow.interface import SessionReportKind
 from stepflow.logs import get_logger
 from stepflow.node.core import Core, RequestContext
 from stepflow.node.runtime.clock import ZERO, Clock
@@ -99,7 +99,7 @@
             self._since, self._summed, self._count, self._slow = now, ZERO, 0, slow
 
     def _note(self, connection: Joined, took: timedelta) -> None:
-        self._core.note(connection.context, NoteKind.DELAY, took / timedelta(milliseconds=1))
+        self._core.note(connection.context, SessionReportKind.LATENCY, took / timedelta(milliseconds=1))
 
     def _check(self) -> None:
         """Look whether the peer still owes what it owed when this was set."""
--- a/stepflow/node/upstreams/load_reports.py
+++ b/stepflow/node/upstreams/load_reports.py
@@ -11,7 +11,7 @@
 import math
 from datetime import timedelta
 
-from stepflow.interface import NoteKind
+from stepflow.interface import SessionReportKind
 from stepflow.settings import NodeSettings
 
 EVERY = timedelta(seconds=1)  # between two notes of a delay at one peer
@@ -37,20 +37,20 @@
         """Take settings, at the start or later."""
         self._tells_load, self._tells_delay = settings.tells_load, settings.tells_delay
 
-    def kind(self, peer: str, now: timedelta, value: float) -> NoteKind:
+    def kind(self, peer: str, now: timedelta, value: float) -> SessionReportKind:
         """What the value of a `LOAD X` from this peer tells."""
         if not self._tells_delay:
-            return NoteKind.LOAD
+            return SessionReportKind.LOAD
         if not self._tells_load:
-            return NoteKind.DELAY
+            return SessionReportKind.LATENCY
         share = value / math.exp(self._usual)
         if share < TINY or (share < SMALL and self._on_beat(peer, now)):
             self._keep(peer, now)
-            return NoteKind.DELAY
+            return SessionReportKind.LATENCY
         self._loads += 1
         if math.isfinite(value):
             self._usual += (math.log(value) - self._usual) * max(LEARN, 1 / (self._loads + FEW))
-        return NoteKind.LOAD
+        return SessionReportKind.LOAD
 
     def _on_beat(self, peer: str, now: timedelta) -> bool:
         """Whether whole seconds have passed since the last delay."""
--- a/stepflow/os_errors.py
+++ b/stepflow/os_errors.py
@@ -9,10 +9,21 @@
 from datetime import timedelta
 
 # accept(2) passes on what has gone wrong with the one connection that it was to return.
-OF_ONE_CONNECTION = frozenset({
-    errno.ECONNABORTED, errno.EPROTO, errno.ENETDOWN, errno.ENOPROTOOPT, errno.EHOSTDOWN, errno.ENONET,
-    errno.EHOSTUNREACH, errno.EOPNOTSUPP, errno.ENETUNREACH, errno.EPERM, errno.ETIMEDOUT,
-})  # fmt: skip
+OF_ONE_CONNECTION = frozenset(
+    {
+        errno.ECONNABORTED,
+        errno.EPROTO,
+        errno.ENETDOWN,
+        errno.ENOPROTOOPT,
+        errno.EHOSTDOWN,
+        errno.ENONET,
+        errno.EHOSTUNREACH,
+        errno.EOPNOTSUPP,
+        errno.ENETUNREACH,
+        errno.EPERM,
+        errno.ETIMEDOUT,
+    }
+)
 # The machine lacks descriptors, memory or ports: the same call may succeed a moment later.
 SHORTAGE = frozenset({errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EAGAIN, errno.EINTR})
 # connect(2) and socket(2) on this machine's own account: no word from the other side.
--- a/stepflow/policy/controller.py
+++ b/stepflow/policy/controller.py
@@ -78,9 +78,9 @@
     def warmth(self, server: ServerState, now: int) -> float:
         """Share of its capacity that a server has at the least."""
         rules, age = self.settings.rules, max(0, now - server.started_us)  # it may start a moment from now
-        if server.started_us <= 0 or age >= rules.warm_after_us:
+        if server.started_us <= 0 or age >= rules.slow_start_us:
             return 1.0
-        return rules.cold_share + (1 - rules.cold_share) * age / rules.warm_after_us
+        return rules.slow_start_share + (1 - rules.slow_start_share) * age / rules.slow_start_us
 
     def tabulate(self, now: int) -> None:
         """Lay out the eligible servers' weights for the draw."""
--- a/stepflow/policy/decide.py
+++ b/stepflow/policy/decide.py
@@ -6,13 +6,19 @@
 import random
 from collections.abc import Callable
 from functools import partial
-from typing import get_args
 
 from stepflow import interface as face
 from stepflow.budgets.attempt_throttle import THROTTLE_S, Throttle
 from stepflow.budgets.slow_start import Ramp
 from stepflow.estimates.arrivals import Arrivals
-from stepflow.interface import Availability, Effect, ListForm, NoteKind, Result, Scope
+from stepflow.interface import (
+    AttemptResult,
+    Availability,
+    DeduplicationScope,
+    Idempotency,
+    ListUpdateKind,
+    SessionReportKind,
+)
 from stepflow.policy.controller import JAM, Controller, harm
 from stepflow.policy.model import HEALTH_FLOOR, Flight, Model, ServerState, clamp
 from stepflow.rendezvous import homes
@@ -64,7 +70,7 @@
         self.throttle = Throttle()
         self.cold: list[ServerState] = []
         self.flights: dict[int, Flight] = {}
-        self.holders: dict[int, dict[face.ServerId, ServerState]] = {}  # where a group has own connections
+        self.holders: dict[int, dict[face.EndpointId, ServerState]] = {}  # where a group has own connections
         self.held: dict[int, None] = {}  # requests that wait for the throttle to open, in order
         self.actions: list[face.Action] = []
         self.now = self.stepped_us = 0
@@ -72,19 +78,32 @@
         self.unshown = 0.0  # load that all instances put on a server before its reports tell
         self.wait_us = float(FIRST_WAIT_US)
         self.probe_budget = self.drawn_budget = self.move_budget = self.probe_wait_us = 0.0
-        self.probing: dict[face.ServerId, None] = {}  # probes that are out
-        self.slow: dict[face.ServerId, ServerState] = {}  # servers that are jammed
+        self.probing: dict[face.EndpointId, None] = {}  # probes that are out
+        self.slow: dict[face.EndpointId, ServerState] = {}  # servers that are jammed
         self.retune(settings)
-        # Each event has its method: on_ and its name in small letters.
         self.handlers: dict[type, Callable[..., None]] = {
-            event: getattr(self, "on_" + event.__name__.lower()) for event in get_args(face.Event)
+            face.Started: self.on_started,
+            face.EndpointListUpdate: self.on_endpoint_list_update,
+            face.Request: self.on_request,
+            face.SessionAdopted: self.on_session_adopted,
+            face.SessionEstablished: self.on_session_established,
+            face.SessionReport: self.on_session_report,
+            face.AttemptEnded: self.on_attempt_ended,
+            face.ClientDisconnected: self.on_client_disconnected,
+            face.TimerFired: self.on_timer_fired,
+            face.HealthCheckEnded: self.on_health_check_ended,
+            face.PeerMessageReceived: self.on_peer_message_received,
         }
 
     def retune(self, settings: face.Settings) -> None:
         """Take settings, at the start or later; classes keep their numbers, and what is open its limit."""
         self.settings = self.controller.settings = settings
         self.model.retune(settings)
-        aims = [c.message_aim_us / 1000 for c in settings.classes if c.message_aim_us > 0]
+        aims = [
+            c.message_latency_objective_us / 1000
+            for c in settings.classes
+            if c.message_latency_objective_us > 0
+        ]
         self.late_ms = min(aims, default=math.inf)  # notes begin well below what any class feels
 
     def handle(self, now: int, event: face.Event) -> list[face.Action]:
@@ -101,22 +120,22 @@
         self.stepped_us = self.controller.stepped_us = self.now
         # Instances that step in time swing together: each takes a phase of its own.
         self.actions.append(face.SetTimer(self.rng.randrange(1, TICK_US), TICK_TOKEN))
-        if self.settings.ask_for_list:
+        if self.settings.polls_endpoint_list:
             self.actions.append(face.SetTimer(self.asking.first(), ASK_TOKEN))
 
-    def on_serverlist(self, event: face.ServerList) -> None:
-        if event.form == ListForm.FAILED:
-            wait = self.asking.again(self.now, self.settings.rules.ask_within_us)
+    def on_endpoint_list_update(self, event: face.EndpointListUpdate) -> None:
+        if event.kind == ListUpdateKind.FAILED:
+            wait = self.asking.again(self.now, self.settings.rules.list_refresh_us)
             self.actions.append(face.SetTimer(wait, ASK_TOKEN))
             return
         self.asking.heard()
         servers = self.model.servers
         known, restarted = len(servers), False
-        if event.form != ListForm.DELTA:
-            named = {entry.id for entry in event.servers}
+        if event.kind != ListUpdateKind.DELTA:
+            named = {entry.id for entry in event.endpoints}
             for held in [s for s in servers.values() if s.id not in named]:
                 held.availability = Availability.GONE
-        for entry in event.servers:
+        for entry in event.endpoints:
             server = servers.get(entry.id)
             if server is None:
                 if entry.availability != Availability.GONE:
@@ -136,30 +155,30 @@
             self.controller.tabulate(self.now)
 
     def on_request(self, request: face.Request) -> None:
-        flight = Flight(request, self.model.told(request.load, request.cls))
+        flight = Flight(request, self.model.told(request.load, request.class_index))
         flight.limit = self.settings.limits.max_attempts
         self.flights[request.id] = flight
-        known = request.repeated or request.returned
+        known = request.is_retry or request.is_migrated
         self.arrivals.fresh += not known
         self.drawn_budget = min(self.drawn_budget + (1 if known else CANDIDATES), PROBES_SAVED)
         # The wire's time-out may come late, or nothing be out at all: an own timer guards the answer.
         self.wake(flight, request.expires_us - self.now - 2 * self.settings.tick_us)
         self.place(flight)
 
-    def on_adopted(self, event: face.Adopted) -> None:
-        flight = Flight(event.request, self.model.told(event.request.load, event.request.cls))
+    def on_session_adopted(self, event: face.SessionAdopted) -> None:
+        flight = Flight(event.request, self.model.told(event.request.load, event.request.class_index))
         flight.attempts, flight.up, flight.out = 1, True, True
         self.flights[event.request.id] = flight
         self.arrivals.open += 1
         self.arrivals.adopted += 1
-        if event.server in self.model.servers:
-            self.settle(flight, self.model.servers[event.server])
+        if event.endpoint in self.model.servers:
+            self.settle(flight, self.model.servers[event.endpoint])
 
     def settle(self, flight: Flight, server: ServerState) -> None:
         """Count the flight's load at a server."""
         flight.server = server
         server.flights[flight.request.id] = flight
-        if group := flight.request.group:
+        if group := flight.request.affinity_group:
             server.groups[group] = server.groups.get(group, 0) + 1
             self.holders.setdefault(group, {})[server.id] = server
         server.load += flight.load
@@ -170,7 +189,7 @@
         server = flight.server
         if server is not None:
             del server.flights[flight.request.id]
-            if group := flight.request.group:
+            if group := flight.request.affinity_group:
                 server.groups[group] -= 1
                 if not server.groups[group]:
                     del server.groups[group], self.holders[group][server.id]
@@ -182,7 +201,7 @@
 
     def allowed(self, flight: Flight) -> Callable[[ServerState], bool]:
         """The test that a server must pass for this flight's next attempt."""
-        scope = self.settings.class_of(flight.request).scope
+        scope = self.settings.class_of(flight.request).deduplication_scope
         bound, tried = flight.bound, flight.tried
         weight = self.cold_weight(flight)
 
@@ -190,9 +209,9 @@
             if server.availability != Availability.READY or server.id in tried:
                 return False
             if bound is not None:  # a repeat is dropped only within the group of the first
-                if scope == Scope.ZONE and server.zone != bound.zone:
+                if scope == DeduplicationScope.ZONE and server.zone != bound.zone:
                     return False
-                if scope == Scope.CELL and server.cell != bound.cell:
+                if scope == DeduplicationScope.CELL and server.cell != bound.cell:
                     return False
             return self.warm(server) or server.budget >= min(1.0, weight)
 
@@ -214,7 +233,7 @@
     def in_window(self, flight: Flight, now: int) -> bool:
         """Whether servers still drop a repeat."""
         cls = self.settings.class_of(flight.request)
-        return cls.effect == Effect.KEYED and now - flight.bound_us < cls.window_us
+        return cls.idempotency == Idempotency.BY_KEY and now - flight.bound_us < cls.deduplication_window_us
 
     def may_begin(self, now: int, id: int) -> bool:
         """Asked once more when the line is to go out: since the attempt was decided, dialling took time."""
@@ -230,7 +249,7 @@
         if flight is None or flight.bound is None:
             return True
         cls = self.settings.class_of(flight.request)
-        return cls.effect == Effect.KEYED and cls.scope == Scope.ALL
+        return cls.idempotency == Idempotency.BY_KEY and cls.deduplication_scope == DeduplicationScope.ALL
 
     def place(self, flight: Flight) -> None:
         """Send the next attempt, or hold the request until something can take it."""
@@ -264,12 +283,12 @@
         flight.attempts += 1
         flight.out = True
         flight.tried.append(server.id)
-        if flight.bound is None and self.settings.class_of(request).effect != Effect.SAFE:
+        if flight.bound is None and self.settings.class_of(request).idempotency != Idempotency.IDEMPOTENT:
             flight.bound, flight.bound_us, flight.bound_by = server, self.now, flight.attempts
         self.settle(flight, server)
         # Clients of a lost server come all at once: those placed a moment ago must count for the next.
         server.placed += self.settings.balancers * server.cost * self.model.loads.units(flight.load)
-        self.actions.append(face.Send(request.id, server.id, timeout))
+        self.actions.append(face.StartAttempt(request.id, server.id, timeout))
 
     def choose(self, flight: Flight) -> ServerState | None:
         """Draw some servers by weight and take the one predicted best.
@@ -283,7 +302,7 @@
             if ready:  # the others didn't answer in time
                 return min(ready, key=rank)
         first, price = self.controller.draw(allowed), self.settings.prices.probe
-        if first is None or not self.settings.limits.probes or not self.model.absolute:
+        if first is None or not self.settings.limits.health_checks or not self.model.absolute:
             return first
         count = CANDIDATES if price <= 0 else min(CANDIDATES, int(DRAWN_SPEND / price))
         # A budget that few requests seldom draw would never be spent: a cold server that has one stands by.
@@ -308,7 +327,7 @@
 
     def homes(self, flight: Flight) -> list[ServerState]:
         """Where its group is held, the least loaded first, then where all instances look for it."""
-        group = flight.request.group
+        group = flight.request.affinity_group
         held = sorted(self.holders.get(group, {}).values(), key=lambda s: s.predicted)[:1]
         found = homes(group, self.controller.listed, HOMES) if group else []
         flight.home = found[0] if found else None
@@ -322,7 +341,11 @@
         crossing = self.settings.prices.cross_zone if server.zone != self.settings.zone else 0.0
         unshown = CANDIDATES * self.unshown * self.rng.random()
         load = (server.predicted + server.placed + unshown) / max(server.health, HEALTH_FLOOR)
-        lacks = (group := flight.request.group) and group not in server.groups and server is not flight.home
+        lacks = (
+            (group := flight.request.affinity_group)
+            and group not in server.groups
+            and server is not flight.home
+        )
         full = self.overloaded(server, flight)  # it would be refused: such a server comes last
         return harm(load) + crossing + 0.1 * load + (GROUP_PRICE if lacks else 0.0) + full
 
@@ -330,8 +353,8 @@
         """Whether the request is worth too little for a server as loaded as this."""
         if not self.model.absolute or not self.model.kind_cost:
             return False
-        worths = [c.worth for c in self.settings.classes]
-        rank = (worths[flight.request.cls] - min(worths)) / max(max(worths) - min(worths), 1e-9)
+        worths = [c.priority_weight for c in self.settings.classes]
+        rank = (worths[flight.request.class_index] - min(worths)) / max(max(worths) - min(worths), 1e-9)
         load = server.predicted + server.placed + self.unshown  # many may come between two reports
         return load > REFUSE_AT[0] + rank * (REFUSE_AT[1] - REFUSE_AT[0])
 
@@ -342,11 +365,13 @@
     def give_up(self, flight: Flight, retry_after_us: int = 0) -> None:
         """The final answer of a request that can't be served."""
         id, flight.answered = flight.request.id, True
-        self.actions.append(face.Refuse(id, retry_after_us) if self.harmless(id) else face.Fail(id))
+        self.actions.append(
+            face.RejectRequest(id, retry_after_us) if self.harmless(id) else face.FailRequest(id)
+        )
         if not flight.out:
             self.drop(flight)
-        elif self.settings.limits.cancel:
-            self.actions.append(face.Cancel(flight.request.id, flight.attempts - 1))
+        elif self.settings.limits.cancellation:
+            self.actions.append(face.CancelAttempt(flight.request.id, flight.attempts - 1))
 
     def drop(self, flight: Flight) -> None:
         """Forget a request that has its final answer and no attempt out."""
@@ -355,14 +380,14 @@
         self.unsettle(flight)
         self.flights.pop(flight.request.id, None)
 
-    def on_established(self, event: face.Established) -> None:
-        flight = self.flights.get(event.request)
+    def on_session_established(self, event: face.SessionEstablished) -> None:
+        flight = self.flights.get(event.request_id)
         if flight is None or flight.up or not flight.out or event.attempt != flight.attempts - 1:
             return
         flight.up, flight.up_us = True, self.now
         self.arrivals.open += 1
         self.throttle.up += 1
-        self.wait_us += WAIT_LEARN * (event.wait_us - self.wait_us)
+        self.wait_us += WAIT_LEARN * (event.latency_us - self.wait_us)
         if flight.server is not None:
             flight.server.health = min(1.0, flight.server.health + 0.2)
             flight.server.up += 1
@@ -379,21 +404,26 @@
         up, failed = self.throttle.up - server.up, self.throttle.failed - server.failed
         return up > 1 + failed
 
-    def on_outcome(self, event: face.Outcome) -> None:
-        server = self.model.servers.get(event.server)
-        if server is not None and event.report:
-            self.model.report(self.now, server, event.report)
-        flight = self.flights.get(event.request)
+    def on_attempt_ended(self, event: face.AttemptEnded) -> None:
+        server = self.model.servers.get(event.endpoint)
+        if server is not None and event.load_report:
+            self.model.report(self.now, server, event.load_report)
+        flight = self.flights.get(event.request_id)
         if flight is None or event.attempt != flight.attempts - 1 or not flight.out:
             return
         flight.out = False
         self.arrivals.open -= flight.up
         self.unsettle(flight)
-        never_ran = event.result in (Result.FULL, Result.CONNECT_FAILED, Result.NOT_SENT)
+        never_ran = event.result in (AttemptResult.FULL, AttemptResult.CONNECT_FAILED, AttemptResult.NOT_SENT)
         if never_ran and flight.bound_by == flight.attempts:  # an earlier attempt there may have run
             flight.bound, flight.bound_by = None, 0
-        failed = event.result in (Result.ERROR, Result.TIMEOUT, Result.CONNECT_FAILED, Result.RESET)
-        unclear = event.result in (Result.ERROR, Result.TIMEOUT)
+        failed = event.result in (
+            AttemptResult.ERROR,
+            AttemptResult.TIMEOUT,
+            AttemptResult.CONNECT_FAILED,
+            AttemptResult.RESET,
+        )
+        unclear = event.result in (AttemptResult.ERROR, AttemptResult.TIMEOUT)
         if unclear and server is not None:
             server.failed += 1
             self.throttle.failed += 1
@@ -401,48 +431,48 @@
         # While the throttle is closed the fault lies with what all servers share, unless others serve on.
         if failed and server is not None and not (unclear and not alone and self.throttle.closed()):
             server.fail()
-        shed = event.result == Result.RESET and flight.up and self.now - flight.up_us < SHED_US
+        shed = event.result == AttemptResult.RESET and flight.up and self.now - flight.up_us < SHED_US
         if shed and server is not None:
             # Shed as soon as it stood: the set-up was for nothing, the server has no room.
             self.throttle.up = max(0.0, self.throttle.up - 1)
             server.predicted = max(server.predicted, JAM)
-        if alone or event.result in (Result.FULL, Result.CONNECT_FAILED):
+        if alone or event.result in (AttemptResult.FULL, AttemptResult.CONNECT_FAILED):
             self.throttle.tried = max(0.0, self.throttle.tried - 1)  # speaks of that server alone
-        elif event.result == Result.TIMEOUT:
+        elif event.result == AttemptResult.TIMEOUT:
             self.wait_us = min(self.wait_us * BACK_OFF, float(SECOND))
-        if event.complete or flight.answered:
+        if event.is_final or flight.answered:
             self.drop(flight)
-        elif event.result == Result.ERROR and not alone:
+        elif event.result == AttemptResult.ERROR and not alone:
             self.wake(flight, self.rng.randint(*HOLD_US))
         else:
             self.place(flight)
 
-    def on_clientgone(self, event: face.ClientGone) -> None:
-        if flight := self.flights.get(event.request):
+    def on_client_disconnected(self, event: face.ClientDisconnected) -> None:
+        if flight := self.flights.get(event.request_id):
             flight.answered = True
             if not flight.out:
                 self.drop(flight)
 
-    def on_note(self, event: face.Note) -> None:
-        flight, value = self.flights.get(event.request), event.value
+    def on_session_report(self, event: face.SessionReport) -> None:
+        flight, value = self.flights.get(event.request_id), event.value
         if flight is None or not flight.up or not math.isfinite(value) or value < 0:
             return
         server = flight.server
-        if event.kind == NoteKind.LOAD:
+        if event.kind == SessionReportKind.LOAD:
             self.unsettle(flight)
-            flight.load = self.model.told(value, flight.request.cls)
+            flight.load = self.model.told(value, flight.request.class_index)
             if server is not None:
                 self.settle(flight, server)
-        elif event.kind == NoteKind.DELAY and server is not None and value >= self.late_ms:
+        elif event.kind == SessionReportKind.LATENCY and server is not None and value >= self.late_ms:
             server.delay_us = self.now
             self.slow[server.id] = server
 
-    def on_timer(self, event: face.Timer) -> None:
+    def on_timer_fired(self, event: face.TimerFired) -> None:
         if event.token == TICK_TOKEN:
             self.step()
         elif event.token == ASK_TOKEN:
             self.asking.asked(self.now)
-            self.actions.append(face.Watch(True))
+            self.actions.append(face.WatchEndpointList(True))
         else:
             flight = self.flights.get(event.token - FIRST_REQUEST_TOKEN)
             if flight is None or flight.up or flight.answered:
@@ -497,7 +527,7 @@
 
     def probe(self, seconds: float) -> None:
         """Probe some servers, as many as their price and the own traffic allow."""
-        if not self.settings.report_fields:
+        if not self.settings.load_report_fields:
             return
         most = PROBE_SPEND / max(self.settings.prices.probe, 1e-9) * self.arrivals.turnover()
         pace = min(len(self.model.servers) / PROBE_EVERY_S, most)
@@ -508,24 +538,24 @@
 
     def ask(self, server: ServerState) -> bool:
         """Probe a server unless a probe of it is out, or none may be sent."""
-        if server.id in self.probing or not self.settings.limits.probes:
+        if server.id in self.probing or not self.settings.limits.health_checks:
             return False
         self.probing[server.id], server.asked_us = None, self.now
-        self.actions.append(face.Probe(server.id))
+        self.actions.append(face.StartHealthCheck(server.id))
         return True
 
-    def on_probed(self, event: face.Probed) -> None:
-        self.probing.pop(event.server, None)
-        server = self.model.servers.get(event.server)
+    def on_health_check_ended(self, event: face.HealthCheckEnded) -> None:
+        self.probing.pop(event.endpoint, None)
+        server = self.model.servers.get(event.endpoint)
         if server is None:
             return
         waiting, server.waiting = server.waiting, []
-        if event.result == Result.OK:
-            self.model.report(self.now, server, event.report)
+        if event.result == AttemptResult.OK:
+            self.model.report(self.now, server, event.load_report)
             if self.model.absolute and server.predicted > MOVE_FROM and server.flights:
                 self.slow[server.id] = server
-            self.probe_wait_us += WAIT_LEARN * (event.wait_us - self.probe_wait_us)
-        elif event.result != Result.FULL:
+            self.probe_wait_us += WAIT_LEARN * (event.latency_us - self.probe_wait_us)
+        elif event.result != AttemptResult.FULL:
             server.fail()
         for flight in waiting:
             if flight.candidates and all(map(self.fresh, flight.candidates)):
@@ -550,14 +580,16 @@
         """Move about this share of the own load on a server."""
         flights = [f for f in server.flights.values() if f.up and not f.answered]
         left = share * server.load
-        for flight in sorted(flights, key=lambda f: (self.settings.class_of(f.request).worth, -f.load)):
+        for flight in sorted(
+            flights, key=lambda f: (self.settings.class_of(f.request).priority_weight, -f.load)
+        ):
             if left <= 0 or self.move_budget < 1:
                 return
             if self.rng.random() * flight.load < left:
                 self.move_budget -= 1
                 flight.answered = True
-                self.actions.append(face.Move(flight.request.id))
+                self.actions.append(face.MigrateSession(flight.request.id))
             left -= flight.load
 
-    def on_peermessage(self, event: face.PeerMessage) -> None:
+    def on_peer_message_received(self, event: face.PeerMessageReceived) -> None:
         """Nothing is told among instances so far; what comes is ignored."""
--- a/stepflow/policy/model.py
+++ b/stepflow/policy/model.py
@@ -62,7 +62,7 @@
 
     def __init__(self, request: face.Request, load: float) -> None:
         self.request, self.load = request, load
-        self.tried: list[face.ServerId] = []
+        self.tried: list[face.EndpointId] = []
         self.candidates: list[ServerState] = []  # drawn, and being probed
 
 
@@ -70,7 +70,7 @@
     """Told load and learned cost of every server."""
 
     def __init__(self, settings: face.Settings) -> None:
-        self.servers: dict[face.ServerId, ServerState] = {}
+        self.servers: dict[face.EndpointId, ServerState] = {}
         self.kind_cost: dict[int, float] = {}
         self.kind_size: dict[int, float] = {}  # where weights are live
         self.loads = Loads()
@@ -79,7 +79,7 @@
 
     def retune(self, settings: face.Settings) -> None:
         """Take settings, at the start or later."""
-        self.settings, fields = settings, settings.report_fields
+        self.settings, fields = settings, settings.load_report_fields
         known = [fields.index(name) for name in ("x0", "util", "inflight", "queue") if name in fields]
         self.field = known[0] if known else -1
         self.absolute = "x0" in fields or "util" in fields
--- a/stepflow/settings.py
+++ b/stepflow/settings.py
@@ -20,13 +20,25 @@
 
 
 _FIELD_NAMES = {
-    "outstanding": "inflight", "backlog": "queue", "utilization": "util", "recent_ms": "latency_ms",
-    "throughput": "qps", "errors_per_s": "eps",
-}  # fmt: skip
+    "outstanding": "inflight",
+    "backlog": "queue",
+    "utilization": "util",
+    "recent_ms": "latency_ms",
+    "throughput": "qps",
+    "errors_per_s": "eps",
+}
 CONNECT_TIMEOUT = timedelta(milliseconds=200)
 IDLE_CLOSE = timedelta(seconds=15)
-_EFFECTS = {"repeatable": face.Effect.SAFE, "by_key": face.Effect.KEYED, "once": face.Effect.UNSAFE}
-_SCOPES = {"all": face.Scope.ALL, "zone": face.Scope.ZONE, "cell": face.Scope.CELL}
+_EFFECTS = {
+    "repeatable": face.Idempotency.IDEMPOTENT,
+    "by_key": face.Idempotency.BY_KEY,
+    "once": face.Idempotency.NOT_IDEMPOTENT,
+}
+_SCOPES = {
+    "all": face.DeduplicationScope.ALL,
+    "zone": face.DeduplicationScope.ZONE,
+    "cell": face.DeduplicationScope.CELL,
+}
 
 
 class _Pairs:
@@ -119,9 +131,14 @@
     shares = {tenant.name: tenant for tenant in told.tenants}
     kept = tuple(shares.pop(tenant.name, replace(tenant, share=0.0)) for tenant in before.tenants)
     return replace(
-        told, classes=before.classes + added, tenants=kept + tuple(shares.values()), zone=before.zone,
-        zones=before.zones, kinds=before.kinds, ask_for_list=before.ask_for_list,
-    )  # fmt: skip
+        told,
+        classes=before.classes + added,
+        tenants=kept + tuple(shares.values()),
+        zone=before.zone,
+        zones=before.zones,
+        kinds=before.kinds,
+        polls_endpoint_list=before.polls_endpoint_list,
+    )
 
 
 def _lines(text: str) -> Iterator[tuple[str, str]]:
@@ -165,13 +182,13 @@
         classes.append(
             face.RequestClass(
                 name=read.pairs.get(base + "name", str(i)),
-                aim_us=read.whole(base + "aim_us", plain.aim_us),
+                latency_objective_us=read.whole(base + "aim_us", plain.latency_objective_us),
                 deadline_us=read.whole(base + "give_up_us", plain.deadline_us, 1),
-                effect=read.choice(base + "effect", plain.effect, _EFFECTS),
-                scope=read.choice(base + "key_scope", plain.scope, _SCOPES),
-                window_us=read.whole(base + "key_ttl_us", plain.window_us),
-                worth=read.number(base + "credit", plain.worth),
-                message_aim_us=message_aims[i] if i < len(message_aims) else 0.0,
+                idempotency=read.choice(base + "effect", plain.idempotency, _EFFECTS),
+                deduplication_scope=read.choice(base + "key_scope", plain.deduplication_scope, _SCOPES),
+                deduplication_window_us=read.whole(base + "key_ttl_us", plain.deduplication_window_us),
+                priority_weight=read.number(base + "credit", plain.priority_weight),
+                message_latency_objective_us=message_aims[i] if i < len(message_aims) else 0.0,
             )
         )
     quotas = read.numbers("domain.tenant_quota_connections")
@@ -184,7 +201,7 @@
         )
         for i in range(read.whole("tenants.count", 0))
     )
-    limits, rules = face.Limits(), face.Rules()
+    limits, rules = face.Limits(), face.SafetyRules()
     via = read.pairs.get("report.via", "none")
     return face.Settings(
         balancers=read.whole("group_size", 1, 1),
@@ -202,29 +219,29 @@
         ),
         limits=face.Limits(
             max_attempts=read.whole("policy_limits.most_tries", limits.max_attempts, 1),
-            probes=read.flag("policy_limits.probing", limits.probes),
-            peers=read.flag("policy_limits.peers", limits.peers),
-            cancel=read.flag("policy_limits.cancel", limits.cancel),
+            health_checks=read.flag("policy_limits.probing", limits.health_checks),
+            peer_messages=read.flag("policy_limits.peers", limits.peer_messages),
+            cancellation=read.flag("policy_limits.cancel", limits.cancellation),
             retry_after=read.flag("policy_limits.retry_after", limits.retry_after),
             max_retry_after_us=read.whole("policy_limits.max_retry_after_us", limits.max_retry_after_us),
         ),
-        rules=face.Rules(
+        rules=face.SafetyRules(
             answer_slack_us=read.whole("safety.answer_slack_us", rules.answer_slack_us),
-            ask_within_us=read.whole("safety.ask_within_us", rules.ask_within_us),
-            cold_share=read.number("safety.cold_share", rules.cold_share),
-            warm_after_us=read.whole("safety.warm_after_us", rules.warm_after_us),
+            list_refresh_us=read.whole("safety.ask_within_us", rules.list_refresh_us),
+            slow_start_share=read.number("safety.cold_share", rules.slow_start_share),
+            slow_start_us=read.whole("safety.warm_after_us", rules.slow_start_us),
             drain_grace_us=read.whole("safety.drain_grace_us", rules.drain_grace_us),
-            fall_multiple=read.number("safety.fall_multiple", rules.fall_multiple),
-            fall_after_us=read.whole("safety.overload_for_us", rules.fall_after_us),
+            overload_multiple=read.number("safety.fall_multiple", rules.overload_multiple),
+            overload_after_us=read.whole("safety.overload_for_us", rules.overload_after_us),
         ),
-        ask_for_list=read.pairs.get("discovery", "pushed") == "on_request",
-        report_fields=tuple(
+        polls_endpoint_list=read.pairs.get("discovery", "pushed") == "on_request",
+        load_report_fields=tuple(
             _FIELD_NAMES.get(name, name) for name in read.names("report.fields") if via != "none"
         ),
         pass_through=read.pairs.get("domain.mode", "proxy") == "pass",
         park_us=read.whole("domain.park_us", 0),
-        over_share_worth=read.number("over_share_worth", 0.1),
+        over_share_weight=read.number("over_share_worth", 0.1),
         live_weights=read.pairs.get("weights", "none") == "live",
-        worth_by_work=read.pairs.get("worth_by", "request") == "work",
+        weight_by_work=read.pairs.get("worth_by", "request") == "work",
         tick_us=read.whole("tick_us", 5_000),
     )
--- a/stepflow/traffic/journal.py
+++ b/stepflow/traffic/journal.py
@@ -55,10 +55,24 @@
 
 
 LENGTHS = {
-    Kind.HEADER: 2, Kind.REQUEST: 8, Kind.SEND: 5, Kind.UP: 4, Kind.OUTCOME: 6, Kind.REFUSE: 4, Kind.FAIL: 3,
-    Kind.LEFT: 3, Kind.LOAD: 4, Kind.DELAY: 4, Kind.MOVE: 3, Kind.LIST: 4, Kind.PROBED: 6, Kind.STANDING: 7,
-    Kind.SETTINGS: 3, Kind.LOST: 3, Kind.END: 2,
-}  # fmt: skip
+    Kind.HEADER: 2,
+    Kind.REQUEST: 8,
+    Kind.SEND: 5,
+    Kind.UP: 4,
+    Kind.OUTCOME: 6,
+    Kind.REFUSE: 4,
+    Kind.FAIL: 3,
+    Kind.LEFT: 3,
+    Kind.LOAD: 4,
+    Kind.DELAY: 4,
+    Kind.MOVE: 3,
+    Kind.LIST: 4,
+    Kind.PROBED: 6,
+    Kind.STANDING: 7,
+    Kind.SETTINGS: 3,
+    Kind.LOST: 3,
+    Kind.END: 2,
+}
 """Items of a row of each kind, its kind included; later versions may append some."""
 
 
--- a/stepflow/traffic/recorder.py
+++ b/stepflow/traffic/recorder.py
@@ -7,7 +7,7 @@
 from typing import Any, Final, Protocol
 
 from stepflow import interface as face
-from stepflow.interface import NoteKind
+from stepflow.interface import SessionReportKind
 from stepflow.traffic.journal import VERSION, Kind, block, encode_row, magic
 
 BLOCK_BYTES: Final = 1 << 15  # rows wait until they are so many bytes, or until the next flush
@@ -32,22 +32,22 @@
         self._opening = b""  # of the next file: what held before the rows at hand, not behind them
         self._node, self._began = node, now_us
         self._rows, self._count, self._lost = bytearray(), 0, 0
-        self._servers: dict[face.ServerId, face.Server] = {}
+        self._servers: dict[face.EndpointId, face.Server] = {}
         self._standing: dict[int, list[Any]] = {}  # by request: class, group, server, load
         self._settings = _settings(settings)
         self._takes: dict[type, Callable[[int, Any], None]] = {
             face.Request: self._request,
-            face.Adopted: self._adopted,
-            face.Established: self._established,
-            face.Outcome: self._outcome,
-            face.ClientGone: self._client_gone,
-            face.Note: self._note,
-            face.ServerList: self._server_list,
-            face.Probed: self._probed,
-            face.Send: self._send,
-            face.Refuse: self._refuse,
-            face.Fail: self._fail,
-            face.Move: lambda t, a: self._put(Kind.MOVE, t, a.request),
+            face.SessionAdopted: self._adopted,
+            face.SessionEstablished: self._established,
+            face.AttemptEnded: self._outcome,
+            face.ClientDisconnected: self._client_gone,
+            face.SessionReport: self._note,
+            face.EndpointListUpdate: self._server_list,
+            face.HealthCheckEnded: self._probed,
+            face.StartAttempt: self._send,
+            face.RejectRequest: self._refuse,
+            face.FailRequest: self._fail,
+            face.MigrateSession: lambda t, a: self._put(Kind.MOVE, t, a.request),
         }
 
     @property
@@ -66,9 +66,9 @@
         """A server that the list held before the recording began."""
         self._servers[entry.id] = entry
 
-    def stands(self, now_us: int, request: face.Request, server: face.ServerId, load: float | None) -> None:
+    def stands(self, now_us: int, request: face.Request, server: face.EndpointId, load: float | None) -> None:
         """A connection that stood before the recording began."""
-        self._adopted(now_us - self._began, face.Adopted(request._replace(load=load), server))
+        self._adopted(now_us - self._began, face.SessionAdopted(request._replace(load=load), server))
 
     def take(self, now_us: int, event: face.Event, actions: Iterable[face.Action]) -> None:
         """One event of the module, and what it decided."""
@@ -115,7 +115,7 @@
         header = {"version": VERSION, "node": self._node, "began_us": self._began, **self._settings}
         rows = [encode_row((Kind.HEADER, header))]
         rows.append(
-            encode_row((Kind.LIST, t, int(face.ListForm.FULL), self._entries(self._servers.values())))
+            encode_row((Kind.LIST, t, int(face.ListUpdateKind.FULL), self._entries(self._servers.values())))
         )
         rows += [encode_row((Kind.STANDING, t, id, *told)) for id, told in self._standing.items() if told[2]]
         return block(b"".join(rows), len(rows))
@@ -131,65 +131,67 @@
         return int.from_bytes(digest, "little") >> (64 - GROUP_BITS) or 1
 
     def _request(self, t: int, r: face.Request) -> None:
-        group = self._group(r.group)
-        self._standing[r.id] = [r.cls, group, "", None]
+        group = self._group(r.affinity_group)
+        self._standing[r.id] = [r.class_index, group, "", None]
         wait = r.expires_us - t - self._began
-        self._put(Kind.REQUEST, t, r.id, r.cls, group, wait, r.repeated, r.returned)
+        self._put(Kind.REQUEST, t, r.id, r.class_index, group, wait, r.is_retry, r.is_migrated)
 
-    def _adopted(self, t: int, event: face.Adopted) -> None:
+    def _adopted(self, t: int, event: face.SessionAdopted) -> None:
         r = event.request
-        told = [r.cls, self._group(r.group), str(event.server), r.load]
+        told = [r.class_index, self._group(r.affinity_group), str(event.endpoint), r.load]
         self._standing[r.id] = told
         self._put(Kind.STANDING, t, r.id, *told)
 
-    def _send(self, t: int, action: face.Send) -> None:
-        self._put(Kind.SEND, t, action.request, str(action.server), action.timeout_us)
+    def _send(self, t: int, action: face.StartAttempt) -> None:
+        self._put(Kind.SEND, t, action.request_id, str(action.endpoint), action.timeout_us)
 
-    def _refuse(self, t: int, action: face.Refuse) -> None:
-        self._standing.pop(action.request, None)
-        self._put(Kind.REFUSE, t, action.request, action.retry_after_us)
+    def _refuse(self, t: int, action: face.RejectRequest) -> None:
+        self._standing.pop(action.request_id, None)
+        self._put(Kind.REFUSE, t, action.request_id, action.retry_after_us)
 
-    def _fail(self, t: int, action: face.Fail) -> None:
-        self._standing.pop(action.request, None)
-        self._put(Kind.FAIL, t, action.request)
+    def _fail(self, t: int, action: face.FailRequest) -> None:
+        self._standing.pop(action.request_id, None)
+        self._put(Kind.FAIL, t, action.request_id)
 
-    def _established(self, t: int, event: face.Established) -> None:
-        if (told := self._standing.get(event.request)) is not None:
-            told[2] = str(event.server)
-        self._put(Kind.UP, t, event.request, event.wait_us)
+    def _established(self, t: int, event: face.SessionEstablished) -> None:
+        if (told := self._standing.get(event.request_id)) is not None:
+            told[2] = str(event.endpoint)
+        self._put(Kind.UP, t, event.request_id, event.latency_us)
 
-    def _outcome(self, t: int, event: face.Outcome) -> None:
-        if event.complete:
-            self._standing.pop(event.request, None)
-        self._put(Kind.OUTCOME, t, event.request, int(event.result), event.complete, event.wait_us)
+    def _outcome(self, t: int, event: face.AttemptEnded) -> None:
+        if event.is_final:
+            self._standing.pop(event.request_id, None)
+        self._put(Kind.OUTCOME, t, event.request_id, int(event.result), event.is_final, event.latency_us)
 
-    def _client_gone(self, t: int, event: face.ClientGone) -> None:
-        self._standing.pop(event.request, None)
-        self._put(Kind.LEFT, t, event.request)
+    def _client_gone(self, t: int, event: face.ClientDisconnected) -> None:
+        self._standing.pop(event.request_id, None)
+        self._put(Kind.LEFT, t, event.request_id)
 
-    def _note(self, t: int, event: face.Note) -> None:
-        if event.kind == NoteKind.LOAD:
-            if (told := self._standing.get(event.request)) is not None:
+    def _note(self, t: int, event: face.SessionReport) -> None:
+        if event.kind == SessionReportKind.LOAD:
+            if (told := self._standing.get(event.request_id)) is not None:
                 told[3] = event.value
-            self._put(Kind.LOAD, t, event.request, event.value)
+            self._put(Kind.LOAD, t, event.request_id, event.value)
         else:
-            self._put(Kind.DELAY, t, event.request, event.value)
+            self._put(Kind.DELAY, t, event.request_id, event.value)
 
-    def _server_list(self, t: int, event: face.ServerList) -> None:
-        if event.form == face.ListForm.FAILED:
-            self._put(Kind.LIST, t, int(event.form), [])
+    def _server_list(self, t: int, event: face.EndpointListUpdate) -> None:
+        if event.kind == face.ListUpdateKind.FAILED:
+            self._put(Kind.LIST, t, int(event.kind), [])
             return
-        if event.form != face.ListForm.DELTA:
+        if event.kind != face.ListUpdateKind.DELTA:
             self._servers.clear()
-        for entry in event.servers:
+        for entry in event.endpoints:
             if entry.availability == face.Availability.GONE:
                 self._servers.pop(entry.id, None)
             else:
                 self._servers[entry.id] = entry
-        self._put(Kind.LIST, t, int(event.form), self._entries(event.servers))
+        self._put(Kind.LIST, t, int(event.kind), self._entries(event.endpoints))
 
-    def _probed(self, t: int, event: face.Probed) -> None:
-        self._put(Kind.PROBED, t, str(event.server), int(event.result), event.wait_us, list(event.report))
+    def _probed(self, t: int, event: face.HealthCheckEnded) -> None:
+        self._put(
+            Kind.PROBED, t, str(event.endpoint), int(event.result), event.latency_us, list(event.load_report)
+        )
 
     @staticmethod
     def _entries(servers: Iterable[face.Server]) -> list[list[Any]]:
@@ -201,10 +203,15 @@
     return {
         "zones": settings.zones,
         "kinds": settings.kinds,
-        "fields": settings.report_fields,
+        "fields": settings.load_report_fields,
         "balancers": settings.balancers,
         "classes": [
-            {"name": c.name, "aim_us": c.aim_us, "deadline_us": c.deadline_us, "worth": c.worth}
+            {
+                "name": c.name,
+                "aim_us": c.latency_objective_us,
+                "deadline_us": c.deadline_us,
+                "worth": c.priority_weight,
+            }
             for c in settings.classes
         ],
     }
--- a/stepflow/upstream/endpoint_group.py
+++ b/stepflow/upstream/endpoint_group.py
@@ -6,27 +6,27 @@
 from collections.abc import Sequence
 from typing import Any
 
-from stepflow.address import Endpoint
+from stepflow.address import Address
 from stepflow.interface import Availability, Server
 
 _STATES = {"Ready": Availability.READY, "Terminating": Availability.DRAINING, "Gone": Availability.GONE}
 
 
-class BadList(ValueError):
+class EndpointListError(ValueError):
     """What is wrong with a message of discovery."""
 
 
-class Group:
+class EndpointGroup:
     """The upstream group as discovery last told it."""
 
     def __init__(self, zones: Sequence[str], kinds: Sequence[str]) -> None:
         self.rev = 0
-        self._endpoints: dict[str, Endpoint] = {}
+        self._endpoints: dict[str, Address] = {}
         self._entries: dict[str, object] = {}  # as discovery told them
         self._zones = {name: i for i, name in enumerate(zones)}
         self._kinds = {name: i for i, name in enumerate(kinds)}
 
-    def endpoint(self, peer: str) -> Endpoint | None:
+    def address_of(self, peer: str) -> Address | None:
         return self._endpoints.get(peer)
 
     def message(self) -> dict[str, Any]:
@@ -44,10 +44,10 @@
         call `begins` with counts whatever its version: the source may have begun to count anew.
         """
         if not isinstance(message, dict) or not isinstance(message.get("targets"), list):
-            raise BadList("not an object with targets")
+            raise EndpointListError("not an object with targets")
         rev = message.get("rev", self.rev)
         if not isinstance(rev, int) or isinstance(rev, bool) or rev < 0:
-            raise BadList(f"rev {rev!r} is not a number")
+            raise EndpointListError(f"rev {rev!r} is not a number")
         read = [self._entry(entry) for entry in message["targets"]]
         whole = message.get("all") is True
         if rev < self.rev and not (whole and begins):
@@ -65,22 +65,22 @@
         self.rev = rev
         return whole, tuple(server for server, _ in read)
 
-    def _entry(self, entry: object) -> tuple[Server, Endpoint]:
+    def _entry(self, entry: object) -> tuple[Server, Address]:
         if not isinstance(entry, dict) or not isinstance(entry.get("uid"), str):
-            raise BadList("an entry without uid")
+            raise EndpointListError("an entry without uid")
         uid = entry["uid"]
         state = _STATES.get(str(entry.get("state")))
         if state is None:
-            raise BadList(f"{uid}: state {entry.get('state')!r}")
+            raise EndpointListError(f"{uid}: state {entry.get('state')!r}")
         gone = state == Availability.GONE
         try:
-            endpoint = Endpoint("", 0) if gone else Endpoint.parse(entry.get("endpoint"))
+            endpoint = Address("", 0) if gone else Address.parse(entry.get("endpoint"))
             size = float(entry.get("capacity_hint") or 1.0)
             boot_ms, cell = int(entry.get("boot_ms") or 0), int(entry.get("pod_group") or 0)
         except (TypeError, ValueError, OverflowError) as fault:
-            raise BadList(f"{uid}: {fault}") from None
+            raise EndpointListError(f"{uid}: {fault}") from None
         if not math.isfinite(size):
-            raise BadList(f"{uid}: capacity_hint {size}")
+            raise EndpointListError(f"{uid}: capacity_hint {size}")
         zone = self._zones.setdefault(str(entry.get("az")), len(self._zones))
         kind = self._kinds.setdefault(str(entry.get("model")), len(self._kinds))
         return Server(uid, zone, kind, cell, state, size, boot_ms * 1000), endpoint
--- a/stepflow/upstream/json_stream.py
+++ b/stepflow/upstream/json_stream.py
@@ -10,7 +10,7 @@
 import re
 from collections.abc import Iterator
 
-MOST_BYTES = 1 << 22  # of one value
+MAX_VALUE_BYTES = 1 << 22  # of one value
 MOST_DEPTH = 32  # of brackets: lists need 3, and the parser below recurses
 
 _SPACE = re.compile(rb"[ \t\r\n]*")
@@ -18,14 +18,14 @@
 _INSIDE = re.compile(rb'["\\]')
 
 
-class BadValue(ValueError):
+class JsonStreamError(ValueError):
     """What is wrong with a value of the stream."""
 
 
-class ValueStream:
+class JsonStream:
     """Bytes in, whole values out: objects and arrays, for a plain word's end shows only in what follows."""
 
-    def __init__(self, most: int = MOST_BYTES) -> None:
+    def __init__(self, most: int = MAX_VALUE_BYTES) -> None:
         self._most = most
         self._held = bytearray()
         self._at = 0  # what stands before was looked through
@@ -47,10 +47,10 @@
             try:
                 value = json.loads(text)
             except ValueError as fault:
-                raise BadValue(str(fault)) from None
+                raise JsonStreamError(str(fault)) from None
             yield value
         if len(self._held) > self._most:
-            raise BadValue("an overlong value")
+            raise JsonStreamError("an overlong value")
 
     def _end(self) -> int | None:
         """Where the value under way ends, if that has come."""
@@ -61,7 +61,7 @@
             if not held:
                 return None
             if held[0] not in b"{[":
-                raise BadValue("neither an object nor an array")
+                raise JsonStreamError("neither an object nor an array")
         while self._at < len(held):
             found = (_INSIDE if self._quoted else _OUTSIDE).search(held, self._at)
             if found is None:
@@ -76,7 +76,7 @@
             elif sign in b"{[":
                 self._depth += 1
                 if self._depth > MOST_DEPTH:
-                    raise BadValue("brackets too deep")
+                    raise JsonStreamError("brackets too deep")
             else:
                 self._depth -= 1
                 if not self._depth:
--- a/stepflow/upstream/start_times.py
+++ b/stepflow/upstream/start_times.py
@@ -11,7 +11,7 @@
 
 from collections.abc import Iterable
 
-from stepflow.interface import Server, ServerId
+from stepflow.interface import EndpointId, Server
 
 # A first list tells of starts as recent as this; what seems longer ago is held for an error of a clock.
 PLAUSIBLE_US = 600_000_000
@@ -22,7 +22,7 @@
     """Turns the list's start times into those of one clock, the same for one start each time it is told."""
 
     def __init__(self) -> None:
-        self._local: dict[ServerId, tuple[int, int]] = {}  # a start as it was told, and on the own clock
+        self._local: dict[EndpointId, tuple[int, int]] = {}  # a start as it was told, and on the own clock
         self._least_lag: int | None = None  # from a start to its news, on the two clocks, at the least
         self._any_list = False
 
--- a/stepflow/wire.py
+++ b/stepflow/wire.py
@@ -63,28 +63,44 @@
 def _order(body: memoryview) -> face.Event:
     handle, cls, bits, tenant, effort, expires, key, group = _ORDER.unpack_from(body)
     return face.Request(
-        handle, cls, expires, float(effort) if bits & HINTED else None, tenant, key, group,
-        bool(bits & REPEATED), bool(bits & MID_FLOW), bool(bits & RETURNED),
-    )  # fmt: skip
+        handle,
+        cls,
+        expires,
+        float(effort) if bits & HINTED else None,
+        tenant,
+        key,
+        group,
+        bool(bits & REPEATED),
+        bool(bits & MID_FLOW),
+        bool(bits & RETURNED),
+    )
 
 
 def _handover(body: memoryview) -> face.Event:
     handle, cls, tenant, key, expires, effort, group, bits, server = _HANDOVER.unpack_from(body)
     request = face.Request(
-        handle, cls, expires, float(effort) if bits & HINTED else None, tenant, key, group,
-        bool(bits & REPEATED), bool(bits & MID_FLOW), bool(bits & RETURNED),
-    )  # fmt: skip
-    return face.Adopted(request, server)
+        handle,
+        cls,
+        expires,
+        float(effort) if bits & HINTED else None,
+        tenant,
+        key,
+        group,
+        bool(bits & REPEATED),
+        bool(bits & MID_FLOW),
+        bool(bits & RETURNED),
+    )
+    return face.SessionAdopted(request, server)
 
 
 def _flowing(body: memoryview) -> face.Event:
     handle, wait, server, attempt = _FLOWING.unpack_from(body)
-    return face.Established(handle, attempt, server, wait)
+    return face.SessionEstablished(handle, attempt, server, wait)
 
 
 def _heartbeat(body: memoryview) -> face.Event:
     handle, attempt, server, what, amount = _HEARTBEAT.unpack_from(body)
-    return face.Note(handle, attempt, server, what, amount)
+    return face.SessionReport(handle, attempt, server, what, amount)
 
 
 def _report(body: memoryview, at: int, count: int) -> tuple[float, ...]:
@@ -94,12 +110,12 @@
 def _closed(body: memoryview) -> face.Event:
     handle, server, wait, complete, result, attempt, n = _CLOSED.unpack_from(body)
     report = _report(body, _CLOSED.size, n)
-    return face.Outcome(handle, attempt, server, result, complete != 0, wait, report)
+    return face.AttemptEnded(handle, attempt, server, result, complete != 0, wait, report)
 
 
 def _checked(body: memoryview) -> face.Event:
     server, result, wait, n = _CHECKED.unpack_from(body)
-    return face.Probed(server, result, wait, _report(body, _CHECKED.size, n))
+    return face.HealthCheckEnded(server, result, wait, _report(body, _CHECKED.size, n))
 
 
 def _members(body: memoryview) -> face.Event:
@@ -107,14 +123,16 @@
     end = _MEMBERS.size + count * _ROW.size
     if len(body) < end:
         raise WireError(f"list of {count} entries is cut short")
-    return face.ServerList(form, tuple(map(face.Server._make, _ROW.iter_unpack(body[_MEMBERS.size : end]))))
+    return face.EndpointListUpdate(
+        form, tuple(map(face.Server._make, _ROW.iter_unpack(body[_MEMBERS.size : end])))
+    )
 
 
 def _memo(body: memoryview) -> face.Event:
     peer, n = _MEMO.unpack_from(body)
     if len(body) < _MEMO.size + n:
         raise WireError("peer message is cut short")
-    return face.PeerMessage(peer, bytes(body[_MEMO.size : _MEMO.size + n]))
+    return face.PeerMessageReceived(peer, bytes(body[_MEMO.size : _MEMO.size + n]))
 
 
 def _boot(body: memoryview) -> Boot:
@@ -132,8 +150,8 @@
     FLOWING: _flowing,
     HEARTBEAT: _heartbeat,
     CLOSED: _closed,
-    GONE: lambda body: face.ClientGone(_U64.unpack_from(body)[0]),
-    TIMER: lambda body: face.Timer(_U64.unpack_from(body)[0]),
+    GONE: lambda body: face.ClientDisconnected(_U64.unpack_from(body)[0]),
+    TIMER: lambda body: face.TimerFired(_U64.unpack_from(body)[0]),
     CHECKED: _checked,
     MEMBERS: _members,
     MEMO: _memo,
@@ -182,18 +200,18 @@
 
 
 _ENCODERS: dict[type, Callable[..., bytes]] = {
-    face.Send: lambda a: _ROUTE.pack(10, 18, a.request, a.timeout_us, a.server),
-    face.Refuse: lambda a: _DENY.pack(20, 12, a.request, a.retry_after_us),
-    face.Fail: lambda a: _REQUEST_ONLY.pack(30, 8, a.request),
-    face.Cancel: lambda a: _WITHDRAW.pack(40, 10, a.request, a.attempt),
-    face.Move: lambda a: _REQUEST_ONLY.pack(130, 8, a.request),
+    face.StartAttempt: lambda a: _ROUTE.pack(10, 18, a.request_id, a.timeout_us, a.endpoint),
+    face.RejectRequest: lambda a: _DENY.pack(20, 12, a.request_id, a.retry_after_us),
+    face.FailRequest: lambda a: _REQUEST_ONLY.pack(30, 8, a.request_id),
+    face.CancelAttempt: lambda a: _WITHDRAW.pack(40, 10, a.request_id, a.attempt),
+    face.MigrateSession: lambda a: _REQUEST_ONLY.pack(130, 8, a.request_id),
     face.SetTimer: lambda a: _ARM.pack(50, 12, a.delay_us, a.token),
-    face.Probe: lambda a: _SERVER_ONLY.pack(60, 6, a.server),
-    face.CloseIdle: lambda a: _SERVER_ONLY.pack(70, 6, a.server),
-    face.Tell: lambda a: _TELL.pack(80, 6 + len(a.data), a.peer, len(a.data)) + a.data,
-    face.Watch: lambda a: _TRACK.pack(110, 1, a.on),
-    face.FetchList: lambda a: _EMPTY.pack(120, 0),
-    face.Log: lambda a: _text(90, a.text),
+    face.StartHealthCheck: lambda a: _SERVER_ONLY.pack(60, 6, a.endpoint),
+    face.CloseIdleConnections: lambda a: _SERVER_ONLY.pack(70, 6, a.endpoint),
+    face.SendPeerMessage: lambda a: _TELL.pack(80, 6 + len(a.data), a.peer, len(a.data)) + a.data,
+    face.WatchEndpointList: lambda a: _TRACK.pack(110, 1, a.enabled),
+    face.FetchEndpointList: lambda a: _EMPTY.pack(120, 0),
+    face.LogMessage: lambda a: _text(90, a.text),
 }
 
 
--- a/tests/bench.py
+++ b/tests/bench.py
@@ -14,7 +14,7 @@
 
 
 def entry(
-    id: face.ServerId, *, state: int = 0, started: int = 0, zone: int = 0, cell: int = 0, size: float = 1.0
+    id: face.EndpointId, *, state: int = 0, started: int = 0, zone: int = 0, cell: int = 0, size: float = 1.0
 ) -> face.Server:
     """A line of the list."""
     return face.Server(id, zone, 0, cell, state, size, started)
@@ -33,7 +33,7 @@
         self.now = START
         self.done: list[face.Action] = []
         self.feed(face.Started())
-        self.feed(face.ServerList(face.ListForm.CACHED, tuple(servers)))
+        self.feed(face.EndpointListUpdate(face.ListUpdateKind.CACHED, tuple(servers)))
 
     def feed(self, event: face.Event) -> list[face.Action]:
         """Feed one event at the present time."""
@@ -41,9 +41,9 @@
         self.done.extend(actions)
         return actions
 
-    def news(self, *servers: face.Server, form: int = face.ListForm.DELTA) -> list[face.Action]:
+    def news(self, *servers: face.Server, form: int = face.ListUpdateKind.DELTA) -> list[face.Action]:
         """News of the list."""
-        return self.feed(face.ServerList(form, servers))
+        return self.feed(face.EndpointListUpdate(form, servers))
 
     def request(self, id: int, cls: int = 0, wait_us: int = 2 * SECOND, **more: Any) -> list[face.Action]:
         """A new request."""
@@ -52,17 +52,17 @@
     def tick(self, seconds: float = 0.5) -> list[face.Action]:
         """Let time pass, then step."""
         self.now += int(seconds * SECOND)
-        return self.feed(face.Timer(0))
+        return self.feed(face.TimerFired(0))
 
-    def up(self, send: face.Send, attempt: int = 0) -> list[face.Action]:
+    def up(self, send: face.StartAttempt, attempt: int = 0) -> list[face.Action]:
         """The attempt's connection stands."""
-        return self.feed(face.Established(send.request, attempt, send.server, 20_000))
+        return self.feed(face.SessionEstablished(send.request_id, attempt, send.endpoint, 20_000))
 
     def end(
-        self, send: face.Send, result: int, attempt: int = 0, complete: bool = False
+        self, send: face.StartAttempt, result: int, attempt: int = 0, complete: bool = False
     ) -> list[face.Action]:
         """The attempt ends."""
-        return self.feed(face.Outcome(send.request, attempt, send.server, result, complete, 20_000))
+        return self.feed(face.AttemptEnded(send.request_id, attempt, send.endpoint, result, complete, 20_000))
 
 
 def only(kind: type[A], actions: Iterable[object]) -> list[A]:
--- a/tests/node_kit.py
+++ b/tests/node_kit.py
@@ -108,9 +108,15 @@
 
     def entry(self, state: str = "Ready") -> dict[str, Any]:
         return {
-            "uid": self.uid, "endpoint": self.address, "az": "a", "model": "k", "pod_group": 0,
-            "state": state, "capacity_hint": 1.0, "boot_ms": 0,
-        }  # fmt: skip
+            "uid": self.uid,
+            "endpoint": self.address,
+            "az": "a",
+            "model": "k",
+            "pod_group": 0,
+            "state": state,
+            "capacity_hint": 1.0,
+            "boot_ms": 0,
+        }
 
     def serve(self, line: Line) -> None:
         stood = opened = False
@@ -190,10 +196,15 @@
         self.discovery: Discovery | None = discovery or Discovery()
         known = {"rev": 1, "all": True, "targets": [peer.entry() for peer in peers]}
         self.config: dict[str, Any] = {
-            "name": "n0", "listen": "127.0.0.1:0", "discovery": self.discovery.address, "seed": "5",
-            "ops": "127.0.0.1:0", "limits": {"sockets": 1024}, "known": known,
+            "name": "n0",
+            "listen": "127.0.0.1:0",
+            "discovery": self.discovery.address,
+            "seed": "5",
+            "ops": "127.0.0.1:0",
+            "limits": {"sockets": 1024},
+            "known": known,
             "settings": json.loads(json.dumps(SETTINGS)),
-        }  # fmt: skip
+        }
         if change is not None:
             change(self.config)
         self.folder = tempfile.mkdtemp()
--- a/tests/test_any_settings.py
+++ b/tests/test_any_settings.py
@@ -8,7 +8,7 @@
 import pytest
 
 from stepflow import interface as face
-from stepflow.interface import Availability, ListForm, NoteKind, Result
+from stepflow.interface import AttemptResult, Availability, ListUpdateKind, SessionReportKind
 from stepflow.policy import Policy
 from stepflow.settings import follow, node_settings
 
@@ -24,31 +24,48 @@
 
     classes = [
         {
-            "name": f"c{number}", "aim_us": one(0, 50_000), "give_up_us": one(1, 200_000, 60_000_000),
-            "effect": one("repeatable", "by_key", "once"), "key_scope": one("cell", "zone", "all"),
-            "key_ttl_us": one(0, 1, 5_000_000), "credit": one(0.0, 1.0, 1e9),
+            "name": f"c{number}",
+            "aim_us": one(0, 50_000),
+            "give_up_us": one(1, 200_000, 60_000_000),
+            "effect": one("repeatable", "by_key", "once"),
+            "key_scope": one("cell", "zone", "all"),
+            "key_ttl_us": one(0, 1, 5_000_000),
+            "credit": one(0.0, 1.0, 1e9),
         }
         for number in range(rng.randrange(5))
-    ]  # fmt: skip
+    ]
     tenants = [{"name": f"t{n}", "fraction": one(0.0, 0.5, 1.0)} for n in range(rng.randrange(4))]
     costs = ("cross_zone", "late_fail", "moves", "peer", "probe", "waste")
     return {
-        "group_size": one(1, 3, 200), "position": one(0, 199), "zone": one(0, 5), "azs": one([], ["a", "b"]),
-        "kinds": one([], ["k", "j"]), "classes": classes, "tenants": tenants,
+        "group_size": one(1, 3, 200),
+        "position": one(0, 199),
+        "zone": one(0, 5),
+        "azs": one([], ["a", "b"]),
+        "kinds": one([], ["k", "j"]),
+        "classes": classes,
+        "tenants": tenants,
         "costs": {name: one(0.0, 1e-12, 0.004, 1.0) for name in costs},
         "policy_limits": {
-            "most_tries": one(1, 6), "probing": one(True, False), "cancel": one(True, False),
-            "retry_after": one(True, False), "max_retry_after_us": one(0, 1, 1_500_000),
+            "most_tries": one(1, 6),
+            "probing": one(True, False),
+            "cancel": one(True, False),
+            "retry_after": one(True, False),
+            "max_retry_after_us": one(0, 1, 1_500_000),
         },
         "safety": {
-            "ask_within_us": one(0, 1, 8_000_000), "cold_share": one(0.0, 0.13, 1.0),
-            "warm_after_us": one(0, 1, 23_000_000), "drain_grace_us": one(0, 4_000_000),
-            "fall_multiple": one(0.01, 2.5), "overload_for_us": one(0, 1_500_000),
+            "ask_within_us": one(0, 1, 8_000_000),
+            "cold_share": one(0.0, 0.13, 1.0),
+            "warm_after_us": one(0, 1, 23_000_000),
+            "drain_grace_us": one(0, 4_000_000),
+            "fall_multiple": one(0.01, 2.5),
+            "overload_for_us": one(0, 1_500_000),
         },
         "report": {"fields": rng.sample(FIELDS, rng.randrange(5)), "via": one("none", "probe", "answer")},
         "domain": {"mode": one("proxy", "pass"), "message_aim_us": [one(0, 50_000.0) for _ in classes]},
-        "discovery": one("pushed", "on_request"), "weights": one("none", "live"), "tick_us": one(1, 50_000),
-    }  # fmt: skip
+        "discovery": one("pushed", "on_request"),
+        "weights": one("none", "live"),
+        "tick_us": one(1, 50_000),
+    }
 
 
 class Story:
@@ -58,38 +75,42 @@
         self.rng = rng = random.Random(seed)
         self.settings = node_settings(tree(rng)).module
         self.policy, self.now, self.ids = Policy(self.settings, seed), 1_000_000_000, 0
-        self.out: dict[int, face.ServerId] = {}
-        self.up: dict[int, tuple[int, face.ServerId]] = {}
+        self.out: dict[int, face.EndpointId] = {}
+        self.up: dict[int, tuple[int, face.EndpointId]] = {}
         self.timers: list[tuple[int, int]] = []
         self.answered: set[int] = set()
         self.feed(face.Started())
-        self.feed(face.ServerList(ListForm.CACHED, self.entries()))
+        self.feed(face.EndpointListUpdate(ListUpdateKind.CACHED, self.entries()))
 
     def feed(self, event: face.Event) -> None:
         for action in self.policy.handle(self.now, event):
             if isinstance(action, face.SetTimer):
                 assert action.delay_us >= 0
                 self.timers.append((self.now + action.delay_us, action.token))
-            elif isinstance(action, face.Send):
-                assert action.request not in self.out
-                self.out[action.request] = action.server
-            elif isinstance(action, (face.Refuse, face.Fail)):
-                assert action.request not in self.answered
-                self.answered.add(action.request)
+            elif isinstance(action, face.StartAttempt):
+                assert action.request_id not in self.out
+                self.out[action.request_id] = action.endpoint
+            elif isinstance(action, (face.RejectRequest, face.FailRequest)):
+                assert action.request_id not in self.answered
+                self.answered.add(action.request_id)
 
     def entries(self) -> tuple[face.Server, ...]:
         rng = self.rng
         return tuple(
             face.Server(
-                f"s{rng.randrange(9)}", rng.randrange(3), rng.randrange(2), rng.randrange(3),
-                rng.choice(list(Availability)), rng.choice([0.0, 1.0, 1e9]),
+                f"s{rng.randrange(9)}",
+                rng.randrange(3),
+                rng.randrange(2),
+                rng.randrange(3),
+                rng.choice(list(Availability)),
+                rng.choice([0.0, 1.0, 1e9]),
                 rng.choice([0, self.now - 1000, self.now, self.now + 5_000_000]),
             )
             for _ in range(rng.randrange(8))
-        )  # fmt: skip
+        )
 
     def report(self) -> tuple[float, ...]:
-        return tuple(self.rng.choice(VALUES) for _ in self.settings.report_fields)
+        return tuple(self.rng.choice(VALUES) for _ in self.settings.load_report_fields)
 
     def step(self) -> None:
         rng = self.rng
@@ -97,7 +118,7 @@
         due = [timer for timer in self.timers if timer[0] <= self.now]
         self.timers = [timer for timer in self.timers if timer[0] > self.now]
         for _, token in due:
-            self.feed(face.Timer(token))
+            self.feed(face.TimerFired(token))
         rng.choice([self.comes, self.comes, self.answer, self.end, self.tell, self.list, self.leave])()
 
     def comes(self) -> None:
@@ -116,32 +137,32 @@
         server, flight = self.out.pop(id), self.policy.flights[id]
         number = flight.attempts - 1
         if self.rng.random() < 0.5:
-            self.feed(face.Established(id, number, server, self.rng.choice([0, 900_000])))
-            kind = self.rng.choice(list(NoteKind))
-            self.feed(face.Note(id, number, server, kind, self.rng.choice(VALUES)))
+            self.feed(face.SessionEstablished(id, number, server, self.rng.choice([0, 900_000])))
+            kind = self.rng.choice(list(SessionReportKind))
+            self.feed(face.SessionReport(id, number, server, kind, self.rng.choice(VALUES)))
             self.up[id] = number, server
         else:
-            result = self.rng.choice(list(Result))
-            self.feed(face.Outcome(id, number, server, result, id in self.answered, 1000, self.report()))
+            result = self.rng.choice(list(AttemptResult))
+            self.feed(face.AttemptEnded(id, number, server, result, id in self.answered, 1000, self.report()))
 
     def end(self) -> None:
         if self.up:
             id = self.rng.choice(list(self.up))
             number, server = self.up.pop(id)
-            result = self.rng.choice([Result.OK, Result.RESET, Result.CANCELLED])
-            self.feed(face.Outcome(id, number, server, result, True, 1000))
+            result = self.rng.choice([AttemptResult.OK, AttemptResult.RESET, AttemptResult.CANCELLED])
+            self.feed(face.AttemptEnded(id, number, server, result, True, 1000))
 
     def tell(self) -> None:
-        result = self.rng.choice(list(Result))
-        self.feed(face.Probed(f"s{self.rng.randrange(9)}", result, 500, self.report()))
+        result = self.rng.choice(list(AttemptResult))
+        self.feed(face.HealthCheckEnded(f"s{self.rng.randrange(9)}", result, 500, self.report()))
 
     def list(self) -> None:
-        self.feed(face.ServerList(self.rng.choice(list(ListForm)), self.entries()))
+        self.feed(face.EndpointListUpdate(self.rng.choice(list(ListUpdateKind)), self.entries()))
 
     def leave(self) -> None:
         """A client goes, or new settings come."""
         if self.rng.random() < 0.5:
-            self.feed(face.ClientGone(self.rng.randint(1, max(1, self.ids))))
+            self.feed(face.ClientDisconnected(self.rng.randint(1, max(1, self.ids))))
         else:
             self.settings = follow(self.settings, node_settings(tree(self.rng)).module)
             self.policy.retune(self.settings)
--- a/tests/test_asking.py
+++ b/tests/test_asking.py
@@ -13,7 +13,7 @@
 from twisted.internet.task import Clock as VirtualClock
 from twisted.python.failure import Failure
 
-from stepflow.address import Endpoint
+from stepflow.address import Address
 from stepflow.node.core import Core, Uplink
 from stepflow.node.discovery import DiscoveryClient
 from stepflow.node.runtime.clock import Clock
@@ -21,7 +21,7 @@
 from stepflow.node.runtime.timers import Deadlines
 from stepflow.node.runtime.transports import Reactor
 from stepflow.policy import Policy
-from stepflow.upstream import Group
+from stepflow.upstream import EndpointGroup
 from tests.bench import plain_settings
 
 HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
@@ -177,7 +177,9 @@
             policy = Policy(settings, seed * 1000 + number)
             counters = Counters()
             core = Core(policy, settings, time, deadlines, counters, 8)
-            client = DiscoveryClient(reactor, Endpoint("h", 1), Group((), ()), core, deadlines, counters)
+            client = DiscoveryClient(
+                reactor, Address("h", 1), EndpointGroup((), ()), core, deadlines, counters
+            )
             core.start(cast(Uplink, None), client, ())
             self.clients.append(client)
 
@@ -229,7 +231,7 @@
     nodes.run(20)
     nodes.source.become("up")
     for client in nodes.clients:
-        client.move(Endpoint("h", 2))
+        client.move(Address("h", 2))
     nodes.run(2)
     assert 0 < nodes.worst < 2
 
