--- a/tests/test_cold_sum.py
+++ b/tests/test_cold_sum.py
@@ -9,21 +9,23 @@
 import pytest
 
 from stepflow import interface as face
-from stepflow.interface import Result
+from stepflow.interface import AttemptResult
 from stepflow.policy import Policy
 from tests.bench import SECOND, START, entry
 
 FULL = 40.0  # connections of mean load that fill a server, where nothing else is said
-RULES = face.Rules(cold_share=0.3, warm_after_us=8 * SECOND, fall_multiple=2.5, fall_after_us=1_500_000)
-WINDOW_US, STEP_US = RULES.fall_after_us, 50_000
+RULES = face.SafetyRules(
+    slow_start_share=0.3, slow_start_us=8 * SECOND, overload_multiple=2.5, overload_after_us=1_500_000
+)
+WINDOW_US, STEP_US = RULES.overload_after_us, 50_000
 
 
 def allowed(now: int, started: int, full: float = FULL) -> float:
     """N: what the settings allow within the window that ends now, for a server that started then."""
-    age = (now - started) / RULES.warm_after_us
-    warmth = min(1.0, RULES.cold_share + (1 - RULES.cold_share) * age)
-    rate = full / (RULES.warm_after_us / SECOND)  # fills it over its warm-up
-    return RULES.fall_multiple * warmth * rate * WINDOW_US / SECOND
+    age = (now - started) / RULES.slow_start_us
+    warmth = min(1.0, RULES.slow_start_share + (1 - RULES.slow_start_share) * age)
+    rate = full / (RULES.slow_start_us / SECOND)  # fills it over its warm-up
+    return RULES.overload_multiple * warmth * rate * WINDOW_US / SECOND
 
 
 @dataclass
@@ -44,7 +46,7 @@
     def __post_init__(self) -> None:
         self.rng, self.now, self.ids = random.Random(self.seed), START, 0
         self.settings = face.Settings(
-            balancers=self.nodes, report_fields=("x0",), rules=RULES, prices=face.Prices(probe=0.004)
+            balancers=self.nodes, load_report_fields=("x0",), rules=RULES, prices=face.Prices(probe=0.004)
         )
         self.started = dict.fromkeys(range(self.servers), 0)
         self.open = dict.fromkeys(self.started, 0)
@@ -55,14 +57,18 @@
             node, server = self.pick(), self.rng.randrange(self.servers)
             self.ids += 1
             self.open[server] += 1
-            self.feed(node, face.Adopted(face.Request(self.ids, 0, 0, 1.0), server))
+            self.feed(node, face.SessionAdopted(face.Request(self.ids, 0, 0, 1.0), server))
 
     def begin(self, node: int) -> Policy:
         """A new process."""
         self.timers[node] = {}
         policy = Policy(self.settings, self.seed * 1000 + node + self.now)
         self.run(node, policy.handle(self.now, face.Started()), policy)
-        self.run(node, policy.handle(self.now, face.ServerList(face.ListForm.CACHED, self.listed())), policy)
+        self.run(
+            node,
+            policy.handle(self.now, face.EndpointListUpdate(face.ListUpdateKind.CACHED, self.listed())),
+            policy,
+        )
         return policy
 
     def listed(self) -> tuple[face.Server, ...]:
@@ -79,15 +85,19 @@
         for action in actions:
             if isinstance(action, face.SetTimer):
                 self.timers[node][action.token] = self.now + action.delay_us
-            elif isinstance(action, face.Probe):
-                warmth = allowed(self.now, self.started[action.server]) / allowed(self.now, 0)
-                x0 = self.open[action.server] / self.full / (warmth if self.started[action.server] else 1.0)
-                event = face.Probed(action.server, Result.OK, 500, (x0,))
+            elif isinstance(action, face.StartHealthCheck):
+                warmth = allowed(self.now, self.started[action.endpoint]) / allowed(self.now, 0)
+                x0 = (
+                    self.open[action.endpoint]
+                    / self.full
+                    / (warmth if self.started[action.endpoint] else 1.0)
+                )
+                event = face.HealthCheckEnded(action.endpoint, AttemptResult.OK, 500, (x0,))
                 self.run(node, policy.handle(self.now, event), policy)
-            elif isinstance(action, face.Send):
-                self.sent.setdefault(action.server, []).append(self.now)
-                self.open[action.server] += 1
-                up = face.Established(action.request, 0, action.server, 20_000)
+            elif isinstance(action, face.StartAttempt):
+                self.sent.setdefault(action.endpoint, []).append(self.now)
+                self.open[action.endpoint] += 1
+                up = face.SessionEstablished(action.request_id, 0, action.endpoint, 20_000)
                 self.run(node, policy.handle(self.now, up), policy)
 
     def pass_time(self, seconds: float, rate: float, returned: bool = False) -> None:
@@ -97,11 +107,11 @@
             for node, timers in enumerate(self.timers):
                 for token in [token for token, due in timers.items() if due <= self.now]:
                     del timers[token]
-                    self.feed(node, face.Timer(token))
+                    self.feed(node, face.TimerFired(token))
             expected = rate * STEP_US / SECOND
             for _ in range(int(expected) + (self.rng.random() < expected % 1)):
                 self.ids += 1
-                request = face.Request(self.ids, 0, self.now + 2 * SECOND, 1.0, returned=returned)
+                request = face.Request(self.ids, 0, self.now + 2 * SECOND, 1.0, is_migrated=returned)
                 self.feed(self.pick(), request)
 
     def end_some(self, share: float) -> None:
@@ -111,7 +121,7 @@
                 assert flight.server is not None
                 self.open[flight.server.id] -= 1
                 id = flight.request.id
-                end = face.Outcome(id, flight.attempts - 1, flight.server.id, Result.OK, True, 0)
+                end = face.AttemptEnded(id, flight.attempts - 1, flight.server.id, AttemptResult.OK, True, 0)
                 self.feed(node, end)
 
     def start_cold(self, *servers: int) -> None:
@@ -123,11 +133,11 @@
         for node, policy in enumerate(self.policies):
             for flight in [f for f in policy.flights.values() if f.server and f.server.id in servers]:
                 assert flight.server is not None
-                end = face.Outcome(
-                    flight.request.id, flight.attempts - 1, flight.server.id, Result.RESET, True, 0
+                end = face.AttemptEnded(
+                    flight.request.id, flight.attempts - 1, flight.server.id, AttemptResult.RESET, True, 0
                 )
                 self.feed(node, end)
-            self.feed(node, face.ServerList(face.ListForm.DELTA, news))
+            self.feed(node, face.EndpointListUpdate(face.ListUpdateKind.DELTA, news))
 
     def restart(self, nodes: int) -> int:
         """So many nodes are killed and begin anew; tells how many connections they held."""
@@ -147,7 +157,7 @@
             if not self.started[server]:
                 continue
             for i, end in enumerate(times):
-                if end - self.started[server] >= RULES.warm_after_us:
+                if end - self.started[server] >= RULES.slow_start_us:
                     break
                 count = sum(end - t < WINDOW_US for t in times[: i + 1])
                 n = allowed(end, self.started[server], self.full)
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -75,9 +75,15 @@
 
     def entry(self, state: str = "Ready") -> dict[str, Any]:
         return {
-            "uid": self.uid, "endpoint": self.address, "az": "a", "model": "k", "pod_group": 0,
-            "state": state, "capacity_hint": 1.0, "boot_ms": 0,
-        }  # fmt: skip
+            "uid": self.uid,
+            "endpoint": self.address,
+            "az": "a",
+            "model": "k",
+            "pod_group": 0,
+            "state": state,
+            "capacity_hint": 1.0,
+            "boot_ms": 0,
+        }
 
     def open(self, patience: float = PATIENCE) -> Line:
         """Let the next connection come up, and take it."""
--- a/tests/test_daemon.py
+++ b/tests/test_daemon.py
@@ -89,8 +89,11 @@
     """Run one command to its end."""
     return subprocess.run(
         [sys.executable, "-m", "stepflow", *words],
-        capture_output=True, text=True, timeout=60, env={**os.environ, **env},
-    )  # fmt: skip
+        capture_output=True,
+        text=True,
+        timeout=60,
+        env={**os.environ, **env},
+    )
 
 
 def test_check_names_each_file_that_would_not_be_taken(tmp_path: Path) -> None:
--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -39,30 +39,55 @@
 EMPTY = (Fault("zone", 6, 1, part=0.2), Fault("restart", 8, 1, part=0.7, at_once=0.7))
 CHANGED: list[tuple[str, str, tuple[Fault, ...], dict[str, str]]] = [
     ("sent after a drain was told, s", "join", (), {READY: "server.id in tried"}),
-    ("work sent to a cold server, of what makes it fall", "join", EMPTY, {
-        "return self.warm(server) or server.budget >= min(1.0, weight)": "return True",
-        "return harm(load) + crossing + 0.1 * load": "return self.warm(server) + 0.0",
-    }),
-    ("attempts of one request over its limit", "calm", (Fault("errors", 5, 20, part=1.0, share=1.0),), {
-        OUT: "if flight.out:",
-    }),
-    ("attempts while one was out", "split", (), {
-        OUT: "if flight.attempts >= flight.limit:",
-        "elif not flight.out:\n": "else:\n",
-    }),
-    ("answers too many", "zone", (), {
-        TIMER.format(" or flight.answered"): TIMER.format(""),
-        "        if not flight.out:\n            self.drop(flight)\n        elif": "        if",
-    }),
-    ("moves of what does not stand", "zone", JAMMED, {
-        "if f.up and not f.answered]": "if not f.answered]",
-        "pays = self.settings": "pays = True or self.settings",
-    }),
-    ("requests without an answer", "zone", (), {
-        "self.place(flight)\n\n    def on_adopted": "pass\n\n    def on_adopted",
-        GUARD: GUARD.replace("self.wake(", "(lambda *_: 0)("),
-    }),
-]  # fmt: skip
+    (
+        "work sent to a cold server, of what makes it fall",
+        "join",
+        EMPTY,
+        {
+            "return self.warm(server) or server.budget >= min(1.0, weight)": "return True",
+            "return harm(load) + crossing + 0.1 * load": "return self.warm(server) + 0.0",
+        },
+    ),
+    (
+        "attempts of one request over its limit",
+        "calm",
+        (Fault("errors", 5, 20, part=1.0, share=1.0),),
+        {OUT: "if flight.out:"},
+    ),
+    (
+        "attempts while one was out",
+        "split",
+        (),
+        {OUT: "if flight.attempts >= flight.limit:", "elif not flight.out:\n": "else:\n"},
+    ),
+    (
+        "answers too many",
+        "zone",
+        (),
+        {
+            TIMER.format(" or flight.answered"): TIMER.format(""),
+            "        if not flight.out:\n            self.drop(flight)\n        elif": "        if",
+        },
+    ),
+    (
+        "moves of what does not stand",
+        "zone",
+        JAMMED,
+        {
+            "if f.up and not f.answered]": "if not f.answered]",
+            "pays = self.settings": "pays = True or self.settings",
+        },
+    ),
+    (
+        "requests without an answer",
+        "zone",
+        (),
+        {
+            "self.place(flight)\n\n    def on_session_adopted": "pass\n\n    def on_session_adopted",
+            GUARD: GUARD.replace("self.wake(", "(lambda *_: 0)("),
+        },
+    ),
+]
 
 
 @pytest.mark.parametrize(("rule", "name", "faults", "changes"), CHANGED, ids=[one[0] for one in CHANGED])
@@ -93,7 +118,7 @@
     referee.begins(0, 1, face.Settings(limits=face.Limits(max_attempts=2)))
     for second, event in enumerate(events):
         if isinstance(event, face.Action):
-            referee.heard(second * SECOND, 0, face.Timer(0), [event])
+            referee.heard(second * SECOND, 0, face.TimerFired(0), [event])
         else:
             referee.heard(second * SECOND, 0, event, [])
     referee.close(60 * SECOND, [])
@@ -104,33 +129,55 @@
     return face.Request(1, 0, expires * SECOND)
 
 
-FULL, DELTA = face.ListForm.FULL, face.ListForm.DELTA
-BACK = face.Outcome(1, 0, "a", face.Result.FULL, False, 0)
-UP = face.Established(1, 0, "a", 0)
+FULL, DELTA = face.ListUpdateKind.FULL, face.ListUpdateKind.DELTA
+BACK = face.AttemptEnded(1, 0, "a", face.AttemptResult.FULL, False, 0)
+UP = face.SessionEstablished(1, 0, "a", 0)
 
 
 @pytest.mark.parametrize(
     ("events", "broken"),
     [
-        ([request(), face.Send(1, "a", 0), BACK, face.Refuse(1)], []),
-        ([request(), face.Send(1, "b", 0), BACK, face.Refuse(1)], ["unlisted"]),
+        ([request(), face.StartAttempt(1, "a", 0), BACK, face.RejectRequest(1)], []),
+        ([request(), face.StartAttempt(1, "b", 0), BACK, face.RejectRequest(1)], ["unlisted"]),
         ([request()], ["lost"]),
-        ([request(), face.ClientGone(1)], []),
-        ([request(), face.Refuse(1), face.Refuse(1)], ["twice"]),
-        ([request(), face.Refuse(1), face.Send(1, "a", 0)], ["twice"]),
-        ([request(2), face.Send(1, "a", 0), UP], ["late"]),
-        ([request(1), face.Send(1, "a", 0), BACK, face.Fail(1)], ["late"]),
-        ([request(), face.Send(1, "a", 0), face.Send(1, "a", 0), face.Fail(1)], ["overlap"]),
-        ([request(), face.Move(1), face.Fail(1)], ["moves"]),
-        ([request(), face.Send(1, "a", 0), UP, face.Move(1)], []),
-        ([request(), *[face.Send(1, "a", 0), BACK] * 3, face.Fail(1)], ["attempts"]),
-        ([face.ServerList(DELTA, (entry("a", state=1),)), request(), face.Send(1, "a", 0), UP], ["drained"]),
-        ([face.ServerList(FULL, (entry("b"),)), request(), face.Send(1, "a", 0), UP], ["drained"]),
-        ([face.ServerList(face.ListForm.FAILED, ()), request(), face.Send(1, "a", 0), UP], []),
+        ([request(), face.ClientDisconnected(1)], []),
+        ([request(), face.RejectRequest(1), face.RejectRequest(1)], ["twice"]),
+        ([request(), face.RejectRequest(1), face.StartAttempt(1, "a", 0)], ["twice"]),
+        ([request(2), face.StartAttempt(1, "a", 0), UP], ["late"]),
+        ([request(1), face.StartAttempt(1, "a", 0), BACK, face.FailRequest(1)], ["late"]),
+        (
+            [request(), face.StartAttempt(1, "a", 0), face.StartAttempt(1, "a", 0), face.FailRequest(1)],
+            ["overlap"],
+        ),
+        ([request(), face.MigrateSession(1), face.FailRequest(1)], ["moves"]),
+        ([request(), face.StartAttempt(1, "a", 0), UP, face.MigrateSession(1)], []),
+        ([request(), *[face.StartAttempt(1, "a", 0), BACK] * 3, face.FailRequest(1)], ["attempts"]),
+        (
+            [
+                face.EndpointListUpdate(DELTA, (entry("a", state=1),)),
+                request(),
+                face.StartAttempt(1, "a", 0),
+                UP,
+            ],
+            ["drained"],
+        ),
+        (
+            [face.EndpointListUpdate(FULL, (entry("b"),)), request(), face.StartAttempt(1, "a", 0), UP],
+            ["drained"],
+        ),
+        (
+            [
+                face.EndpointListUpdate(face.ListUpdateKind.FAILED, ()),
+                request(),
+                face.StartAttempt(1, "a", 0),
+                UP,
+            ],
+            [],
+        ),
     ],
 )
 def test_the_referee_tells_right_from_wrong(events: list[face.Event], broken: list[str]) -> None:
-    referee = heard(face.ServerList(FULL, (entry("a"),)), *events)
+    referee = heard(face.EndpointListUpdate(FULL, (entry("a"),)), *events)
     assert [name for name, rule in vars(referee).items() if isinstance(rule, Rule) and rule.broken] == broken
 
 
--- a/tests/test_failing_calls.py
+++ b/tests/test_failing_calls.py
@@ -203,9 +203,10 @@
     node.write()
     with open("/dev/full", "w") as full:
         process = subprocess.Popen(
-            [sys.executable, "-m", "stepflow"], env={**os.environ, "GW_CONFIG": node._path, **node.env},
+            [sys.executable, "-m", "stepflow"],
+            env={**os.environ, "GW_CONFIG": node._path, **node.env},
             stderr=full,
-        )  # fmt: skip
+        )
     try:
         until = time.monotonic() + PATIENCE
         while True:
--- a/tests/test_fit.py
+++ b/tests/test_fit.py
@@ -63,9 +63,13 @@
 def test_a_fit_finds_again_what_made_the_trace(trace: Trace) -> None:
     found = fit(trace)
     for name, true in {
-        "rate": 9.0, "life": 25.0, "utilization": 0.5, "life of view, s": 25 / 1.4,
-        "life of save-edge, s": 50 / 1.4, "a load holds, s": 12.0,
-    }.items():  # fmt: skip
+        "rate": 9.0,
+        "life": 25.0,
+        "utilization": 0.5,
+        "life of view, s": 25 / 1.4,
+        "life of save-edge, s": 50 / 1.4,
+        "a load holds, s": 12.0,
+    }.items():
         one = found.of(name)
         assert one.low * 0.93 <= true <= one.high * 1.07, one
     view, save = found.classes["view"], found.classes["save-edge"]
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -95,9 +95,14 @@
 
 
 FAULTS = [
-    Fault("hang", 4, 5, 0.2), Fault("restart", 4, 6, 0.99), Fault("burst", 4, 4, times=2.2),
-    Fault("list-down", 3, 8), Fault("drain", 4, 6, 0.2), Fault("start", 4, 1, 0.2), Fault("crash", 4, 1, 0.2),
-]  # fmt: skip
+    Fault("hang", 4, 5, 0.2),
+    Fault("restart", 4, 6, 0.99),
+    Fault("burst", 4, 4, times=2.2),
+    Fault("list-down", 3, 8),
+    Fault("drain", 4, 6, 0.2),
+    Fault("start", 4, 1, 0.2),
+    Fault("crash", 4, 1, 0.2),
+]
 
 
 @pytest.mark.parametrize("fault", FAULTS, ids=lambda fault: fault.what)
@@ -139,8 +144,8 @@
             if isinstance(event, face.Request):
                 self.came[node, event.id] = [now, 0]
             for action in actions:
-                if isinstance(action, face.Send):
-                    self.came[node, action.request][1] += 1
+                if isinstance(action, face.StartAttempt):
+                    self.came[node, action.request_id][1] += 1
 
         def close(self, now: int, servers: object) -> None:
             tries.extend((at, count) for at, count in self.came.values())
@@ -157,8 +162,8 @@
     feed = world.feed
 
     def fed(node: Any, event: face.Event) -> None:
-        if isinstance(event, face.Note) and event.kind == face.NoteKind.LOAD:
-            client = node.clients[event.request]
+        if isinstance(event, face.SessionReport) and event.kind == face.SessionReportKind.LOAD:
+            client = node.clients[event.request_id]
             told.append((world.now, event.value, client.load * 1000))
         feed(node, event)
 
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -24,8 +24,11 @@
         (folder / "KNOWN-RED.txt").write_text(lines)
     done = subprocess.run(
         [sys.executable, "-m", "pytest", "-q", "-p", "no:cacheprovider", "tests"],
-        cwd=folder, capture_output=True, text=True, check=False,
-    )  # fmt: skip
+        cwd=folder,
+        capture_output=True,
+        text=True,
+        check=False,
+    )
     return done.returncode, done.stdout + done.stderr
 
 
--- a/tests/test_listener.py
+++ b/tests/test_listener.py
@@ -8,7 +8,7 @@
 from twisted.internet.protocol import Factory, Protocol
 from twisted.internet.testing import MemoryReactorClock
 
-from stepflow.address import Endpoint
+from stepflow.address import Address
 from stepflow.node.clients.listener import ClientPort, listen
 from stepflow.node.runtime.counters import Counters
 from stepflow.node.runtime.transports import Reactor
@@ -33,7 +33,7 @@
     """The reactor closes whatever raises when it is read."""
     factory, counters = Moody(), Counters()
     reactor = cast(Reactor, MemoryReactorClock())  # type: ignore[no-untyped-call]
-    port = cast(ClientPort, listen(reactor, Endpoint("127.0.0.1", 0), factory, counters))
+    port = cast(ClientPort, listen(reactor, Address("127.0.0.1", 0), factory, counters))
     clients = [socket.create_connection(port.socket.getsockname()) for _ in range(2)]
     port.doRead()
     assert len(factory.taken) == 1 and counters.faults == 1 and port.connected
--- a/tests/test_long.py
+++ b/tests/test_long.py
@@ -9,7 +9,7 @@
 
 from stepflow import interface as face
 from stepflow import policy as module
-from stepflow.interface import Result
+from stepflow.interface import AttemptResult
 from tests.bench import Driver, entry, only
 
 
@@ -29,29 +29,31 @@
 
 def churn(driver: Driver, requests: range) -> None:
     """Requests that end in every way, servers that come and go, probes that fail."""
-    results = list(Result)
+    results = list(AttemptResult)
     for id in requests:
-        sends = only(face.Send, driver.request(id))
+        sends = only(face.StartAttempt, driver.request(id))
         server = entry(1000 + id)
         driver.news(server)
         driver.news(server._replace(availability=2))
         if sends and id % 3:
             driver.up(sends[0])
-            driver.feed(face.Note(id, 0, sends[0].server, face.NoteKind.DELAY, 900.0))
+            driver.feed(face.SessionReport(id, 0, sends[0].endpoint, face.SessionReportKind.LATENCY, 900.0))
             driver.end(sends[0], results[id % 8], complete=True)
         elif sends:
-            for again in only(face.Send, driver.end(sends[0], results[id % 8])):
-                driver.end(again, Result.RESET, attempt=1, complete=True)
-        driver.feed(face.ClientGone(id))
+            for again in only(face.StartAttempt, driver.end(sends[0], results[id % 8])):
+                driver.end(again, AttemptResult.RESET, attempt=1, complete=True)
+        driver.feed(face.ClientDisconnected(id))
         driver.tick(0.1)
-        for probe in only(face.Probe, driver.done):
-            driver.feed(face.Probed(probe.server, results[id % 4], 900, (0.5,) if id % 4 == 0 else ()))
+        for probe in only(face.StartHealthCheck, driver.done):
+            driver.feed(
+                face.HealthCheckEnded(probe.endpoint, results[id % 4], 900, (0.5,) if id % 4 == 0 else ())
+            )
         driver.done.clear()
 
 
 def test_state_does_not_grow() -> None:
-    classes = (face.RequestClass(message_aim_us=60_000.0),)
-    driver = Driver(face.Settings(classes=classes, report_fields=("x0",)), map(entry, range(10)))
+    classes = (face.RequestClass(message_latency_objective_us=60_000.0),)
+    driver = Driver(face.Settings(classes=classes, load_report_fields=("x0",)), map(entry, range(10)))
     churn(driver, range(1000))
     before = reachable(driver.policy)
     churn(driver, range(1000, 9000))
@@ -60,7 +62,7 @@
 
 
 def test_hours_leave_weights_sane_and_a_recovered_server_has_its_share() -> None:
-    settings = face.Settings(report_fields=("x0",))
+    settings = face.Settings(load_report_fields=("x0",))
     driver = Driver(settings, map(entry, range(4)))
     policy = driver.policy
     for hour in range(6):
@@ -68,9 +70,9 @@
             driver.tick(4.0)
             for id in range(4):  # server 0 is jammed in every other hour
                 load = 3.0 if id == 0 and hour % 2 == 0 else 0.5
-                driver.feed(face.Probed(id, Result.OK, 900, (load,)))
+                driver.feed(face.HealthCheckEnded(id, AttemptResult.OK, 900, (load,)))
             if second % 400 == 0 and hour % 2 == 0:
-                driver.feed(face.Probed(0, Result.TIMEOUT, 250_000))
+                driver.feed(face.HealthCheckEnded(0, AttemptResult.TIMEOUT, 250_000))
         driver.done.clear()
     shares = {}
     for id in range(4):
@@ -86,20 +88,20 @@
         for _ in range(50):
             server.fail()
     driver.tick(5)
-    assert only(face.Send, driver.request(1))
+    assert only(face.StartAttempt, driver.request(1))
 
 
 def test_a_lone_server_is_never_starved() -> None:
     driver = Driver(face.Settings(), [entry(1)])
     placed = 0
     for id in range(200):
-        sends = only(face.Send, driver.request(id))
+        sends = only(face.StartAttempt, driver.request(id))
         if sends:
-            driver.end(sends[0], Result.ERROR, complete=False)
-            driver.feed(face.ClientGone(id))
+            driver.end(sends[0], AttemptResult.ERROR, complete=False)
+            driver.feed(face.ClientDisconnected(id))
         driver.tick(0.5)
     for id in range(200, 300):
-        for send in only(face.Send, driver.request(id)):
+        for send in only(face.StartAttempt, driver.request(id)):
             placed += 1
             driver.up(send)
         driver.tick(0.5)
@@ -113,7 +115,7 @@
     """Counted in tests of servers and weighings: as many for 1000 servers as for 10."""
     counts = {}
     for size in (10, 1000):
-        driver = Driver(face.Settings(report_fields=reports), map(entry, range(size)))
+        driver = Driver(face.Settings(load_report_fields=reports), map(entry, range(size)))
         driver.tick(5)
         looked = 0
         plain = module.Policy.warm
@@ -136,10 +138,10 @@
     [
         ({"balancers": 0}, "balancers"),
         ({"classes": ()}, "classes"),
-        ({"classes": (face.RequestClass(worth=math.nan),)}, "worth"),
+        ({"classes": (face.RequestClass(priority_weight=math.nan),)}, "worth"),
         ({"limits": face.Limits(max_attempts=0)}, "max_attempts"),
-        ({"rules": face.Rules(cold_share=-0.1)}, "cold_share"),
-        ({"rules": face.Rules(fall_multiple=math.inf)}, "fall_multiple"),
+        ({"rules": face.SafetyRules(slow_start_share=-0.1)}, "cold_share"),
+        ({"rules": face.SafetyRules(overload_multiple=math.inf)}, "fall_multiple"),
         ({"prices": face.Prices(probe=-1.0)}, "probe"),
         ({"tick_us": 0}, "tick_us"),
     ],
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -13,7 +13,7 @@
 from twisted.internet.task import Clock as TwistedClock
 
 from stepflow import interface as face
-from stepflow.interface import NoteKind
+from stepflow.interface import SessionReportKind
 from stepflow.node.clients.connection import MalformedLine, parse_opening
 from stepflow.node.core import Core, Front, RequestContext
 from stepflow.node.process.shutdown_schedule import MOVES_FROM, leave, move_waits
@@ -27,7 +27,7 @@
 from stepflow.node.upstreams.liveness import Pulses
 from stepflow.node.upstreams.load_reports import NoteReader
 from stepflow.settings import node_settings, parse_settings
-from stepflow.upstream import BadList, Group
+from stepflow.upstream import EndpointGroup, EndpointListError
 from tests.node_kit import SETTINGS
 
 
@@ -100,8 +100,13 @@
     opening = parse_opening(line, timedelta(seconds=10), {b"view": 4})
     assert opening.line(timedelta(milliseconds=300)) == line.replace(b"d=700", b"d=300") + b"\r\n"
     request = opening.request
-    assert (request.cls, request.expires_us, request.load) == (4, 10_700_000, 12.5)
-    assert (request.key, request.group, request.repeated, request.returned) == (11, 12, True, True)
+    assert (request.class_index, request.expires_us, request.load) == (4, 10_700_000, 12.5)
+    assert (request.idempotency_key, request.affinity_group, request.is_retry, request.is_migrated) == (
+        11,
+        12,
+        True,
+        True,
+    )
 
 
 @pytest.mark.parametrize(
@@ -183,12 +188,12 @@
 def test_a_delay_of_messages_is_told_from_a_load_by_its_size_and_its_beat() -> None:
     """In a jam of 20 ms, then 900, a connection seemed to ask for next to nothing (herd+mass, seed 3)."""
     notes, at = reader(), timedelta(seconds=100)
-    assert {notes.kind("s-1", at, value) for value in LOADS} == {NoteKind.LOAD}
+    assert {notes.kind("s-1", at, value) for value in LOADS} == {SessionReportKind.LOAD}
     seen = [
         notes.kind("s-1", at + timedelta(seconds=second), value)
         for second, value in ((1, 19.0), (2, 47.0), (3.01, 430.0), (3.5, 900.0), (4, 940.0), (4, 15000.0))
     ]
-    delay, load = NoteKind.DELAY, NoteKind.LOAD
+    delay, load = SessionReportKind.LATENCY, SessionReportKind.LOAD
     assert seen == [delay, delay, delay, load, delay, load]  # off the beat, 900 is a small load
     assert notes.kind("s-2", at + timedelta(seconds=5), 940.0) is load  # each peer has a beat of its own
     assert notes.kind("s-1", at + timedelta(seconds=20), 940.0) is load  # and it is forgotten
@@ -198,7 +203,7 @@
 def test_no_number_that_a_peer_may_send_raises(values: list[float]) -> None:
     notes = reader()
     for i, value in enumerate(values):
-        assert notes.kind(f"s-{i % 3}", timedelta(seconds=i), value) in NoteKind
+        assert notes.kind(f"s-{i % 3}", timedelta(seconds=i), value) in SessionReportKind
 
 
 class Session:
@@ -248,9 +253,9 @@
     ],
 )
 def test_a_bad_list_changes_nothing(change: dict[str, object]) -> None:
-    group = Group(("a",), ("k",))
+    group = EndpointGroup(("a",), ("k",))
     whole, [server] = group.apply({"rev": 4, "all": True, "targets": [ENTRY]})
     assert whole and server.started_us == 5000
-    with pytest.raises(BadList):
+    with pytest.raises(EndpointListError):
         group.apply({"rev": 5, "all": True, "targets": [{**ENTRY, "uid": "s-2"}, {**ENTRY, **change}]})
-    assert group.rev == 4 and group.endpoint("s-1") is not None and group.endpoint("s-2") is None
+    assert group.rev == 4 and group.address_of("s-1") is not None and group.address_of("s-2") is None
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -11,11 +11,11 @@
 
 from stepflow import interface as face
 from stepflow.budgets.slow_start import FULL_FROM
-from stepflow.interface import Effect, Result, Scope
+from stepflow.interface import AttemptResult, DeduplicationScope, Idempotency
 from stepflow.policy import Policy
 from tests.bench import SECOND, START, entry
 
-MAYBE_RAN = (Result.ERROR, Result.TIMEOUT, Result.RESET, Result.CANCELLED)
+MAYBE_RAN = (AttemptResult.ERROR, AttemptResult.TIMEOUT, AttemptResult.RESET, AttemptResult.CANCELLED)
 
 
 class World:
@@ -27,12 +27,12 @@
         self.options = options
         self.policy = Policy(options, seed)
         self.now = START
-        self.listed: dict[face.ServerId, face.Server] = {}
-        self.leaving: set[face.ServerId] = set()
+        self.listed: dict[face.EndpointId, face.Server] = {}
+        self.leaving: set[face.EndpointId] = set()
         self.requests: dict[int, face.Request] = {}
         self.answers: Counter[int] = Counter()
-        self.attempts: dict[int, list[tuple[face.ServerId, int]]] = {}
-        self.out: dict[int, tuple[int, face.ServerId]] = {}
+        self.attempts: dict[int, list[tuple[face.EndpointId, int]]] = {}
+        self.out: dict[int, tuple[int, face.EndpointId]] = {}
         self.up: set[int] = set()
         self.gone: set[int] = set()
         self.ran: dict[int, tuple[face.Server, int]] = {}
@@ -42,45 +42,47 @@
     def feed(self, event: face.Event) -> None:
         """Feed an event and check what comes of it."""
         for action in self.policy.handle(self.now, event):
-            if isinstance(action, face.Send):
+            if isinstance(action, face.StartAttempt):
                 self.check_send(action)
-            elif isinstance(action, face.Refuse | face.Fail):
+            elif isinstance(action, face.RejectRequest | face.FailRequest):
                 self.check_answer(action)
             elif isinstance(action, face.SetTimer):
                 assert action.delay_us > 0
                 heappush(self.timers, (self.now + action.delay_us, action.token))
-            elif isinstance(action, face.Move):
-                assert action.request in self.up
+            elif isinstance(action, face.MigrateSession):
+                assert action.request_id in self.up
 
     def finished(self, id: int) -> bool:
         return bool(self.answers[id]) or id in self.gone
 
-    def check_send(self, send: face.Send) -> None:
-        request = self.requests[send.request]
-        cls = self.options.classes[request.cls]
-        attempts = self.attempts.setdefault(send.request, [])
-        assert not self.finished(send.request)
-        assert send.request not in self.out
+    def check_send(self, send: face.StartAttempt) -> None:
+        request = self.requests[send.request_id]
+        cls = self.options.classes[request.class_index]
+        attempts = self.attempts.setdefault(send.request_id, [])
+        assert not self.finished(send.request_id)
+        assert send.request_id not in self.out
         assert len(attempts) < self.options.limits.max_attempts
-        assert send.server in self.listed and send.server not in self.leaving
+        assert send.endpoint in self.listed and send.endpoint not in self.leaving
         assert self.now < request.expires_us and 0 < send.timeout_us <= request.expires_us - self.now
-        if send.request in self.ran and cls.effect != Effect.SAFE:
-            first, when = self.ran[send.request]
-            here = self.listed[send.server]
-            assert cls.effect == Effect.KEYED and self.now - when < cls.window_us
-            assert cls.scope != Scope.ZONE or here.zone == first.zone
-            assert cls.scope != Scope.CELL or here.cell == first.cell
-        self.out[send.request] = (len(attempts), send.server)
-        attempts.append((send.server, self.now))
+        if send.request_id in self.ran and cls.idempotency != Idempotency.IDEMPOTENT:
+            first, when = self.ran[send.request_id]
+            here = self.listed[send.endpoint]
+            assert cls.idempotency == Idempotency.BY_KEY and self.now - when < cls.deduplication_window_us
+            assert cls.deduplication_scope != DeduplicationScope.ZONE or here.zone == first.zone
+            assert cls.deduplication_scope != DeduplicationScope.CELL or here.cell == first.cell
+        self.out[send.request_id] = (len(attempts), send.endpoint)
+        attempts.append((send.endpoint, self.now))
 
-    def check_answer(self, answer: face.Refuse | face.Fail) -> None:
-        request = self.requests[answer.request]
-        cls = self.options.classes[request.cls]
+    def check_answer(self, answer: face.RejectRequest | face.FailRequest) -> None:
+        request = self.requests[answer.request_id]
+        cls = self.options.classes[request.class_index]
         assert not self.finished(request.id) and request.id not in self.up
         assert self.now <= request.expires_us + self.options.rules.answer_slack_us
         self.answers[request.id] += 1
-        if isinstance(answer, face.Refuse) and (request.id in self.ran or request.id in self.out):
-            assert cls.effect == Effect.SAFE or (cls.effect == Effect.KEYED and cls.scope == Scope.ALL)
+        if isinstance(answer, face.RejectRequest) and (request.id in self.ran or request.id in self.out):
+            assert cls.idempotency == Idempotency.IDEMPOTENT or (
+                cls.idempotency == Idempotency.BY_KEY and cls.deduplication_scope == DeduplicationScope.ALL
+            )
 
     def news(self) -> None:
         """Odd news of the list: servers come, restart, drain, vanish from it, or nothing at all."""
@@ -99,7 +101,11 @@
             if row.availability != face.Availability.GONE:
                 self.listed[row.id] = row
             (self.leaving.discard if row.availability == 0 else self.leaving.add)(row.id)
-        self.feed(face.ServerList(face.ListForm.FULL if full else face.ListForm.DELTA, tuple(rows)))
+        self.feed(
+            face.EndpointListUpdate(
+                face.ListUpdateKind.FULL if full else face.ListUpdateKind.DELTA, tuple(rows)
+            )
+        )
 
     def request(self, id: int) -> None:
         more = {
@@ -120,31 +126,33 @@
         server = self.rng.randrange(self.servers + 2)
         self.up.add(id)
         self.attempts[id], self.out[id] = [(server, self.now)], (0, server)
-        self.feed(face.Adopted(self.requests[id], server))
+        self.feed(face.SessionAdopted(self.requests[id], server))
 
     def note(self, id: int) -> None:
         attempt, server = self.out[id]
         kind, value = self.rng.choice((1, 2)), self.rng.choice((0.0, 7.0, 5000.0, float("inf")))
-        self.feed(face.Note(id, attempt, server, kind, value))
+        self.feed(face.SessionReport(id, attempt, server, kind, value))
 
     def end(self, id: int) -> None:
         """An attempt ends, or its connection comes up."""
         attempt, server = self.out[id]
         if id not in self.up and not self.finished(id) and self.rng.random() < 0.4:
             self.up.add(id)
-            self.feed(face.Established(id, attempt, server, 20_000))
+            self.feed(face.SessionEstablished(id, attempt, server, 20_000))
             return
         if id in self.up and self.rng.random() < 0.3:
             return self.note(id)
-        result = self.rng.choice(list(Result))
+        result = self.rng.choice(list(AttemptResult))
         del self.out[id]
         if result in MAYBE_RAN and id not in self.ran and server in self.listed:
             self.ran[id] = (self.listed[server], self.attempts[id][attempt][1])
-        complete = id in self.up or result == Result.OK or self.finished(id)
+        complete = id in self.up or result == AttemptResult.OK or self.finished(id)
         if complete:
             self.gone.add(id)
             self.up.discard(id)
-        self.feed(face.Outcome(id, attempt, server, result, complete, 20_000, (self.rng.uniform(-1, 3),)))
+        self.feed(
+            face.AttemptEnded(id, attempt, server, result, complete, 20_000, (self.rng.uniform(-1, 3),))
+        )
 
     def pass_time(self, span_us: int) -> None:
         """Time passes and timers come due, at the time they were set for."""
@@ -152,7 +160,7 @@
         while self.timers and self.timers[0][0] <= until:
             when, token = heappop(self.timers)
             self.now = max(self.now, when)
-            self.feed(face.Timer(token))
+            self.feed(face.TimerFired(token))
         self.now = until
 
     def play(self, steps: int) -> None:
@@ -171,13 +179,17 @@
                 gone = self.rng.choice(sorted(self.requests))
                 if gone not in self.up and not self.finished(gone):
                     self.gone.add(gone)
-                    self.feed(face.ClientGone(gone))
+                    self.feed(face.ClientDisconnected(gone))
             elif what < 0.9:
                 self.feed(
-                    face.Probed(self.rng.randrange(20), self.rng.randrange(4), 900, (self.rng.uniform(0, 3),))
+                    face.HealthCheckEnded(
+                        self.rng.randrange(20), self.rng.randrange(4), 900, (self.rng.uniform(0, 3),)
+                    )
                 )
             elif what < 0.91:
-                self.feed(face.PeerMessage(self.rng.randrange(5), self.rng.randbytes(self.rng.randrange(9))))
+                self.feed(
+                    face.PeerMessageReceived(self.rng.randrange(5), self.rng.randbytes(self.rng.randrange(9)))
+                )
             elif what < 0.92 and all(self.finished(id) or id in self.up for id in self.requests):
                 self.now += 3600 * SECOND  # nothing is owed: the host may have slept
             elif what < 0.93:
@@ -193,8 +205,8 @@
 classes = st.lists(
     st.builds(
         face.RequestClass,
-        effect=st.sampled_from(Effect),
-        scope=st.sampled_from(Scope),
+        effect=st.sampled_from(Idempotency),
+        scope=st.sampled_from(DeduplicationScope),
         window_us=st.integers(0, 3 * SECOND),
         worth=st.floats(0, 9),
         message_aim_us=st.sampled_from((0.0, 60_000.0)),
@@ -247,14 +259,14 @@
     seed: int, warm: int, cold: int, pace: float, multiple: float, standing: int
 ) -> None:
     """No window holds more sends to a cold server than the stated multiple of what a warm one takes."""
-    rules = face.Rules(fall_multiple=multiple, cold_share=0.2, warm_after_us=20 * SECOND)
+    rules = face.SafetyRules(overload_multiple=multiple, slow_start_share=0.2, slow_start_us=20 * SECOND)
     servers = [entry(id) for id in range(warm)] + [entry(warm + id, started=START) for id in range(cold)]
-    world = World(seed, face.Settings(rules=rules, report_fields=("x0",)))
+    world = World(seed, face.Settings(rules=rules, load_report_fields=("x0",)))
     world.listed = {row.id: row for row in servers}
-    world.feed(face.ServerList(face.ListForm.FULL, tuple(servers)))
+    world.feed(face.EndpointListUpdate(face.ListUpdateKind.FULL, tuple(servers)))
     for id in range(standing):
-        world.feed(face.Adopted(face.Request(10**6 + id, 0, START), id % warm))
-    sent: dict[face.ServerId, list[int]] = {}
+        world.feed(face.SessionAdopted(face.Request(10**6 + id, 0, START), id % warm))
+    sent: dict[face.EndpointId, list[int]] = {}
     for id in range(int(pace * 20)):
         world.pass_time(int(SECOND / pace))
         world.requests[id] = face.Request(id, 0, world.now + SECOND)
@@ -263,9 +275,9 @@
             del world.out[other]
             sent.setdefault(server, []).append(world.now)
             if world.rng.random() < 0.7:
-                world.feed(face.Established(other, attempt, server, 20_000))
+                world.feed(face.SessionEstablished(other, attempt, server, 20_000))
             else:
-                world.feed(face.Outcome(other, attempt, server, Result.FULL, False, 900))
+                world.feed(face.AttemptEnded(other, attempt, server, AttemptResult.FULL, False, 900))
     usual = max(pace / warm, (standing + pace * 20) / warm / FULL_FROM / 20)
     for id in range(warm, warm + cold):
         times = sent.get(id, [])
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -78,4 +78,4 @@
 
 
 def test_who_keeps_the_watch_does_not_change_while_the_node_runs() -> None:
-    assert follow(face.Settings(ask_for_list=True), face.Settings()).ask_for_list
+    assert follow(face.Settings(polls_endpoint_list=True), face.Settings()).polls_endpoint_list
--- a/tests/test_terms.py
+++ b/tests/test_terms.py
@@ -97,8 +97,12 @@
     """The modules that a fresh interpreter has loaded after this."""
     done = subprocess.run(
         [sys.executable, "-c", f"{code}\nimport json, sys; print(json.dumps(sorted(sys.modules)))"],
-        capture_output=True, text=True, timeout=60, check=True, cwd=ROOT,
-    )  # fmt: skip
+        capture_output=True,
+        text=True,
+        timeout=60,
+        check=True,
+        cwd=ROOT,
+    )
     return set(json.loads(done.stdout.splitlines()[-1]))
 
 
--- a/tests/test_trace.py
+++ b/tests/test_trace.py
@@ -27,22 +27,26 @@
     def __init__(self, segment: int = 1 << 30) -> None:
         self.sink = Kept()
         self.recorder = Recorder(self.sink, KEY, "n0", BEGAN, SETTINGS, segment)
-        self.feed(0, face.ServerList(face.ListForm.FULL, (SERVER,)))
+        self.feed(0, face.EndpointListUpdate(face.ListUpdateKind.FULL, (SERVER,)))
 
     def feed(self, ms: int, event: face.Event, *actions: face.Action) -> None:
         self.recorder.take(BEGAN + ms * 1000, event, list(actions))
 
     def open(self, id: int, ms: int, cls: int = 0) -> None:
-        self.feed(ms, face.Request(id, cls, BEGAN + ms * 1000 + 500_000, group=3), face.Send(id, "s-1", 9))
+        self.feed(
+            ms,
+            face.Request(id, cls, BEGAN + ms * 1000 + 500_000, affinity_group=3),
+            face.StartAttempt(id, "s-1", 9),
+        )
 
     def up(self, id: int, ms: int) -> None:
-        self.feed(ms, face.Established(id, 0, "s-1", 20_000))
+        self.feed(ms, face.SessionEstablished(id, 0, "s-1", 20_000))
 
     def load(self, id: int, ms: int, load: float) -> None:
-        self.feed(ms, face.Note(id, 0, "s-1", face.NoteKind.LOAD, load))
+        self.feed(ms, face.SessionReport(id, 0, "s-1", face.SessionReportKind.LOAD, load))
 
-    def end(self, id: int, ms: int, result: face.Result = face.Result.OK) -> None:
-        self.feed(ms, face.Outcome(id, 0, "s-1", result, True, 5))
+    def end(self, id: int, ms: int, result: face.AttemptResult = face.AttemptResult.OK) -> None:
+        self.feed(ms, face.AttemptEnded(id, 0, "s-1", result, True, 5))
 
     def journals(self, folder: Path) -> list[Path]:
         self.recorder.end(BEGAN + 60_000_000)
@@ -80,10 +84,14 @@
 def test_a_failed_attempt_and_the_next_one_are_one_connection_s(tmp_path: Path) -> None:
     script = Script()
     script.open(1, 100)
-    script.feed(200, face.Outcome(1, 0, "s-1", face.Result.FULL, False, 5), face.Send(1, "s-2", 9))
+    script.feed(
+        200, face.AttemptEnded(1, 0, "s-1", face.AttemptResult.FULL, False, 5), face.StartAttempt(1, "s-2", 9)
+    )
     script.up(1, 220)
     script.open(2, 300)
-    script.feed(400, face.Outcome(2, 0, "s-1", face.Result.RESET, False, 5), face.Refuse(2, 70))
+    script.feed(
+        400, face.AttemptEnded(2, 0, "s-1", face.AttemptResult.RESET, False, 5), face.RejectRequest(2, 70)
+    )
     trace = script.save(tmp_path)
     first, second = rows(trace)
     assert (first["attempts"], first["server"], first["end"]) == (2, "s-2", "")
@@ -166,8 +174,12 @@
 @pytest.mark.parametrize(("name", "type_"), [("load", pa.int64()), ("other", pa.float64())])
 def test_a_foreign_schema_is_named_by_its_column(tmp_path: Path, name: str, type_: Any) -> None:
     trace = Script().save(tmp_path)
-    schema = pa.schema([(name if f.name == "load" else f.name, type_ if f.name == "load" else f.type)
-                        for f in SCHEMAS["connections"]])  # fmt: skip
+    schema = pa.schema(
+        [
+            (name if f.name == "load" else f.name, type_ if f.name == "load" else f.type)
+            for f in SCHEMAS["connections"]
+        ]
+    )
     pq.write_table(schema.empty_table(), trace.folder / "connections.parquet")
     with pytest.raises(TraceError, match="connections.parquet: a foreign schema: .*load"):
         trace.table("connections")
--- a/tests/test_upstream.py
+++ b/tests/test_upstream.py
@@ -13,7 +13,7 @@
 from hypothesis import strategies as st
 
 from stepflow.interface import Availability, Server
-from stepflow.upstream import BadValue, Group, ValueStream
+from stepflow.upstream import EndpointGroup, JsonStream, JsonStreamError
 from stepflow.upstream.start_times import NEWS_US, StartTimes
 from tests.node_kit import PATIENCE, Discovery, Node, Peer, opening
 
@@ -35,7 +35,7 @@
     values: list[object], indent: int | None, between: str, cuts: list[int]
 ) -> None:
     text = between.join([json.dumps(value, indent=indent) for value in values] + [""]).encode()
-    stream = ValueStream()
+    stream = JsonStream()
     found: list[object] = []
     for cut in cuts:
         found += stream.feed(text[:cut])
@@ -48,13 +48,13 @@
     "text", [b"null", b"x{}", b"{]}", b'{"a"}', b"[" * 40, b'{"a":"\xff"}', b"[" + b"9" * 5000 + b"]", b"]"]
 )
 def test_what_is_no_value_ends_the_stream(text: bytes) -> None:
-    with pytest.raises(BadValue):
-        list(ValueStream().feed(text))
+    with pytest.raises(JsonStreamError):
+        list(JsonStream().feed(text))
 
 
 def test_a_value_is_bounded_however_it_comes() -> None:
-    stream = ValueStream(most=1000)
-    with pytest.raises(BadValue):
+    stream = JsonStream(most=1000)
+    with pytest.raises(JsonStreamError):
         for _ in range(30):
             list(stream.feed(b'["' + b"x" * 100 if not stream.amid else b"x" * 100))
 
@@ -62,7 +62,7 @@
 def test_a_large_value_in_small_pieces_is_looked_at_once() -> None:
     """Looked at anew at each piece, 4 MB in pieces of 1,400 bytes take minutes."""
     text = json.dumps(["x" * 100] * 30_000).encode()
-    stream, begun, found = ValueStream(), time.process_time(), 0
+    stream, begun, found = JsonStream(), time.process_time(), 0
     for at in range(0, len(text), 1400):
         found += len(list(stream.feed(text[at : at + 1400])))
     assert found == 1 and time.process_time() - begun < 5
@@ -73,7 +73,7 @@
 
 
 def test_an_older_message_undoes_nothing() -> None:
-    group = Group(("a",), ("k",))
+    group = EndpointGroup(("a",), ("k",))
     group.apply({"rev": 5, "all": True, "targets": [entry("s-1"), entry("s-2")]})
     whole, told = group.apply({"rev": 7, "all": False, "targets": [entry("s-1", "Terminating")]})
     assert not whole and told[0].availability == Availability.DRAINING
@@ -84,7 +84,7 @@
 
 
 def test_a_source_that_counts_anew_is_followed_from_its_first_whole_list() -> None:
-    group = Group(("a",), ("k",))
+    group = EndpointGroup(("a",), ("k",))
     group.apply({"rev": 2**53 + 1, "all": True, "targets": [entry("s-1")]})
     whole, told = group.apply({"rev": 3, "all": True, "targets": [entry("s-2")]})
     assert whole and told[0].id == "s-2" and group.rev == 3
--- a/tests/test_wave.py
+++ b/tests/test_wave.py
@@ -51,10 +51,14 @@
         settings = {**SETTINGS, "group_size": NODES, "position": number}
         settings["kinds"], settings["azs"] = ["k"], ["room"]
         told: dict[str, Any] = {
-            "name": f"n{number}", "listen": ":".join(map(str, self.at[number])), "discovery": fleet.address,
-            "seed": f"{number:x}", "limits": {"sockets": 1024}, "known": self.fleet.known(),
+            "name": f"n{number}",
+            "listen": ":".join(map(str, self.at[number])),
+            "discovery": fleet.address,
+            "seed": f"{number:x}",
+            "limits": {"sockets": 1024},
+            "known": self.fleet.known(),
             "settings": settings,
-        }  # fmt: skip
+        }
         path.write_text(json.dumps(told))
         return path
 
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -38,15 +38,15 @@
     assert now == 0x805C5A
     assert list(wire.decode(count, body)) == [
         (3, face.Request(REQUEST, 0, 0x8405DA, 12000.0, 0, 0x91F03B7C55D20A64, 0x2B8E6401D9F37C10)),
-        (3, face.Timer(77)),
-        (5, face.ClientGone(0x92EC20E6F2B19)),
+        (3, face.TimerFired(77)),
+        (5, face.ClientDisconnected(0x92EC20E6F2B19)),
     ]
 
 
 def test_reply_of_two_instances() -> None:
     records = [
-        *wire.encode(3, [face.Send(REQUEST, SERVER, 80000), face.SetTimer(500000, 77)]),
-        *wire.encode(5, [face.Log("two servers known")]),
+        *wire.encode(3, [face.StartAttempt(REQUEST, SERVER, 80000), face.SetTimer(500000, 77)]),
+        *wire.encode(5, [face.LogMessage("two servers known")]),
     ]
     assert wire.frame(records) == bytes.fromhex(
         "05000000 5a000000"
@@ -64,7 +64,7 @@
         "0a124a07 431f 00 0000 0000 00 0000803f 0000000000000000"
         "0a9011f2 6c1f 01 0000 0000 00 0000c03f 20145d0000000000"
     )
-    assert event == face.ServerList(
+    assert event == face.EndpointListUpdate(
         2, (face.Server(SERVER, 0, 0, 0, 0, 1.0, 0), face.Server(OTHER, 1, 0, 0, 0, 1.5, 0x5D1420))
     )
 
@@ -75,24 +75,24 @@
         "107cf3d901648e2b 01 0a9011f2 6c1f"
     )
     request = face.Request(0x92EC20E6F2B19, 0, 0x8405DA, 12000.0, 0, 0x91F03B7C55D20A64, 0x2B8E6401D9F37C10)
-    assert event == face.Adopted(request, OTHER)
+    assert event == face.SessionAdopted(request, OTHER)
 
 
 def test_news_of_attempts() -> None:
-    assert decode_one("6e 14000000 c4913a5d4c060000 22240000 0a124a07 431f 0000") == face.Established(
+    assert decode_one("6e 14000000 c4913a5d4c060000 22240000 0a124a07 431f 0000") == face.SessionEstablished(
         REQUEST, 0, SERVER, 0x2422
     )
-    assert decode_one("46 15000000 c4913a5d4c060000 0000 0a124a07 431f 01 0000003f") == face.Note(
+    assert decode_one("46 15000000 c4913a5d4c060000 0000 0a124a07 431f 01 0000003f") == face.SessionReport(
         REQUEST, 0, SERVER, 1, 0.5
     )
-    assert decode_one("14 17000000 c4913a5d4c060000 0a124a07 431f 44480000 01 00 0000 00") == face.Outcome(
-        REQUEST, 0, SERVER, 0, True, 0x4844
-    )
+    assert decode_one(
+        "14 17000000 c4913a5d4c060000 0a124a07 431f 44480000 01 00 0000 00"
+    ) == face.AttemptEnded(REQUEST, 0, SERVER, 0, True, 0x4844)
     report = decode_one("50 1c000000 0a9011f2 6c1f 00 78050000 04 cdcccc3e 0000003f 00000c43 52b81e3f")
-    assert isinstance(report, face.Probed)
+    assert isinstance(report, face.HealthCheckEnded)
     assert report[:3] == (OTHER, 0, 1400)
-    assert report.report == pytest.approx((0.4, 0.5, 140.0, 0.62), abs=1e-6)
-    assert decode_one("0a 0a000000 02000000 0400 68692037") == face.PeerMessage(2, b"hi 7")
+    assert report.load_report == pytest.approx((0.4, 0.5, 140.0, 0.62), abs=1e-6)
+    assert decode_one("0a 0a000000 02000000 0400 68692037") == face.PeerMessageReceived(2, b"hi 7")
 
 
 def test_hint_counts_only_where_marked() -> None:
@@ -105,15 +105,15 @@
 @pytest.mark.parametrize(
     ("action", "text"),
     [
-        (face.Cancel(REQUEST, 0), "28 0a000000 c4913a5d4c060000 0000"),
-        (face.Refuse(0x92EC20E6F2B19, 250000), "14 0c000000 192b6f0ec22e0900 90d00300"),
-        (face.Fail(0x92EC20E6F2B19), "1e 08000000 192b6f0ec22e0900"),
-        (face.Move(0x92EC20E6F2B19), "82 08000000 192b6f0ec22e0900"),
-        (face.Probe(OTHER), "3c 06000000 0a9011f2 6c1f"),
-        (face.CloseIdle(OTHER), "46 06000000 0a9011f2 6c1f"),
-        (face.Tell(face.ALL_PEERS, b"hi 7"), "50 0a000000 ffffffff 0400 68692037"),
-        (face.Watch(True), "6e 01000000 01"),
-        (face.FetchList(), "78 00000000"),
+        (face.CancelAttempt(REQUEST, 0), "28 0a000000 c4913a5d4c060000 0000"),
+        (face.RejectRequest(0x92EC20E6F2B19, 250000), "14 0c000000 192b6f0ec22e0900 90d00300"),
+        (face.FailRequest(0x92EC20E6F2B19), "1e 08000000 192b6f0ec22e0900"),
+        (face.MigrateSession(0x92EC20E6F2B19), "82 08000000 192b6f0ec22e0900"),
+        (face.StartHealthCheck(OTHER), "3c 06000000 0a9011f2 6c1f"),
+        (face.CloseIdleConnections(OTHER), "46 06000000 0a9011f2 6c1f"),
+        (face.SendPeerMessage(face.ALL_PEERS, b"hi 7"), "50 0a000000 ffffffff 0400 68692037"),
+        (face.WatchEndpointList(True), "6e 01000000 01"),
+        (face.FetchEndpointList(), "78 00000000"),
     ],
 )
 def test_actions(action: face.Action, text: str) -> None:
@@ -126,7 +126,7 @@
 
 def test_unknown_event_is_skipped() -> None:
     body = bytes.fromhex("3c 04000000 03000000 fa 02000000 0102 28 08000000 4d00000000000000")
-    assert list(wire.decode(3, memoryview(body))) == [(3, face.Timer(77))]
+    assert list(wire.decode(3, memoryview(body))) == [(3, face.TimerFired(77))]
 
 
 @pytest.mark.parametrize("data", [EXAMPLE_BATCH[:10], EXAMPLE_BATCH[:40], struct.pack("<IIQ", 0, 3, 0)])
@@ -163,15 +163,24 @@
     )
     assert settings.zones == ("a", "b")
     assert settings.classes == (
-        face.RequestClass("0", 300_000, 2_000_000, face.Effect.KEYED, face.Scope.CELL, 7000, 5.0, 60_000.0),
+        face.RequestClass(
+            "0",
+            300_000,
+            2_000_000,
+            face.Idempotency.BY_KEY,
+            face.DeduplicationScope.CELL,
+            7000,
+            5.0,
+            60_000.0,
+        ),
     )
     assert settings.prices.probe == 0.002
     assert (settings.balancers, settings.position, settings.zone) == (12, 3, 1)
     assert settings.tenants == (face.Tenant("x", 0.4, 0.0, 0.0),)
-    assert settings.report_fields == ("x0", "util")
-    assert settings.ask_for_list
+    assert settings.load_report_fields == ("x0", "util")
+    assert settings.polls_endpoint_list
     assert settings.limits.max_attempts == 4
-    assert settings.rules.cold_share == 0.12
+    assert settings.rules.slow_start_share == 0.12
 
 
 def test_empty_settings_take_the_defaults() -> None:
