--- a/stepflow/fleet/attempts.py
+++ b/stepflow/fleet/attempts.py
@@ -5,11 +5,18 @@
 from functools import partial
 from typing import TYPE_CHECKING
 
-from stepflow import interface as face
 from stepflow.fleet.clients import Client
 from stepflow.fleet.servers import SECOND, Server
 from stepflow.fleet.streams import stream
-from stepflow.interface import AttemptResult, Availability
+from stepflow.interface import (
+    AttemptEnded,
+    AttemptResult,
+    Availability,
+    HealthCheckEnded,
+    SessionEstablished,
+    StartAttempt,
+    StartHealthCheck,
+)
 
 if TYPE_CHECKING:
     from stepflow.fleet.nodes import Node
@@ -28,7 +35,7 @@
         self._luck = stream(world.seed, "reports")
         self._sick_luck = stream(world.seed, "sick answers")
 
-    def send(self, node: Node, action: face.StartAttempt) -> None:
+    def send(self, node: Node, action: StartAttempt) -> None:
         """One attempt of a request."""
         world = self._world
         client = node.clients.get(action.request_id)
@@ -106,7 +113,7 @@
         self.joined(client)
         if node is not None:
             wait = world.now - client.sent_us
-            world.feed(node, face.SessionEstablished(client.request, client.attempt, server.uid, wait))
+            world.feed(node, SessionEstablished(client.request, client.attempt, server.uid, wait))
         world.clients.swing(client, client.request, client.swing)
 
     def joined(self, client: Client) -> None:
@@ -140,7 +147,7 @@
         if up:
             node.clients.pop(request, None)
         wait = self._world.now - client.sent_us
-        outcome = face.AttemptEnded(request, client.attempt, server.uid, result, up or answered, wait)
+        outcome = AttemptEnded(request, client.attempt, server.uid, result, up or answered, wait)
         self._world.feed(node, outcome)
 
     def broken(self, client: Client, result: AttemptResult = AttemptResult.RESET) -> None:
@@ -172,7 +179,7 @@
         rho = server.rho(self._world.now)
         return rho * noise, server.wait_s(self._world.now), min(1.0, rho * noise)
 
-    def probe(self, node: Node, action: face.StartHealthCheck) -> None:
+    def probe(self, node: Node, action: StartHealthCheck) -> None:
         """One question for a server's report."""
         world, day = self._world, self._day
         server, life, now = world.names[str(action.endpoint)], node.life, world.now
@@ -205,4 +212,4 @@
         asked: int,
     ) -> None:
         if node.life == life:
-            self._world.feed(node, face.HealthCheckEnded(server.uid, result, self._world.now - asked, report))
+            self._world.feed(node, HealthCheckEnded(server.uid, result, self._world.now - asked, report))
--- a/stepflow/fleet/baselines.py
+++ b/stepflow/fleet/baselines.py
@@ -5,38 +5,55 @@
 from collections.abc import Callable
 from typing import Protocol
 
-from stepflow import interface as face
 from stepflow.fleet.streams import stream
-from stepflow.interface import Availability, ListUpdateKind
+from stepflow.interface import (
+    Action,
+    AttemptEnded,
+    Availability,
+    ClientDisconnected,
+    Endpoint,
+    EndpointId,
+    EndpointListUpdate,
+    Event,
+    ListUpdateKind,
+    RejectRequest,
+    Request,
+    SetTimer,
+    Settings,
+    StartAttempt,
+    Started,
+    TimerFired,
+    WatchEndpointList,
+)
 
 
 class Decides(Protocol):
     """What a node asks: the decision module, or a policy to hold it against."""
 
-    def handle(self, now: int, event: face.Event) -> list[face.Action]: ...
-    def retune(self, settings: face.Settings) -> None: ...
+    def handle(self, now: int, event: Event) -> list[Action]: ...
+    def retune(self, settings: Settings) -> None: ...
 
 
-Maker = Callable[[face.Settings, int], Decides]
+Maker = Callable[[Settings, int], Decides]
 
 
 class RandomChoice:
     """The baseline: any listed server at random, any number of attempts that the settings allow."""
 
-    def __init__(self, settings: face.Settings, seed: int) -> None:
+    def __init__(self, settings: Settings, seed: int) -> None:
         self._settings, self._rng = settings, stream(seed, "random choice")
-        self._servers: dict[face.EndpointId, face.Server] = {}
+        self._servers: dict[EndpointId, Endpoint] = {}
         self._open: dict[int, int] = {}
 
-    def retune(self, settings: face.Settings) -> None:
+    def retune(self, settings: Settings) -> None:
         self._settings = settings
 
-    def handle(self, now: int, event: face.Event) -> list[face.Action]:
-        if isinstance(event, face.Started):
-            return [face.WatchEndpointList(True)]
-        if isinstance(event, face.EndpointListUpdate):
+    def handle(self, now: int, event: Event) -> list[Action]:
+        if isinstance(event, Started):
+            return [WatchEndpointList(True)]
+        if isinstance(event, EndpointListUpdate):
             if event.kind == ListUpdateKind.FAILED:
-                return [face.SetTimer(int(self._rng.integers(250_000, 1_000_000)), 1)]
+                return [SetTimer(int(self._rng.integers(250_000, 1_000_000)), 1)]
             if event.kind != ListUpdateKind.DELTA:
                 self._servers.clear()
             for entry in event.endpoints:
@@ -44,24 +61,24 @@
                     self._servers[entry.id] = entry
                 else:
                     self._servers.pop(entry.id, None)
-        if isinstance(event, face.TimerFired):
-            return [face.WatchEndpointList(True)]
-        if isinstance(event, face.Request):
+        if isinstance(event, TimerFired):
+            return [WatchEndpointList(True)]
+        if isinstance(event, Request):
             self._open[event.id] = 0
             return self._try(event.id)
-        if isinstance(event, face.AttemptEnded):
+        if isinstance(event, AttemptEnded):
             if event.is_final:
                 self._open.pop(event.request_id, None)
             elif event.request_id in self._open:
                 return self._try(event.request_id)
-        if isinstance(event, face.ClientDisconnected):
+        if isinstance(event, ClientDisconnected):
             self._open.pop(event.request_id, None)
         return []
 
-    def _try(self, id: int) -> list[face.Action]:
+    def _try(self, id: int) -> list[Action]:
         if not self._servers or self._open[id] >= self._settings.limits.max_attempts:
             del self._open[id]
-            return [face.RejectRequest(id)]
+            return [RejectRequest(id)]
         self._open[id] += 1
         listed = list(self._servers)
-        return [face.StartAttempt(id, listed[int(self._rng.integers(len(listed)))], 0)]
+        return [StartAttempt(id, listed[int(self._rng.integers(len(listed)))], 0)]
--- a/stepflow/fleet/clients.py
+++ b/stepflow/fleet/clients.py
@@ -8,11 +8,17 @@
 from itertools import accumulate
 from typing import TYPE_CHECKING
 
-from stepflow import interface as face
 from stepflow.fleet.servers import SECOND, Server
 from stepflow.fleet.streams import stream
 from stepflow.fleet.traffic import CHANCES, LOADS
-from stepflow.interface import AttemptResult, SessionReportKind
+from stepflow.interface import (
+    AttemptResult,
+    ClientDisconnected,
+    Request,
+    SessionAdopted,
+    SessionReport,
+    SessionReportKind,
+)
 
 if TYPE_CHECKING:
     from stepflow.fleet.nodes import Node
@@ -84,8 +90,8 @@
         client.out = -1
         node.clients[client.request] = client
         self._world.attempts.joined(client)
-        request = face.Request(client.request, client.cls, 0, affinity_group=client.group)
-        self._world.feed(node, face.SessionAdopted(request, server.uid))
+        request = Request(client.request, client.cls, 0, affinity_group=client.group)
+        self._world.feed(node, SessionAdopted(request, server.uid))
         self.swing(client, client.request, 0)
 
     def arrive(self, number: int) -> None:
@@ -143,7 +149,7 @@
         repeated = client.tries > 1 and not client.returned
         self._world.feed(
             node,
-            face.Request(
+            Request(
                 request,
                 client.cls,
                 client.expires,
@@ -206,7 +212,7 @@
             self._world.attempts.ended(client, AttemptResult.CANCELLED)
         else:
             request = client.request
-            self._world.feed(node, face.ClientDisconnected(request))
+            self._world.feed(node, ClientDisconnected(request))
             if client.out:
                 self._world.attempts.ended(client, AttemptResult.CANCELLED, answered=True)
             node.clients.pop(request, None)
@@ -233,5 +239,5 @@
         if client.up and client.request == request and node is not None and server is not None:
             told = client.load * LOAD_UNIT * (HUNG_SHARE if server.hung else 1.0)
             self._world.feed(
-                node, face.SessionReport(request, client.attempt, server.uid, SessionReportKind.LOAD, told)
+                node, SessionReport(request, client.attempt, server.uid, SessionReportKind.LOAD, told)
             )
--- a/stepflow/fleet/listing.py
+++ b/stepflow/fleet/listing.py
@@ -6,10 +6,9 @@
 from functools import partial
 from typing import TYPE_CHECKING
 
-from stepflow import interface as face
 from stepflow.fleet.servers import SECOND, Server
 from stepflow.fleet.streams import stream
-from stepflow.interface import ListUpdateKind
+from stepflow.interface import Availability, Endpoint, EndpointListUpdate, ListUpdateKind
 
 if TYPE_CHECKING:
     from stepflow.fleet.nodes import Node
@@ -28,7 +27,7 @@
         self._down = False
         self._seen = {server.uid: _entry(server) for server in world.servers}
 
-    def entries(self) -> tuple[face.Server, ...]:
+    def entries(self) -> tuple[Endpoint, ...]:
         """The list as it tells it now."""
         return tuple(self._seen.values())
 
@@ -52,9 +51,9 @@
         node.watching = not failed
         self._tell(node, ListUpdateKind.FAILED if failed else form, () if failed else self.entries())
 
-    def _tell(self, node: Node, form: ListUpdateKind, entries: Sequence[face.Server]) -> None:
+    def _tell(self, node: Node, form: ListUpdateKind, entries: Sequence[Endpoint]) -> None:
         self._world.tally.lines += self._world.counting * len(entries)
-        self._world.feed(node, face.EndpointListUpdate(form, tuple(entries)))
+        self._world.feed(node, EndpointListUpdate(form, tuple(entries)))
 
     def change(self, server: Server) -> None:
         """Something has changed: it is told some seconds later, as it is then."""
@@ -65,7 +64,7 @@
 
     def _publish(self, server: Server) -> None:
         entry = _entry(server)
-        if entry.availability == face.Availability.GONE:
+        if entry.availability == Availability.GONE:
             self._seen.pop(server.uid, None)
         else:
             self._seen[server.uid] = entry
@@ -83,5 +82,5 @@
         self._world.after(span_us, partial(setattr, self, "_down", False))
 
 
-def _entry(server: Server) -> face.Server:
-    return face.Server(server.uid, server.zone, server.kind, 0, server.state, 1.0, server.started_us)
+def _entry(server: Server) -> Endpoint:
+    return Endpoint(server.uid, server.zone, server.kind, 0, server.state, 1.0, server.started_us)
--- a/stepflow/fleet/makers.py
+++ b/stepflow/fleet/makers.py
@@ -11,10 +11,10 @@
 from types import ModuleType
 from typing import Any
 
-from stepflow import interface as face
 from stepflow import policy as present
 from stepflow.errors import BadInput
 from stepflow.fleet.baselines import Maker, RandomChoice
+from stepflow.interface import Settings
 
 HOME = "stepflow.policy"
 FOLDER, FILE = "stepflow/policy/", "stepflow/policy.py"  # as it stands, and as it was in one file
@@ -113,7 +113,7 @@
             module.__dict__[name] = int(value) if isinstance(before, int) else value
     made: Any = modules[-1].__dict__["Policy"]
 
-    def make(settings: face.Settings, seed: int) -> Any:
+    def make(settings: Settings, seed: int) -> Any:
         return made(settings, seed)
 
     return make
--- a/stepflow/fleet/nodes.py
+++ b/stepflow/fleet/nodes.py
@@ -2,10 +2,9 @@
 
 from __future__ import annotations
 
-from stepflow import interface as face
 from stepflow.fleet.baselines import Decides
 from stepflow.fleet.clients import Client
-from stepflow.interface import Availability, ListUpdateKind
+from stepflow.interface import Availability, Endpoint, EndpointId, EndpointListUpdate, ListUpdateKind
 
 
 class Node:
@@ -18,9 +17,9 @@
         self.clients: dict[int, Client] = {}
         self.dead_since = -1
         self.watching = self.leaving = False
-        self.known: dict[face.EndpointId, face.Server] = {}  # its list as last told: all that outlives it
+        self.known: dict[EndpointId, Endpoint] = {}  # its list as last told: all that outlives it
 
-    def told(self, event: face.EndpointListUpdate) -> None:
+    def told(self, event: EndpointListUpdate) -> None:
         """Keep what the list says."""
         if event.kind == ListUpdateKind.FAILED:
             return
--- a/stepflow/fleet/referee.py
+++ b/stepflow/fleet/referee.py
@@ -11,9 +11,25 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from stepflow import interface as face
 from stepflow.fleet.servers import SECOND, Server
-from stepflow.interface import Availability, ListUpdateKind
+from stepflow.interface import (
+    Action,
+    AttemptEnded,
+    Availability,
+    ClientDisconnected,
+    EndpointId,
+    EndpointListUpdate,
+    Event,
+    FailRequest,
+    ListUpdateKind,
+    MigrateSession,
+    RejectRequest,
+    Request,
+    SessionAdopted,
+    SessionEstablished,
+    Settings,
+    StartAttempt,
+)
 
 SLACK_US = 50_000  # that the protocol adds to each limit on sockets
 
@@ -57,9 +73,9 @@
 class _Seen:
     """One node's life."""
 
-    settings: face.Settings
+    settings: Settings
     requests: dict[int, _Request] = field(default_factory=dict)
-    listed: dict[face.EndpointId, int | None] = field(default_factory=dict)  # since when it must get nothing
+    listed: dict[EndpointId, int | None] = field(default_factory=dict)  # since when it must get nothing
 
 
 class Referee:
@@ -88,23 +104,23 @@
             self.moves,
         ]
         self._heard: dict[type, Callable[[int, _Seen, Any], None]] = {
-            face.EndpointListUpdate: self._listed,
-            face.Request: self._requested,
-            face.SessionAdopted: self._adopted,
-            face.SessionEstablished: self._established,
-            face.AttemptEnded: self._ended,
-            face.ClientDisconnected: self._left,
+            EndpointListUpdate: self._listed,
+            Request: self._requested,
+            SessionAdopted: self._adopted,
+            SessionEstablished: self._established,
+            AttemptEnded: self._ended,
+            ClientDisconnected: self._left,
         }
 
     @property
     def kept(self) -> bool:
         return not any(rule.broken for rule in self.rules)
 
-    def begins(self, node: int, life: int, settings: face.Settings) -> None:
+    def begins(self, node: int, life: int, settings: Settings) -> None:
         """A node's process starts, and knows nothing of the one before."""
         self._nodes[node] = _Seen(settings)
 
-    def heard(self, now: int, node: int, event: face.Event, actions: Iterable[face.Action]) -> None:
+    def heard(self, now: int, node: int, event: Event, actions: Iterable[Action]) -> None:
         """What a node's module heard, and what it wants done."""
         call = self._heard.get(type(event))
         if call is not None:
@@ -112,17 +128,17 @@
         for action in actions:
             self._does(now, node, action)
 
-    def _does(self, now: int, node: int, action: face.Action) -> None:
+    def _does(self, now: int, node: int, action: Action) -> None:
         seen = self._nodes[node]
         where = f"{now / SECOND:.3f} s, node {node}: {action}"
-        if isinstance(action, face.StartAttempt):
+        if isinstance(action, StartAttempt):
             self._sent(now, seen, action, where)
-        elif isinstance(action, face.RejectRequest | face.FailRequest):
+        elif isinstance(action, RejectRequest | FailRequest):
             request = seen.requests.get(action.request_id)
             self.twice.saw(request is None or request.over, where)
             if request is not None:
                 self._answered(now, request, where)
-        elif isinstance(action, face.MigrateSession):
+        elif isinstance(action, MigrateSession):
             request = seen.requests.get(action.request_id)
             self.moves.saw(request is None or not request.up, where)
 
@@ -138,7 +154,7 @@
     # What modules hear.
 
     @staticmethod
-    def _listed(now: int, seen: _Seen, event: face.EndpointListUpdate) -> None:
+    def _listed(now: int, seen: _Seen, event: EndpointListUpdate) -> None:
         if event.kind == ListUpdateKind.FAILED:
             return
         if event.kind != ListUpdateKind.DELTA:
@@ -153,34 +169,34 @@
                 seen.listed[entry.id] = now
 
     @staticmethod
-    def _requested(now: int, seen: _Seen, event: face.Request) -> None:
+    def _requested(now: int, seen: _Seen, event: Request) -> None:
         seen.requests[event.id] = _Request(event.expires_us, seen.settings.limits.max_attempts)
 
     @staticmethod
-    def _adopted(now: int, seen: _Seen, event: face.SessionAdopted) -> None:
+    def _adopted(now: int, seen: _Seen, event: SessionAdopted) -> None:
         seen.requests[event.request.id] = _Request(now, 1, 1, out=True, up=True, over=True)
 
-    def _established(self, now: int, seen: _Seen, event: face.SessionEstablished) -> None:
+    def _established(self, now: int, seen: _Seen, event: SessionEstablished) -> None:
         request = seen.requests[event.request_id]
         request.up = True
         self._answered(now, request, f"{now / SECOND:.3f} s: {event}")
 
     @staticmethod
-    def _ended(now: int, seen: _Seen, event: face.AttemptEnded) -> None:
+    def _ended(now: int, seen: _Seen, event: AttemptEnded) -> None:
         request = seen.requests[event.request_id]
         request.out = request.up = False
         if event.is_final:
             del seen.requests[event.request_id]
 
     @staticmethod
-    def _left(now: int, seen: _Seen, event: face.ClientDisconnected) -> None:
+    def _left(now: int, seen: _Seen, event: ClientDisconnected) -> None:
         request = seen.requests.get(event.request_id)
         if request is not None:
             request.over = True
 
     # What they say.
 
-    def _sent(self, now: int, seen: _Seen, action: face.StartAttempt, where: str) -> None:
+    def _sent(self, now: int, seen: _Seen, action: StartAttempt, where: str) -> None:
         request = seen.requests.get(action.request_id)
         if request is None or request.over:
             self.twice.saw(1, where)
--- a/stepflow/fleet/scenario.py
+++ b/stepflow/fleet/scenario.py
@@ -11,9 +11,9 @@
 from pathlib import Path
 from typing import Any, get_type_hints
 
-from stepflow import interface as face
 from stepflow.daemon.lines import MOST_BYTES, Directive, FileError, parse
 from stepflow.fleet.streams import stream
+from stepflow.interface import Limits, Prices, RequestClass, SafetyRules, Settings
 
 Range = tuple[float, float]
 MS = 1_000  # microseconds in a millisecond
@@ -176,7 +176,7 @@
             if held and most > BEYOND * held
         ]
 
-    def settings(self, position: int = 0, now: float = 0.0) -> face.Settings:
+    def settings(self, position: int = 0, now: float = 0.0) -> Settings:
         """What an instance is told from a time on (seconds of the day).
 
         Ranges give their least favourable end, as a site's rules do.
@@ -187,14 +187,14 @@
                 tries = fault.tries or tries
                 price = fault.probe_price if fault.probe_price >= 0 else price
         cold = [kind.cold_from[0] for kind in self.kinds.values()]
-        return face.Settings(
+        return Settings(
             balancers=day.nodes,
             position=position,
             zone=position % max(1, day.zones),
             zones=("room",) if day.zones < 2 else tuple(f"zone-{n}" for n in range(day.zones)),
             kinds=tuple(self.kinds),
             classes=tuple(
-                face.RequestClass(
+                RequestClass(
                     name,
                     latency_objective_us=int(cls.aim_ms * MS),
                     deadline_us=int(cls.wait_ms * MS),
@@ -203,9 +203,9 @@
                 )
                 for name, cls in self.classes.items()
             ),
-            prices=face.Prices(day.zone_price, late_fail=0.042, moves=0.02, probe=price, waste=0.05),
-            limits=face.Limits(max_attempts=tries, retry_after=True),
-            rules=face.SafetyRules(
+            prices=Prices(day.zone_price, late_fail=0.042, moves=0.02, probe=price, waste=0.05),
+            limits=Limits(max_attempts=tries, retry_after=True),
+            rules=SafetyRules(
                 slow_start_share=min(cold),
                 slow_start_us=int(1e6 * max(kind.cold_s[1] for kind in self.kinds.values())),
                 drain_grace_us=500_000,
--- a/stepflow/fleet/synth.py
+++ b/stepflow/fleet/synth.py
@@ -5,12 +5,12 @@
 from collections.abc import Sequence
 from pathlib import Path
 
-from stepflow import interface as face
 from stepflow.errors import BadInput
 from stepflow.fleet.baselines import Maker
 from stepflow.fleet.scenario import Scenario
 from stepflow.fleet.servers import Server
 from stepflow.fleet.world import World
+from stepflow.interface import Action, Event, Request, Settings
 from stepflow.traffic import Recorder
 
 BEGAN_US = 1_700_000_000_000_000  # Unix time at which each such day begins
@@ -49,7 +49,7 @@
         """All journals, each node's in order."""
         return [path for file in self._files for path in file.paths]
 
-    def begins(self, node: int, life: int, settings: face.Settings) -> None:
+    def begins(self, node: int, life: int, settings: Settings) -> None:
         """A node's process starts: it records into a file of its own."""
         folder = self._folder / f"n{node}"
         folder.mkdir(parents=True, exist_ok=True)
@@ -58,9 +58,9 @@
         self._files.append(_File(folder, life))
         self._recorders[node] = Recorder(self._files[-1], KEY, f"n{node}", BEGAN_US + life, settings, SEGMENT)
 
-    def heard(self, now: int, node: int, event: face.Event, actions: list[face.Action]) -> None:
+    def heard(self, now: int, node: int, event: Event, actions: list[Action]) -> None:
         """One event of a node, which tells deadlines on its own clock, and what it decided."""
-        if isinstance(event, face.Request):
+        if isinstance(event, Request):
             event = event._replace(expires_us=event.expires_us + BEGAN_US)
         self._now_us = BEGAN_US + now
         self._recorders[node].take(self._now_us, event, actions)
--- a/stepflow/fleet/world.py
+++ b/stepflow/fleet/world.py
@@ -14,7 +14,6 @@
 
 import numpy as np
 
-from stepflow import interface as face
 from stepflow.fleet.attempts import Attempts
 from stepflow.fleet.baselines import Maker
 from stepflow.fleet.clients import Clients
@@ -26,7 +25,26 @@
 from stepflow.fleet.streams import stream
 from stepflow.fleet.tally import Tally
 from stepflow.fleet.traffic import Traffic, draw
-from stepflow.interface import ListUpdateKind, SessionReportKind
+from stepflow.interface import (
+    Action,
+    CancelAttempt,
+    EndpointListUpdate,
+    Event,
+    FailRequest,
+    FetchEndpointList,
+    ListUpdateKind,
+    MigrateSession,
+    RejectRequest,
+    SessionReport,
+    SessionReportKind,
+    SetTimer,
+    Settings,
+    StartAttempt,
+    Started,
+    StartHealthCheck,
+    TimerFired,
+    WatchEndpointList,
+)
 from stepflow.policy import Policy
 
 LOOK_US = 100_000  # between two looks at who is served
@@ -39,10 +57,10 @@
 class Ear(Protocol):
     """Whoever listens to the nodes of a day: a referee, or a recorder of their traffic."""
 
-    def begins(self, node: int, life: int, settings: face.Settings) -> None:
+    def begins(self, node: int, life: int, settings: Settings) -> None:
         """A node's process starts."""
 
-    def heard(self, now: int, node: int, event: face.Event, actions: list[face.Action]) -> None:
+    def heard(self, now: int, node: int, event: Event, actions: list[Action]) -> None:
         """What a node's module heard, and what it wants done."""
 
     def close(self, now: int, servers: Sequence[Server]) -> None:
@@ -84,19 +102,15 @@
         self.listing, self.faults = Listing(self), Faults(self)
         self._ears = ears
         self._actions: dict[type, Callable[..., None]] = {
-            face.StartAttempt: self.attempts.send,
-            face.StartHealthCheck: self.attempts.probe,
-            face.SetTimer: lambda node, a: self.after(
-                a.delay_us, partial(self._timer, node, node.life, a.token)
-            ),
-            face.RejectRequest: lambda node, a: self.clients.answered(
-                node, a.request, False, a.retry_after_us
-            ),
-            face.FailRequest: lambda node, a: self.clients.answered(node, a.request, True, 0),
-            face.MigrateSession: lambda node, a: self.attempts.move(node, a.request),
-            face.CancelAttempt: lambda node, a: self.attempts.cancel(node, a.request),
-            face.WatchEndpointList: lambda node, a: self.listing.watch(node),
-            face.FetchEndpointList: lambda node, a: self.listing.watch(node),
+            StartAttempt: self.attempts.send,
+            StartHealthCheck: self.attempts.probe,
+            SetTimer: lambda node, a: self.after(a.delay_us, partial(self._timer, node, node.life, a.token)),
+            RejectRequest: lambda node, a: self.clients.answered(node, a.request, False, a.retry_after_us),
+            FailRequest: lambda node, a: self.clients.answered(node, a.request, True, 0),
+            MigrateSession: lambda node, a: self.attempts.move(node, a.request),
+            CancelAttempt: lambda node, a: self.attempts.cancel(node, a.request),
+            WatchEndpointList: lambda node, a: self.listing.watch(node),
+            FetchEndpointList: lambda node, a: self.listing.watch(node),
         }
 
     def make_server(self, kind: int, uid: str, zone: int, rng: np.random.Generator) -> Server:
@@ -210,8 +224,8 @@
         node.policy = self._maker(settings, seed)
         for ear in self._ears:
             ear.begins(node.number, node.life, settings)
-        self.feed(node, face.Started())
-        self.feed(node, face.EndpointListUpdate(ListUpdateKind.CACHED, tuple(node.known.values())))
+        self.feed(node, Started())
+        self.feed(node, EndpointListUpdate(ListUpdateKind.CACHED, tuple(node.known.values())))
 
     def retune(self) -> None:
         """SIGHUP at all nodes: those that run take the settings that hold now."""
@@ -219,11 +233,11 @@
             if node.policy is not None:
                 node.policy.retune(self.scenario.settings(node.number, self.now / SECOND))
 
-    def feed(self, node: Node, event: face.Event) -> None:
+    def feed(self, node: Node, event: Event) -> None:
         """Hand an event to a node's module, and carry out what it says."""
         if node.policy is None:
             return
-        if isinstance(event, face.EndpointListUpdate):
+        if isinstance(event, EndpointListUpdate):
             node.told(event)
         actions = node.policy.handle(self.now, event)
         for ear in self._ears:
@@ -235,7 +249,7 @@
 
     def _timer(self, node: Node, life: int, token: int) -> None:
         if node.life == life:
-            self.feed(node, face.TimerFired(token))
+            self.feed(node, TimerFired(token))
 
     # What is counted.
 
@@ -301,7 +315,7 @@
                     seen.add(server.uid)
                     delay = server.delay_s(self.now) if since is None else (self.now - since) / SECOND
                     if delay > late:
-                        note = face.SessionReport(
+                        note = SessionReport(
                             client.request,
                             client.attempt,
                             server.uid,
--- a/stepflow/interface.py
+++ b/stepflow/interface.py
@@ -184,7 +184,7 @@
         return self.classes[request.class_index]
 
 
-class Server(NamedTuple):
+class Endpoint(NamedTuple):
     """One entry of the list of servers."""
 
     id: EndpointId
@@ -207,7 +207,7 @@
     """News of the list of servers."""
 
     kind: int
-    endpoints: tuple[Server, ...]
+    endpoints: tuple[Endpoint, ...]
 
 
 class Request(NamedTuple):
--- a/stepflow/node/clients/connection.py
+++ b/stepflow/node/clients/connection.py
@@ -12,7 +12,7 @@
 from twisted.internet.protocol import Factory, connectionDone
 from twisted.python.failure import Failure
 
-from stepflow import interface as face
+from stepflow.interface import Request
 from stepflow.logs import get_logger
 from stepflow.node.core import Attempt, Core, RequestContext
 from stepflow.node.relay import Relay
@@ -48,7 +48,7 @@
 
     head: bytes  # OPEN, id and key, as they came
     pairs: tuple[tuple[bytes, bytes], ...]
-    request: face.Request
+    request: Request
     standing_at: str
 
     @property
@@ -98,7 +98,7 @@
     wait = timedelta(milliseconds=int(told[b"d"]))
     if wait > (STANDING_WAIT if b"at" in told else MOST_WAIT):
         raise MalformedLine("a wait that no client has")
-    request = face.Request(
+    request = Request(
         id=0,
         class_index=classes[told[b"c"]],
         expires_us=micros(now + wait),
@@ -156,7 +156,7 @@
             return False
         families = family(client), family(peer)  # before anything counts
         tenant = self.tenants.get(str(told.get("tenant", "")).encode(), len(self.tenants))
-        request = face.Request(0, cls, 0, told["load"], tenant, told["key"], told["group"])
+        request = Request(0, cls, 0, told["load"], tenant, told["key"], told["group"])
         connection = ClientConnection(self)
         context = self.core.adopt(request, connection, at)
         if context is None:
--- a/stepflow/node/core.py
+++ b/stepflow/node/core.py
@@ -13,8 +13,37 @@
 from datetime import timedelta
 from typing import Protocol
 
-from stepflow import interface as face
-from stepflow.interface import AttemptResult
+from stepflow.interface import (
+    Action,
+    AttemptEnded,
+    AttemptResult,
+    CancelAttempt,
+    ClientDisconnected,
+    CloseIdleConnections,
+    Endpoint,
+    EndpointListUpdate,
+    Event,
+    FailRequest,
+    FetchEndpointList,
+    HealthCheckEnded,
+    ListUpdateKind,
+    LogMessage,
+    MigrateSession,
+    RejectRequest,
+    Request,
+    SendPeerMessage,
+    SessionAdopted,
+    SessionEstablished,
+    SessionReport,
+    SessionReportKind,
+    SetTimer,
+    Settings,
+    StartAttempt,
+    Started,
+    StartHealthCheck,
+    TimerFired,
+    WatchEndpointList,
+)
 from stepflow.logs import get_logger
 from stepflow.node.runtime.clock import ZERO, Clock, micros
 from stepflow.node.runtime.counters import Counters
@@ -26,7 +55,7 @@
 
 log = get_logger()
 
-Tap = Callable[[int, face.Event, list[face.Action]], None]
+Tap = Callable[[int, Event, list[Action]], None]
 
 STAND_AGAIN = timedelta(milliseconds=250)  # until a connection that stood before the start is tried again
 
@@ -84,7 +113,7 @@
 class RequestContext:
     """One request, from its arrival until its client has its answer and no attempt is out."""
 
-    request: face.Request
+    request: Request
     front: Front
     standing_at: str = ""  # the peer at which it stood before this node's start
     name: str = ""  # the id that its client gave
@@ -107,7 +136,7 @@
     def __init__(
         self,
         policy: Policy,
-        settings: face.Settings,
+        settings: Settings,
         clock: Clock,
         deadlines: Deadlines,
         counters: Counters,
@@ -119,31 +148,31 @@
         self._requests = RequestLog(clock, counters)
         self._start_times = StartTimes()
         self.retune(settings)
-        self._events: deque[face.Event] = deque()
+        self._events: deque[Event] = deque()
         self._handling = self._leaving = False
         self.tap: Tap | None = None  # hears each event with the actions that followed
         self._actions: dict[type, Callable[..., None]] = {
-            face.StartAttempt: self._send,
-            face.RejectRequest: self._refuse,
-            face.FailRequest: self._fail,
-            face.CancelAttempt: self._cancel,
-            face.MigrateSession: self._move,
-            face.SetTimer: self._set_timer,
-            face.StartHealthCheck: lambda action: self._uplink.probe(action.endpoint),
-            face.CloseIdleConnections: lambda action: self._uplink.close_idle(action.endpoint),
-            face.WatchEndpointList: lambda action: self._discovery.watch(action.enabled),
-            face.FetchEndpointList: lambda action: self._discovery.fetch(),
-            face.SendPeerMessage: lambda action: None,  # nodes have no way to talk to each other
-            face.LogMessage: lambda action: log.info("policy", text=action.text),
+            StartAttempt: self._send,
+            RejectRequest: self._refuse,
+            FailRequest: self._fail,
+            CancelAttempt: self._cancel,
+            MigrateSession: self._move,
+            SetTimer: self._set_timer,
+            StartHealthCheck: lambda action: self._uplink.probe(action.endpoint),
+            CloseIdleConnections: lambda action: self._uplink.close_idle(action.endpoint),
+            WatchEndpointList: lambda action: self._discovery.watch(action.enabled),
+            FetchEndpointList: lambda action: self._discovery.fetch(),
+            SendPeerMessage: lambda action: None,  # nodes have no way to talk to each other
+            LogMessage: lambda action: log.info("policy", text=action.text),
         }
 
-    def start(self, uplink: Uplink, discovery: Discovery, known: tuple[face.Server, ...]) -> None:
+    def start(self, uplink: Uplink, discovery: Discovery, known: tuple[Endpoint, ...]) -> None:
         """Begin the module's life with the list that this node last had."""
         self._uplink, self._discovery = uplink, discovery
-        self._post(face.Started())
-        self.listed(face.ListUpdateKind.CACHED, known)
+        self._post(Started())
+        self.listed(ListUpdateKind.CACHED, known)
 
-    def retune(self, settings: face.Settings) -> None:
+    def retune(self, settings: Settings) -> None:
         """Take settings, at the start or later; what is open keeps its class and its limit of attempts."""
         self._settings = settings
         self._counts = [self._counters.of(cls.name) for cls in settings.classes]
@@ -164,7 +193,7 @@
     # Facts from the front.
 
     def take(
-        self, request: face.Request, front: Front, standing_at: str = "", name: str = ""
+        self, request: Request, front: Front, standing_at: str = "", name: str = ""
     ) -> RequestContext | None:
         """Take a request, which is owed one answer from now on; None when it can't be taken."""
         if self._leaving:  # what came up now would be cut off at the exit
@@ -188,7 +217,7 @@
             self._post(context.request)
         return context
 
-    def adopt(self, request: face.Request, front: Front, peer: str) -> RequestContext | None:
+    def adopt(self, request: Request, front: Front, peer: str) -> RequestContext | None:
         """Go on with a session that came up in the process before; None when it can't be taken."""
         if self._leaving:
             return None
@@ -199,7 +228,7 @@
         if id is None:
             return None
         context.request = request._replace(id=id)
-        self._post(face.SessionAdopted(context.request, peer))
+        self._post(SessionAdopted(context.request, peer))
         return context
 
     def load(self, context: RequestContext) -> float | None:
@@ -207,24 +236,24 @@
         flight = self._policy.flights.get(context.id)
         return None if flight is None else flight.load
 
-    def sessions(self) -> Iterator[tuple[face.Request, str, float | None]]:
+    def sessions(self) -> Iterator[tuple[Request, str, float | None]]:
         """What stands: its request, its peer, and its load as the module counts it."""
         for context in self.standing():
             yield context.request, context.peer, self.load(context)
 
-    def entries(self) -> list[face.Server]:
+    def entries(self) -> list[Endpoint]:
         """The list as the module holds it."""
         return [
-            face.Server(s.id, s.zone, s.kind, s.cell, s.availability, s.size, s.started_us)
+            Endpoint(s.id, s.zone, s.kind, s.cell, s.availability, s.size, s.started_us)
             for s in self._policy.model.servers.values()
         ]
 
-    def turn_away(self, request: face.Request, name: str, why: str) -> None:
+    def turn_away(self, request: Request, name: str, why: str) -> None:
         """Count a request that the node rejects without taking it."""
         self._requests.turned_away(name, why)
         self._count_rejected(request)
 
-    def _count_rejected(self, request: face.Request) -> None:
+    def _count_rejected(self, request: Request) -> None:
         self._counters.rejected += 1
         self._counts[request.class_index].refused += 1
 
@@ -236,7 +265,7 @@
         self._counters.left += 1
         self._requests.answered(context, "none", "the client left")
         if not context.standing_at:
-            self._post(face.ClientDisconnected(context.id))
+            self._post(ClientDisconnected(context.id))
         if context.attempt is not None:
             context.attempt.abandon()
         self._release(context)
@@ -265,10 +294,10 @@
         self._count_served(context)
         self._requests.answered(context, "UP", "the peer's answer")
         if context.standing_at:
-            self._post(face.SessionAdopted(context.request, context.peer))
+            self._post(SessionAdopted(context.request, context.peer))
         else:
             wait = micros(self._clock.now() - context.sent)
-            self._post(face.SessionEstablished(context.id, context.attempts - 1, context.peer, wait))
+            self._post(SessionEstablished(context.id, context.attempts - 1, context.peer, wait))
         context.front.served(attempt)
 
     def attempt_ended(
@@ -289,11 +318,11 @@
             context.front.finish(answer)
         if context.standing_at and not context.up:  # the module never heard of it
             if not context.answered and not self._stand_again(context, result):
-                self._fail(face.FailRequest(context.id))
+                self._fail(FailRequest(context.id))
         else:
             wait = micros(self._clock.now() - context.sent)
             self._post(
-                face.AttemptEnded(
+                AttemptEnded(
                     context.id, context.attempts - 1, context.peer, result, context.answered, wait, report
                 )
             )
@@ -322,9 +351,9 @@
         self._deadlines.at(now + STAND_AGAIN, again)
         return True
 
-    def note(self, context: RequestContext, kind: face.SessionReportKind, value: float) -> None:
+    def note(self, context: RequestContext, kind: SessionReportKind, value: float) -> None:
         """News of a connection that stands."""
-        self._post(face.SessionReport(context.id, context.attempts - 1, context.peer, kind, value))
+        self._post(SessionReport(context.id, context.attempts - 1, context.peer, kind, value))
 
     # Facts from probes and from discovery.
 
@@ -333,14 +362,14 @@
     ) -> None:
         if result != AttemptResult.OK:
             self._counters.probes_failed += 1
-        self._post(face.HealthCheckEnded(peer, result, micros(wait), report))
+        self._post(HealthCheckEnded(peer, result, micros(wait), report))
 
-    def listed(self, form: face.ListUpdateKind, entries: tuple[face.Server, ...]) -> None:
+    def listed(self, form: ListUpdateKind, entries: tuple[Endpoint, ...]) -> None:
         """A list or a change of it, or (`FAILED`) a call that brought none."""
-        if form != face.ListUpdateKind.FAILED:
+        if form != ListUpdateKind.FAILED:
             now = micros(self._clock.now())
-            entries = self._start_times.localize(now, form != face.ListUpdateKind.DELTA, entries)
-        self._post(face.EndpointListUpdate(form, entries))
+            entries = self._start_times.localize(now, form != ListUpdateKind.DELTA, entries)
+        self._post(EndpointListUpdate(form, entries))
 
     # Shutdown.
 
@@ -352,7 +381,7 @@
         self._leaving = True
         for context in self._contexts:
             if not context.answered and self._policy.harmless(context.id):
-                self._refuse(face.RejectRequest(context.id))
+                self._refuse(RejectRequest(context.id))
                 if context.attempt is not None:
                     context.attempt.abandon()
 
@@ -361,7 +390,7 @@
         self.reject_pending()
         for context in self._contexts:
             if not context.answered:
-                self._fail(face.FailRequest(context.id))
+                self._fail(FailRequest(context.id))
                 if context.attempt is not None:
                     context.attempt.abandon()
 
@@ -372,11 +401,11 @@
     def move(self, context: RequestContext) -> None:
         """Move a standing client; one that is gone meanwhile is passed over."""
         if self._contexts.get(context.id) is context:
-            self._move(face.MigrateSession(context.id))
+            self._move(MigrateSession(context.id))
 
     # The module.
 
-    def _post(self, event: face.Event) -> None:
+    def _post(self, event: Event) -> None:
         """Hand an event to the module; one that comes of an action waits until all actions are done."""
         self._events.append(event)
         if self._handling:
@@ -388,7 +417,7 @@
         finally:
             self._handling = False
 
-    def _handle(self, event: face.Event) -> None:
+    def _handle(self, event: Event) -> None:
         now = micros(self._clock.now())
         try:
             actions = self._policy.handle(now, event)
@@ -396,14 +425,14 @@
             # The node outlives a fault of the module, and the request at hand still gets its answer.
             self._counters.faults += 1
             log.exception("the decision module failed", on=repr(event))
-            id = event.id if isinstance(event, face.Request) else getattr(event, "request_id", None)
-            actions = [face.FailRequest(id)] if isinstance(id, int) else []
+            id = event.id if isinstance(event, Request) else getattr(event, "request_id", None)
+            actions = [FailRequest(id)] if isinstance(id, int) else []
         if self.tap is not None:
             self.tap(now, event, actions)
         for action in actions:
             self._actions[type(action)](action)
 
-    def _send(self, action: face.StartAttempt) -> None:
+    def _send(self, action: StartAttempt) -> None:
         context = self._contexts.get(action.request_id)
         if context is not None:
             now = micros(self._clock.now())
@@ -428,7 +457,7 @@
         if context.attempt is None:
             self.attempt_ended(context, AttemptResult.CONNECT_FAILED)
 
-    def _refuse(self, action: face.RejectRequest) -> None:
+    def _refuse(self, action: RejectRequest) -> None:
         context = self._contexts.get(action.request_id)
         if context is not None and not context.answered:
             context.answered = True
@@ -437,7 +466,7 @@
             context.front.reject(timedelta(microseconds=action.retry_after_us))
             self._release(context)
 
-    def _fail(self, action: face.FailRequest) -> None:
+    def _fail(self, action: FailRequest) -> None:
         context = self._contexts.get(action.request_id)
         if context is not None and not context.answered:
             context.answered = True
@@ -451,21 +480,21 @@
         """What has decided an answer that no peer made."""
         return "the node leaves" if self._leaving else "the module"
 
-    def _cancel(self, action: face.CancelAttempt) -> None:
+    def _cancel(self, action: CancelAttempt) -> None:
         context = self._contexts.get(action.request_id)
         if context is None or context.up or context.attempt is None:
             return
         if action.attempt == context.attempts - 1:
             context.attempt.abandon()
 
-    def _move(self, action: face.MigrateSession) -> None:
+    def _move(self, action: MigrateSession) -> None:
         context = self._contexts.get(action.request_id)
         if context is not None and context.up:
             self._counters.moved += 1
             context.front.move()
 
-    def _set_timer(self, action: face.SetTimer) -> None:
-        timer = face.TimerFired(action.token)
+    def _set_timer(self, action: SetTimer) -> None:
+        timer = TimerFired(action.token)
         self._deadlines.after(timedelta(microseconds=action.delay_us), lambda: self._post(timer))
 
     def _release(self, context: RequestContext) -> None:
--- a/stepflow/node/recording.py
+++ b/stepflow/node/recording.py
@@ -4,8 +4,8 @@
 
 from datetime import timedelta
 
-from stepflow import interface as face
 from stepflow.daemon import Record
+from stepflow.interface import Action, Event, Settings
 from stepflow.logs import get_logger
 from stepflow.node.core import Core
 from stepflow.node.runtime.clock import Clock, micros
@@ -29,7 +29,7 @@
         self._recorder: Recorder | None = None
         self._deadline: Deadline | None = None
 
-    def follow(self, told: Record | None, settings: face.Settings) -> None:
+    def follow(self, told: Record | None, settings: Settings) -> None:
         """Record as this says from now on; None ends it. What goes on as it was goes on in its file."""
         if told == self._told:
             if self._recorder is not None:
@@ -60,7 +60,7 @@
             recorder.end(self._now())
             writer.close(wait.total_seconds())
 
-    def _take(self, now: int, event: face.Event, actions: list[face.Action]) -> None:
+    def _take(self, now: int, event: Event, actions: list[Action]) -> None:
         """The node outlives a fault of the recorder."""
         if self._recorder is None:
             return
--- a/stepflow/node/runtime/request_log.py
+++ b/stepflow/node/runtime/request_log.py
@@ -9,8 +9,7 @@
 from datetime import timedelta
 from typing import Protocol
 
-from stepflow import interface as face
-from stepflow.interface import AttemptResult
+from stepflow.interface import AttemptResult, Request
 from stepflow.logs import debugging, get_logger
 from stepflow.node.runtime.clock import Clock, micros, millis
 from stepflow.node.runtime.counters import Counters
@@ -23,7 +22,7 @@
 class LoggedRequest(Protocol):
     """What the log tells of a request."""
 
-    request: face.Request
+    request: Request
     name: str
     peer: str
     attempts: int
--- a/stepflow/policy/controller.py
+++ b/stepflow/policy/controller.py
@@ -6,8 +6,7 @@
 from bisect import bisect
 from collections.abc import Callable
 
-from stepflow import interface as face
-from stepflow.interface import Availability
+from stepflow.interface import Availability, Settings
 from stepflow.policy.model import UNSEEN_LOAD, Model, ServerState, clamp
 
 KP, KI, KD = 0.6, 0.5, 0.125
@@ -29,7 +28,7 @@
 class Controller:
     """Moves the weights toward equal predicted load and keeps the table for the draw."""
 
-    def __init__(self, settings: face.Settings, model: Model, rng: random.Random) -> None:
+    def __init__(self, settings: Settings, model: Model, rng: random.Random) -> None:
         self.settings, self.model, self.rng = settings, model, rng
         self.table: list[float] = []
         self.listed: list[ServerState] = []
--- a/stepflow/policy/decide.py
+++ b/stepflow/policy/decide.py
@@ -7,17 +7,39 @@
 from collections.abc import Callable
 from functools import partial
 
-from stepflow import interface as face
 from stepflow.budgets.attempt_throttle import THROTTLE_S, Throttle
 from stepflow.budgets.slow_start import Ramp
 from stepflow.estimates.arrivals import Arrivals
 from stepflow.interface import (
+    Action,
+    AttemptEnded,
     AttemptResult,
     Availability,
+    CancelAttempt,
+    ClientDisconnected,
     DeduplicationScope,
+    EndpointId,
+    EndpointListUpdate,
+    Event,
+    FailRequest,
+    HealthCheckEnded,
     Idempotency,
     ListUpdateKind,
+    MigrateSession,
+    PeerMessageReceived,
+    RejectRequest,
+    Request,
+    SessionAdopted,
+    SessionEstablished,
+    SessionReport,
     SessionReportKind,
+    SetTimer,
+    Settings,
+    StartAttempt,
+    Started,
+    StartHealthCheck,
+    TimerFired,
+    WatchEndpointList,
 )
 from stepflow.policy.controller import JAM, Controller, harm
 from stepflow.policy.model import HEALTH_FLOOR, Flight, Model, ServerState, clamp
@@ -64,38 +86,38 @@
 class Policy:
     """The decisions of one instance: handle(now, event) returns the actions."""
 
-    def __init__(self, settings: face.Settings, seed: int) -> None:
+    def __init__(self, settings: Settings, seed: int) -> None:
         self.rng, self.model = random.Random(seed), Model(settings)
         self.controller = Controller(settings, self.model, self.rng)
         self.throttle = Throttle()
         self.cold: list[ServerState] = []
         self.flights: dict[int, Flight] = {}
-        self.holders: dict[int, dict[face.EndpointId, ServerState]] = {}  # where a group has own connections
+        self.holders: dict[int, dict[EndpointId, ServerState]] = {}  # where a group has own connections
         self.held: dict[int, None] = {}  # requests that wait for the throttle to open, in order
-        self.actions: list[face.Action] = []
+        self.actions: list[Action] = []
         self.now = self.stepped_us = 0
         self.arrivals, self.asking, self.ramp = Arrivals(), Asking(self.rng), Ramp()
         self.unshown = 0.0  # load that all instances put on a server before its reports tell
         self.wait_us = float(FIRST_WAIT_US)
         self.probe_budget = self.drawn_budget = self.move_budget = self.probe_wait_us = 0.0
-        self.probing: dict[face.EndpointId, None] = {}  # probes that are out
-        self.slow: dict[face.EndpointId, ServerState] = {}  # servers that are jammed
+        self.probing: dict[EndpointId, None] = {}  # probes that are out
+        self.slow: dict[EndpointId, ServerState] = {}  # servers that are jammed
         self.retune(settings)
         self.handlers: dict[type, Callable[..., None]] = {
-            face.Started: self.on_started,
-            face.EndpointListUpdate: self.on_endpoint_list_update,
-            face.Request: self.on_request,
-            face.SessionAdopted: self.on_session_adopted,
-            face.SessionEstablished: self.on_session_established,
-            face.SessionReport: self.on_session_report,
-            face.AttemptEnded: self.on_attempt_ended,
-            face.ClientDisconnected: self.on_client_disconnected,
-            face.TimerFired: self.on_timer_fired,
-            face.HealthCheckEnded: self.on_health_check_ended,
-            face.PeerMessageReceived: self.on_peer_message_received,
+            Started: self.on_started,
+            EndpointListUpdate: self.on_endpoint_list_update,
+            Request: self.on_request,
+            SessionAdopted: self.on_session_adopted,
+            SessionEstablished: self.on_session_established,
+            SessionReport: self.on_session_report,
+            AttemptEnded: self.on_attempt_ended,
+            ClientDisconnected: self.on_client_disconnected,
+            TimerFired: self.on_timer_fired,
+            HealthCheckEnded: self.on_health_check_ended,
+            PeerMessageReceived: self.on_peer_message_received,
         }
 
-    def retune(self, settings: face.Settings) -> None:
+    def retune(self, settings: Settings) -> None:
         """Take settings, at the start or later; classes keep their numbers, and what is open its limit."""
         self.settings = self.controller.settings = settings
         self.model.retune(settings)
@@ -106,7 +128,7 @@
         ]
         self.late_ms = min(aims, default=math.inf)  # notes begin well below what any class feels
 
-    def handle(self, now: int, event: face.Event) -> list[face.Action]:
+    def handle(self, now: int, event: Event) -> list[Action]:
         """Take one event at its time and return what is to be done."""
         handler = self.handlers.get(type(event))
         if handler is None:
@@ -116,17 +138,17 @@
         handler(event)
         return self.actions
 
-    def on_started(self, event: face.Started) -> None:
+    def on_started(self, event: Started) -> None:
         self.stepped_us = self.controller.stepped_us = self.now
         # Instances that step in time swing together: each takes a phase of its own.
-        self.actions.append(face.SetTimer(self.rng.randrange(1, TICK_US), TICK_TOKEN))
+        self.actions.append(SetTimer(self.rng.randrange(1, TICK_US), TICK_TOKEN))
         if self.settings.polls_endpoint_list:
-            self.actions.append(face.SetTimer(self.asking.first(), ASK_TOKEN))
+            self.actions.append(SetTimer(self.asking.first(), ASK_TOKEN))
 
-    def on_endpoint_list_update(self, event: face.EndpointListUpdate) -> None:
+    def on_endpoint_list_update(self, event: EndpointListUpdate) -> None:
         if event.kind == ListUpdateKind.FAILED:
             wait = self.asking.again(self.now, self.settings.rules.list_refresh_us)
-            self.actions.append(face.SetTimer(wait, ASK_TOKEN))
+            self.actions.append(SetTimer(wait, ASK_TOKEN))
             return
         self.asking.heard()
         servers = self.model.servers
@@ -154,7 +176,7 @@
             self.model.predict(list(servers.values()), 0.0)
             self.controller.tabulate(self.now)
 
-    def on_request(self, request: face.Request) -> None:
+    def on_request(self, request: Request) -> None:
         flight = Flight(request, self.model.told(request.load, request.class_index))
         flight.limit = self.settings.limits.max_attempts
         self.flights[request.id] = flight
@@ -165,7 +187,7 @@
         self.wake(flight, request.expires_us - self.now - 2 * self.settings.tick_us)
         self.place(flight)
 
-    def on_session_adopted(self, event: face.SessionAdopted) -> None:
+    def on_session_adopted(self, event: SessionAdopted) -> None:
         flight = Flight(event.request, self.model.told(event.request.load, event.request.class_index))
         flight.attempts, flight.up, flight.out = 1, True, True
         self.flights[event.request.id] = flight
@@ -288,7 +310,7 @@
         self.settle(flight, server)
         # Clients of a lost server come all at once: those placed a moment ago must count for the next.
         server.placed += self.settings.balancers * server.cost * self.model.loads.units(flight.load)
-        self.actions.append(face.StartAttempt(request.id, server.id, timeout))
+        self.actions.append(StartAttempt(request.id, server.id, timeout))
 
     def choose(self, flight: Flight) -> ServerState | None:
         """Draw some servers by weight and take the one predicted best.
@@ -360,18 +382,16 @@
 
     def wake(self, flight: Flight, wait_us: int) -> None:
         """Come back to a request after a while."""
-        self.actions.append(face.SetTimer(max(1, wait_us), FIRST_REQUEST_TOKEN + flight.request.id))
+        self.actions.append(SetTimer(max(1, wait_us), FIRST_REQUEST_TOKEN + flight.request.id))
 
     def give_up(self, flight: Flight, retry_after_us: int = 0) -> None:
         """The final answer of a request that can't be served."""
         id, flight.answered = flight.request.id, True
-        self.actions.append(
-            face.RejectRequest(id, retry_after_us) if self.harmless(id) else face.FailRequest(id)
-        )
+        self.actions.append(RejectRequest(id, retry_after_us) if self.harmless(id) else FailRequest(id))
         if not flight.out:
             self.drop(flight)
         elif self.settings.limits.cancellation:
-            self.actions.append(face.CancelAttempt(flight.request.id, flight.attempts - 1))
+            self.actions.append(CancelAttempt(flight.request.id, flight.attempts - 1))
 
     def drop(self, flight: Flight) -> None:
         """Forget a request that has its final answer and no attempt out."""
@@ -380,7 +400,7 @@
         self.unsettle(flight)
         self.flights.pop(flight.request.id, None)
 
-    def on_session_established(self, event: face.SessionEstablished) -> None:
+    def on_session_established(self, event: SessionEstablished) -> None:
         flight = self.flights.get(event.request_id)
         if flight is None or flight.up or not flight.out or event.attempt != flight.attempts - 1:
             return
@@ -404,7 +424,7 @@
         up, failed = self.throttle.up - server.up, self.throttle.failed - server.failed
         return up > 1 + failed
 
-    def on_attempt_ended(self, event: face.AttemptEnded) -> None:
+    def on_attempt_ended(self, event: AttemptEnded) -> None:
         server = self.model.servers.get(event.endpoint)
         if server is not None and event.load_report:
             self.model.report(self.now, server, event.load_report)
@@ -447,13 +467,13 @@
         else:
             self.place(flight)
 
-    def on_client_disconnected(self, event: face.ClientDisconnected) -> None:
+    def on_client_disconnected(self, event: ClientDisconnected) -> None:
         if flight := self.flights.get(event.request_id):
             flight.answered = True
             if not flight.out:
                 self.drop(flight)
 
-    def on_session_report(self, event: face.SessionReport) -> None:
+    def on_session_report(self, event: SessionReport) -> None:
         flight, value = self.flights.get(event.request_id), event.value
         if flight is None or not flight.up or not math.isfinite(value) or value < 0:
             return
@@ -467,12 +487,12 @@
             server.delay_us = self.now
             self.slow[server.id] = server
 
-    def on_timer_fired(self, event: face.TimerFired) -> None:
+    def on_timer_fired(self, event: TimerFired) -> None:
         if event.token == TICK_TOKEN:
             self.step()
         elif event.token == ASK_TOKEN:
             self.asking.asked(self.now)
-            self.actions.append(face.WatchEndpointList(True))
+            self.actions.append(WatchEndpointList(True))
         else:
             flight = self.flights.get(event.token - FIRST_REQUEST_TOKEN)
             if flight is None or flight.up or flight.answered:
@@ -486,7 +506,7 @@
         """What is done now and then: weights, cold budgets, held requests, probes and moves."""
         seconds = (self.now - self.stepped_us) / SECOND
         self.stepped_us = self.now
-        self.actions.append(face.SetTimer(TICK_US, TICK_TOKEN))
+        self.actions.append(SetTimer(TICK_US, TICK_TOKEN))
         self.arrivals.fade(seconds)
         self.throttle.fade(seconds, self.arrivals.rate())
         kept = math.exp(-seconds / THROTTLE_S)
@@ -541,10 +561,10 @@
         if server.id in self.probing or not self.settings.limits.health_checks:
             return False
         self.probing[server.id], server.asked_us = None, self.now
-        self.actions.append(face.StartHealthCheck(server.id))
+        self.actions.append(StartHealthCheck(server.id))
         return True
 
-    def on_health_check_ended(self, event: face.HealthCheckEnded) -> None:
+    def on_health_check_ended(self, event: HealthCheckEnded) -> None:
         self.probing.pop(event.endpoint, None)
         server = self.model.servers.get(event.endpoint)
         if server is None:
@@ -588,8 +608,8 @@
             if self.rng.random() * flight.load < left:
                 self.move_budget -= 1
                 flight.answered = True
-                self.actions.append(face.MigrateSession(flight.request.id))
+                self.actions.append(MigrateSession(flight.request.id))
             left -= flight.load
 
-    def on_peer_message_received(self, event: face.PeerMessageReceived) -> None:
+    def on_peer_message_received(self, event: PeerMessageReceived) -> None:
         """Nothing is told among instances so far; what comes is ignored."""
--- a/stepflow/policy/model.py
+++ b/stepflow/policy/model.py
@@ -4,8 +4,8 @@
 
 import math
 
-from stepflow import interface as face
 from stepflow.estimates.loads import Loads
+from stepflow.interface import Endpoint, EndpointId, Request, Settings
 from stepflow.rendezvous import key_of
 
 LEARN = 0.4  # share of a new report in the learned cost, at the least
@@ -31,7 +31,7 @@
     up = failed = 0.0  # attempts that came up and that failed, fading as the throttle's
     seen_us = delay_us = moved_us = asked_us = 0  # of the last report, note of late messages, moves and probe
 
-    def __init__(self, entry: face.Server, budget: float) -> None:
+    def __init__(self, entry: Endpoint, budget: float) -> None:
         self.id, self.key, self.budget = entry.id, key_of(entry.id), budget
         self.flights: dict[int, Flight] = {}
         self.groups: dict[int, int] = {}  # own connections of each group
@@ -39,7 +39,7 @@
         self.waiting: list[Flight] = []  # requests that wait for a probe of this server
         self.follow(entry)
 
-    def follow(self, entry: face.Server) -> None:
+    def follow(self, entry: Endpoint) -> None:
         """Take over what the list says."""
         self.zone, self.kind, self.cell = entry.zone, entry.kind, entry.cell
         self.availability, self.started_us = entry.availability, entry.started_us
@@ -60,24 +60,24 @@
     bound: ServerState | None = None  # where a keyed or unsafe request may have run
     home: ServerState | None = None  # where all instances look for its group first
 
-    def __init__(self, request: face.Request, load: float) -> None:
+    def __init__(self, request: Request, load: float) -> None:
         self.request, self.load = request, load
-        self.tried: list[face.EndpointId] = []
+        self.tried: list[EndpointId] = []
         self.candidates: list[ServerState] = []  # drawn, and being probed
 
 
 class Model:
     """Told load and learned cost of every server."""
 
-    def __init__(self, settings: face.Settings) -> None:
-        self.servers: dict[face.EndpointId, ServerState] = {}
+    def __init__(self, settings: Settings) -> None:
+        self.servers: dict[EndpointId, ServerState] = {}
         self.kind_cost: dict[int, float] = {}
         self.kind_size: dict[int, float] = {}  # where weights are live
         self.loads = Loads()
         self.own = self.plain_cost = 0.0  # summed load of all own connections; mean cost of the kinds
         self.retune(settings)
 
-    def retune(self, settings: face.Settings) -> None:
+    def retune(self, settings: Settings) -> None:
         """Take settings, at the start or later."""
         self.settings, fields = settings, settings.load_report_fields
         known = [fields.index(name) for name in ("x0", "util", "inflight", "queue") if name in fields]
--- a/stepflow/settings.py
+++ b/stepflow/settings.py
@@ -8,7 +8,16 @@
 from datetime import timedelta
 from typing import NamedTuple, TypeVar
 
-from stepflow import interface as face
+from stepflow.interface import (
+    DeduplicationScope,
+    Idempotency,
+    Limits,
+    Prices,
+    RequestClass,
+    SafetyRules,
+    Settings,
+    Tenant,
+)
 
 T = TypeVar("T")
 
@@ -30,15 +39,11 @@
 CONNECT_TIMEOUT = timedelta(milliseconds=200)
 IDLE_CLOSE = timedelta(seconds=15)
 _EFFECTS = {
-    "repeatable": face.Idempotency.IDEMPOTENT,
-    "by_key": face.Idempotency.BY_KEY,
-    "once": face.Idempotency.NOT_IDEMPOTENT,
-}
-_SCOPES = {
-    "all": face.DeduplicationScope.ALL,
-    "zone": face.DeduplicationScope.ZONE,
-    "cell": face.DeduplicationScope.CELL,
+    "repeatable": Idempotency.IDEMPOTENT,
+    "by_key": Idempotency.BY_KEY,
+    "once": Idempotency.NOT_IDEMPOTENT,
 }
+_SCOPES = {"all": DeduplicationScope.ALL, "zone": DeduplicationScope.ZONE, "cell": DeduplicationScope.CELL}
 
 
 class _Pairs:
@@ -89,7 +94,7 @@
         return table[raw] if raw else default
 
 
-def parse_settings(text: str) -> face.Settings:
+def parse_settings(text: str) -> Settings:
     """Turn the simulator's settings text into Settings."""
     return _settings(_Pairs(_lines(text)))
 
@@ -97,7 +102,7 @@
 class NodeSettings(NamedTuple):
     """What the settings tell a real node: those of the module, and what the sockets need beside."""
 
-    module: face.Settings
+    module: Settings
     connect_timeout: timedelta
     idle_close: timedelta
     tells_load: bool = True  # whether peers tell loads, as `LOAD X`
@@ -121,7 +126,7 @@
     )
 
 
-def follow(before: face.Settings, told: face.Settings) -> face.Settings:
+def follow(before: Settings, told: Settings) -> Settings:
     """Settings told while requests are open: classes keep their numbers, and new or altered ones go behind.
 
     So do tenants, with the shares that are told now: one that is told no more has none. Zones and kinds stay,
@@ -173,14 +178,14 @@
     return value.replace(" ", "_").replace(",", "_") if isinstance(value, str) else str(value)
 
 
-def _settings(read: _Pairs) -> face.Settings:
+def _settings(read: _Pairs) -> Settings:
     """Settings from pairs; unknown keys are skipped, absent ones take defaults."""
     message_aims = read.numbers("domain.message_aim_us")
     classes = []
     for i in range(read.whole("classes.count", 0)):
-        base, plain = f"classes.{i}.", face.RequestClass()
+        base, plain = f"classes.{i}.", RequestClass()
         classes.append(
-            face.RequestClass(
+            RequestClass(
                 name=read.pairs.get(base + "name", str(i)),
                 latency_objective_us=read.whole(base + "aim_us", plain.latency_objective_us),
                 deadline_us=read.whole(base + "give_up_us", plain.deadline_us, 1),
@@ -193,7 +198,7 @@
         )
     quotas = read.numbers("domain.tenant_quota_connections")
     tenants = tuple(
-        face.Tenant(
+        Tenant(
             name=read.pairs.get(f"tenants.{i}.name", str(i)),
             share=read.number(f"tenants.{i}.fraction", 1.0),
             quota_per_s=read.number(f"tenants.{i}.quota_rps", 0.0),
@@ -201,23 +206,23 @@
         )
         for i in range(read.whole("tenants.count", 0))
     )
-    limits, rules = face.Limits(), face.SafetyRules()
+    limits, rules = Limits(), SafetyRules()
     via = read.pairs.get("report.via", "none")
-    return face.Settings(
+    return Settings(
         balancers=read.whole("group_size", 1, 1),
         position=read.whole("position", 0),
         zone=read.whole("zone", 0),
         zones=read.names("azs"),
         kinds=read.names("kinds"),
-        classes=tuple(classes) or (face.RequestClass(),),
+        classes=tuple(classes) or (RequestClass(),),
         tenants=tenants,
-        prices=face.Prices(
+        prices=Prices(
             **{
                 name: read.number(f"costs.{name}", 0.0)
                 for name in ("cross_zone", "late_fail", "moves", "peer", "probe", "waste")
             }
         ),
-        limits=face.Limits(
+        limits=Limits(
             max_attempts=read.whole("policy_limits.most_tries", limits.max_attempts, 1),
             health_checks=read.flag("policy_limits.probing", limits.health_checks),
             peer_messages=read.flag("policy_limits.peers", limits.peer_messages),
@@ -225,7 +230,7 @@
             retry_after=read.flag("policy_limits.retry_after", limits.retry_after),
             max_retry_after_us=read.whole("policy_limits.max_retry_after_us", limits.max_retry_after_us),
         ),
-        rules=face.SafetyRules(
+        rules=SafetyRules(
             answer_slack_us=read.whole("safety.answer_slack_us", rules.answer_slack_us),
             list_refresh_us=read.whole("safety.ask_within_us", rules.list_refresh_us),
             slow_start_share=read.number("safety.cold_share", rules.slow_start_share),
--- a/stepflow/simhost.py
+++ b/stepflow/simhost.py
@@ -5,8 +5,8 @@
 import sys
 from typing import BinaryIO
 
-from stepflow import interface as face
 from stepflow import wire
+from stepflow.interface import Action, Started
 from stepflow.policy import Policy
 from stepflow.settings import SettingsError, parse_settings
 
@@ -16,13 +16,13 @@
     instances: dict[int, Policy] = {}
     while (batch := wire.read_batch(source)) is not None:
         now, count, body = batch
-        replies: dict[int, list[face.Action]] = {}
+        replies: dict[int, list[Action]] = {}
         crashed: list[bytes] = []
         for who, event in wire.decode(count, body):
             if isinstance(event, wire.Boot):
                 instances[who] = Policy(parse_settings(event.settings), event.seed)
                 replies.pop(who, None)
-                event = face.Started()
+                event = Started()
             elif isinstance(event, wire.Retire):
                 instances.pop(who, None)
                 replies.pop(who, None)
--- a/stepflow/upstream/endpoint_group.py
+++ b/stepflow/upstream/endpoint_group.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 from stepflow.address import Address
-from stepflow.interface import Availability, Server
+from stepflow.interface import Availability, Endpoint
 
 _STATES = {"Ready": Availability.READY, "Terminating": Availability.DRAINING, "Gone": Availability.GONE}
 
@@ -36,7 +36,7 @@
     def __len__(self) -> int:
         return len(self._endpoints)
 
-    def apply(self, message: object, begins: bool = True) -> tuple[bool, tuple[Server, ...]]:
+    def apply(self, message: object, begins: bool = True) -> tuple[bool, tuple[Endpoint, ...]]:
         """Take over a message: whether it is the whole list, and its entries.
 
         All of it is read before any of it counts, so that a bad message changes nothing. Nor does one that is
@@ -65,7 +65,7 @@
         self.rev = rev
         return whole, tuple(server for server, _ in read)
 
-    def _entry(self, entry: object) -> tuple[Server, Address]:
+    def _entry(self, entry: object) -> tuple[Endpoint, Address]:
         if not isinstance(entry, dict) or not isinstance(entry.get("uid"), str):
             raise EndpointListError("an entry without uid")
         uid = entry["uid"]
@@ -83,4 +83,4 @@
             raise EndpointListError(f"{uid}: capacity_hint {size}")
         zone = self._zones.setdefault(str(entry.get("az")), len(self._zones))
         kind = self._kinds.setdefault(str(entry.get("model")), len(self._kinds))
-        return Server(uid, zone, kind, cell, state, size, boot_ms * 1000), endpoint
+        return Endpoint(uid, zone, kind, cell, state, size, boot_ms * 1000), endpoint
--- a/stepflow/upstream/start_times.py
+++ b/stepflow/upstream/start_times.py
@@ -11,7 +11,7 @@
 
 from collections.abc import Iterable
 
-from stepflow.interface import EndpointId, Server
+from stepflow.interface import Endpoint, EndpointId
 
 # A first list tells of starts as recent as this; what seems longer ago is held for an error of a clock.
 PLAUSIBLE_US = 600_000_000
@@ -26,7 +26,7 @@
         self._least_lag: int | None = None  # from a start to its news, on the two clocks, at the least
         self._any_list = False
 
-    def localize(self, now_us: int, whole: bool, servers: Iterable[Server]) -> tuple[Server, ...]:
+    def localize(self, now_us: int, whole: bool, servers: Iterable[Endpoint]) -> tuple[Endpoint, ...]:
         """The entries of a message that came at this time, with start times of the own clock."""
         entries = tuple(servers)
         if self._any_list:
@@ -38,15 +38,15 @@
         self._any_list = True
         return found
 
-    def _is_news(self, entry: Server) -> bool:
+    def _is_news(self, entry: Endpoint) -> bool:
         return entry.started_us > 0 and self._local.get(entry.id, (0, 0))[0] != entry.started_us
 
-    def _learn_lag(self, now_us: int, entries: Iterable[Server]) -> None:
+    def _learn_lag(self, now_us: int, entries: Iterable[Endpoint]) -> None:
         lags = [now_us - entry.started_us for entry in entries if self._is_news(entry)]
         if lags:
             self._least_lag = min(lags if self._least_lag is None else [self._least_lag, *lags])
 
-    def _start(self, now_us: int, entry: Server) -> int:
+    def _start(self, now_us: int, entry: Endpoint) -> int:
         """When the server started, no later than now; 0 where that was long ago."""
         if entry.started_us <= 0:
             return 0
--- a/stepflow/wire.py
+++ b/stepflow/wire.py
@@ -6,7 +6,33 @@
 from collections.abc import Callable, Iterable, Iterator
 from typing import BinaryIO, NamedTuple
 
-from stepflow import interface as face
+from stepflow.interface import (
+    Action,
+    AttemptEnded,
+    CancelAttempt,
+    ClientDisconnected,
+    CloseIdleConnections,
+    Endpoint,
+    EndpointListUpdate,
+    Event,
+    FailRequest,
+    FetchEndpointList,
+    HealthCheckEnded,
+    LogMessage,
+    MigrateSession,
+    PeerMessageReceived,
+    RejectRequest,
+    Request,
+    SendPeerMessage,
+    SessionAdopted,
+    SessionEstablished,
+    SessionReport,
+    SetTimer,
+    StartAttempt,
+    StartHealthCheck,
+    TimerFired,
+    WatchEndpointList,
+)
 
 BATCH_HEADER = struct.Struct("<IIQ")
 REPLY_HEADER = struct.Struct("<II")
@@ -26,7 +52,7 @@
 _CLOSED = struct.Struct("<Q6sIBBHB")
 _CHECKED = struct.Struct("<6sBIB")
 _MEMBERS = struct.Struct("<IBI")
-_ROW = struct.Struct("<6sBHHBfQ")  # in the order of face.Server
+_ROW = struct.Struct("<6sBHHBfQ")  # in the order of Server
 _MEMO = struct.Struct("<IH")
 _BOOT = struct.Struct("<QI")
 
@@ -60,9 +86,9 @@
     """The instance was killed."""
 
 
-def _order(body: memoryview) -> face.Event:
+def _order(body: memoryview) -> Event:
     handle, cls, bits, tenant, effort, expires, key, group = _ORDER.unpack_from(body)
-    return face.Request(
+    return Request(
         handle,
         cls,
         expires,
@@ -76,9 +102,9 @@
     )
 
 
-def _handover(body: memoryview) -> face.Event:
+def _handover(body: memoryview) -> Event:
     handle, cls, tenant, key, expires, effort, group, bits, server = _HANDOVER.unpack_from(body)
-    request = face.Request(
+    request = Request(
         handle,
         cls,
         expires,
@@ -90,49 +116,47 @@
         bool(bits & MID_FLOW),
         bool(bits & RETURNED),
     )
-    return face.SessionAdopted(request, server)
+    return SessionAdopted(request, server)
 
 
-def _flowing(body: memoryview) -> face.Event:
+def _flowing(body: memoryview) -> Event:
     handle, wait, server, attempt = _FLOWING.unpack_from(body)
-    return face.SessionEstablished(handle, attempt, server, wait)
+    return SessionEstablished(handle, attempt, server, wait)
 
 
-def _heartbeat(body: memoryview) -> face.Event:
+def _heartbeat(body: memoryview) -> Event:
     handle, attempt, server, what, amount = _HEARTBEAT.unpack_from(body)
-    return face.SessionReport(handle, attempt, server, what, amount)
+    return SessionReport(handle, attempt, server, what, amount)
 
 
 def _report(body: memoryview, at: int, count: int) -> tuple[float, ...]:
     return struct.unpack_from(f"<{count}f", body, at) if count else ()
 
 
-def _closed(body: memoryview) -> face.Event:
+def _closed(body: memoryview) -> Event:
     handle, server, wait, complete, result, attempt, n = _CLOSED.unpack_from(body)
     report = _report(body, _CLOSED.size, n)
-    return face.AttemptEnded(handle, attempt, server, result, complete != 0, wait, report)
+    return AttemptEnded(handle, attempt, server, result, complete != 0, wait, report)
 
 
-def _checked(body: memoryview) -> face.Event:
+def _checked(body: memoryview) -> Event:
     server, result, wait, n = _CHECKED.unpack_from(body)
-    return face.HealthCheckEnded(server, result, wait, _report(body, _CHECKED.size, n))
+    return HealthCheckEnded(server, result, wait, _report(body, _CHECKED.size, n))
 
 
-def _members(body: memoryview) -> face.Event:
+def _members(body: memoryview) -> Event:
     _version, form, count = _MEMBERS.unpack_from(body)
     end = _MEMBERS.size + count * _ROW.size
     if len(body) < end:
         raise WireError(f"list of {count} entries is cut short")
-    return face.EndpointListUpdate(
-        form, tuple(map(face.Server._make, _ROW.iter_unpack(body[_MEMBERS.size : end])))
-    )
+    return EndpointListUpdate(form, tuple(map(Endpoint._make, _ROW.iter_unpack(body[_MEMBERS.size : end]))))
 
 
-def _memo(body: memoryview) -> face.Event:
+def _memo(body: memoryview) -> Event:
     peer, n = _MEMO.unpack_from(body)
     if len(body) < _MEMO.size + n:
         raise WireError("peer message is cut short")
-    return face.PeerMessageReceived(peer, bytes(body[_MEMO.size : _MEMO.size + n]))
+    return PeerMessageReceived(peer, bytes(body[_MEMO.size : _MEMO.size + n]))
 
 
 def _boot(body: memoryview) -> Boot:
@@ -142,7 +166,7 @@
     return Boot(seed, str(body[_BOOT.size : _BOOT.size + n], "utf-8"))
 
 
-_DECODERS: dict[int, Callable[[memoryview], face.Event | Boot | Retire]] = {
+_DECODERS: dict[int, Callable[[memoryview], Event | Boot | Retire]] = {
     BOOT: _boot,
     RETIRE: lambda body: Retire(),
     ORDER: _order,
@@ -150,8 +174,8 @@
     FLOWING: _flowing,
     HEARTBEAT: _heartbeat,
     CLOSED: _closed,
-    GONE: lambda body: face.ClientDisconnected(_U64.unpack_from(body)[0]),
-    TIMER: lambda body: face.TimerFired(_U64.unpack_from(body)[0]),
+    GONE: lambda body: ClientDisconnected(_U64.unpack_from(body)[0]),
+    TIMER: lambda body: TimerFired(_U64.unpack_from(body)[0]),
     CHECKED: _checked,
     MEMBERS: _members,
     MEMO: _memo,
@@ -174,7 +198,7 @@
     return clock, count, memoryview(body)
 
 
-def decode(count: int, body: memoryview) -> Iterator[tuple[int, face.Event | Boot | Retire]]:
+def decode(count: int, body: memoryview) -> Iterator[tuple[int, Event | Boot | Retire]]:
     """The events of a frame, each with its instance; records of unknown codes are passed over."""
     at, instance = 0, -1
     for _ in range(count):
@@ -200,18 +224,18 @@
 
 
 _ENCODERS: dict[type, Callable[..., bytes]] = {
-    face.StartAttempt: lambda a: _ROUTE.pack(10, 18, a.request_id, a.timeout_us, a.endpoint),
-    face.RejectRequest: lambda a: _DENY.pack(20, 12, a.request_id, a.retry_after_us),
-    face.FailRequest: lambda a: _REQUEST_ONLY.pack(30, 8, a.request_id),
-    face.CancelAttempt: lambda a: _WITHDRAW.pack(40, 10, a.request_id, a.attempt),
-    face.MigrateSession: lambda a: _REQUEST_ONLY.pack(130, 8, a.request_id),
-    face.SetTimer: lambda a: _ARM.pack(50, 12, a.delay_us, a.token),
-    face.StartHealthCheck: lambda a: _SERVER_ONLY.pack(60, 6, a.endpoint),
-    face.CloseIdleConnections: lambda a: _SERVER_ONLY.pack(70, 6, a.endpoint),
-    face.SendPeerMessage: lambda a: _TELL.pack(80, 6 + len(a.data), a.peer, len(a.data)) + a.data,
-    face.WatchEndpointList: lambda a: _TRACK.pack(110, 1, a.enabled),
-    face.FetchEndpointList: lambda a: _EMPTY.pack(120, 0),
-    face.LogMessage: lambda a: _text(90, a.text),
+    StartAttempt: lambda a: _ROUTE.pack(10, 18, a.request_id, a.timeout_us, a.endpoint),
+    RejectRequest: lambda a: _DENY.pack(20, 12, a.request_id, a.retry_after_us),
+    FailRequest: lambda a: _REQUEST_ONLY.pack(30, 8, a.request_id),
+    CancelAttempt: lambda a: _WITHDRAW.pack(40, 10, a.request_id, a.attempt),
+    MigrateSession: lambda a: _REQUEST_ONLY.pack(130, 8, a.request_id),
+    SetTimer: lambda a: _ARM.pack(50, 12, a.delay_us, a.token),
+    StartHealthCheck: lambda a: _SERVER_ONLY.pack(60, 6, a.endpoint),
+    CloseIdleConnections: lambda a: _SERVER_ONLY.pack(70, 6, a.endpoint),
+    SendPeerMessage: lambda a: _TELL.pack(80, 6 + len(a.data), a.peer, len(a.data)) + a.data,
+    WatchEndpointList: lambda a: _TRACK.pack(110, 1, a.enabled),
+    FetchEndpointList: lambda a: _EMPTY.pack(120, 0),
+    LogMessage: lambda a: _text(90, a.text),
 }
 
 
@@ -220,7 +244,7 @@
     return _TEXT.pack(code, 2 + len(data), len(data)) + data
 
 
-def encode(instance: int, actions: Iterable[face.Action]) -> list[bytes]:
+def encode(instance: int, actions: Iterable[Action]) -> list[bytes]:
     """The records for one instance's actions, its address first."""
     return [_BY.pack(140, 4, instance), *(_ENCODERS[type(action)](action) for action in actions)]
 
--- a/tests/test_any_settings.py
+++ b/tests/test_any_settings.py
@@ -7,8 +7,28 @@
 
 import pytest
 
-from stepflow import interface as face
-from stepflow.interface import AttemptResult, Availability, ListUpdateKind, SessionReportKind
+from stepflow.interface import (
+    AttemptEnded,
+    AttemptResult,
+    Availability,
+    ClientDisconnected,
+    Endpoint,
+    EndpointId,
+    EndpointListUpdate,
+    Event,
+    FailRequest,
+    HealthCheckEnded,
+    ListUpdateKind,
+    RejectRequest,
+    Request,
+    SessionEstablished,
+    SessionReport,
+    SessionReportKind,
+    SetTimer,
+    StartAttempt,
+    Started,
+    TimerFired,
+)
 from stepflow.policy import Policy
 from stepflow.settings import follow, node_settings
 
@@ -75,29 +95,29 @@
         self.rng = rng = random.Random(seed)
         self.settings = node_settings(tree(rng)).module
         self.policy, self.now, self.ids = Policy(self.settings, seed), 1_000_000_000, 0
-        self.out: dict[int, face.EndpointId] = {}
-        self.up: dict[int, tuple[int, face.EndpointId]] = {}
+        self.out: dict[int, EndpointId] = {}
+        self.up: dict[int, tuple[int, EndpointId]] = {}
         self.timers: list[tuple[int, int]] = []
         self.answered: set[int] = set()
-        self.feed(face.Started())
-        self.feed(face.EndpointListUpdate(ListUpdateKind.CACHED, self.entries()))
+        self.feed(Started())
+        self.feed(EndpointListUpdate(ListUpdateKind.CACHED, self.entries()))
 
-    def feed(self, event: face.Event) -> None:
+    def feed(self, event: Event) -> None:
         for action in self.policy.handle(self.now, event):
-            if isinstance(action, face.SetTimer):
+            if isinstance(action, SetTimer):
                 assert action.delay_us >= 0
                 self.timers.append((self.now + action.delay_us, action.token))
-            elif isinstance(action, face.StartAttempt):
+            elif isinstance(action, StartAttempt):
                 assert action.request_id not in self.out
                 self.out[action.request_id] = action.endpoint
-            elif isinstance(action, (face.RejectRequest, face.FailRequest)):
+            elif isinstance(action, (RejectRequest, FailRequest)):
                 assert action.request_id not in self.answered
                 self.answered.add(action.request_id)
 
-    def entries(self) -> tuple[face.Server, ...]:
+    def entries(self) -> tuple[Endpoint, ...]:
         rng = self.rng
         return tuple(
-            face.Server(
+            Endpoint(
                 f"s{rng.randrange(9)}",
                 rng.randrange(3),
                 rng.randrange(2),
@@ -118,7 +138,7 @@
         due = [timer for timer in self.timers if timer[0] <= self.now]
         self.timers = [timer for timer in self.timers if timer[0] > self.now]
         for _, token in due:
-            self.feed(face.TimerFired(token))
+            self.feed(TimerFired(token))
         rng.choice([self.comes, self.comes, self.answer, self.end, self.tell, self.list, self.leave])()
 
     def comes(self) -> None:
@@ -128,7 +148,7 @@
         cls = rng.randrange(len(self.settings.classes))
         again = rng.random() < 0.3, rng.random() < 0.3
         group = rng.getrandbits(3)
-        self.feed(face.Request(self.ids, cls, expires, load, rng.randrange(4), 7, group, *again))
+        self.feed(Request(self.ids, cls, expires, load, rng.randrange(4), 7, group, *again))
 
     def answer(self) -> None:
         if not self.out:
@@ -137,32 +157,32 @@
         server, flight = self.out.pop(id), self.policy.flights[id]
         number = flight.attempts - 1
         if self.rng.random() < 0.5:
-            self.feed(face.SessionEstablished(id, number, server, self.rng.choice([0, 900_000])))
+            self.feed(SessionEstablished(id, number, server, self.rng.choice([0, 900_000])))
             kind = self.rng.choice(list(SessionReportKind))
-            self.feed(face.SessionReport(id, number, server, kind, self.rng.choice(VALUES)))
+            self.feed(SessionReport(id, number, server, kind, self.rng.choice(VALUES)))
             self.up[id] = number, server
         else:
             result = self.rng.choice(list(AttemptResult))
-            self.feed(face.AttemptEnded(id, number, server, result, id in self.answered, 1000, self.report()))
+            self.feed(AttemptEnded(id, number, server, result, id in self.answered, 1000, self.report()))
 
     def end(self) -> None:
         if self.up:
             id = self.rng.choice(list(self.up))
             number, server = self.up.pop(id)
             result = self.rng.choice([AttemptResult.OK, AttemptResult.RESET, AttemptResult.CANCELLED])
-            self.feed(face.AttemptEnded(id, number, server, result, True, 1000))
+            self.feed(AttemptEnded(id, number, server, result, True, 1000))
 
     def tell(self) -> None:
         result = self.rng.choice(list(AttemptResult))
-        self.feed(face.HealthCheckEnded(f"s{self.rng.randrange(9)}", result, 500, self.report()))
+        self.feed(HealthCheckEnded(f"s{self.rng.randrange(9)}", result, 500, self.report()))
 
     def list(self) -> None:
-        self.feed(face.EndpointListUpdate(self.rng.choice(list(ListUpdateKind)), self.entries()))
+        self.feed(EndpointListUpdate(self.rng.choice(list(ListUpdateKind)), self.entries()))
 
     def leave(self) -> None:
         """A client goes, or new settings come."""
         if self.rng.random() < 0.5:
-            self.feed(face.ClientDisconnected(self.rng.randint(1, max(1, self.ids))))
+            self.feed(ClientDisconnected(self.rng.randint(1, max(1, self.ids))))
         else:
             self.settings = follow(self.settings, node_settings(tree(self.rng)).module)
             self.policy.retune(self.settings)
--- a/tests/test_cold_sum.py
+++ b/tests/test_cold_sum.py
@@ -8,13 +8,32 @@
 
 import pytest
 
-from stepflow import interface as face
-from stepflow.interface import AttemptResult
+from stepflow.interface import (
+    Action,
+    AttemptEnded,
+    AttemptResult,
+    Endpoint,
+    EndpointListUpdate,
+    Event,
+    HealthCheckEnded,
+    ListUpdateKind,
+    Prices,
+    Request,
+    SafetyRules,
+    SessionAdopted,
+    SessionEstablished,
+    SetTimer,
+    Settings,
+    StartAttempt,
+    Started,
+    StartHealthCheck,
+    TimerFired,
+)
 from stepflow.policy import Policy
 from tests.bench import SECOND, START, entry
 
 FULL = 40.0  # connections of mean load that fill a server, where nothing else is said
-RULES = face.SafetyRules(
+RULES = SafetyRules(
     slow_start_share=0.3, slow_start_us=8 * SECOND, overload_multiple=2.5, overload_after_us=1_500_000
 )
 WINDOW_US, STEP_US = RULES.overload_after_us, 50_000
@@ -45,8 +64,8 @@
 
     def __post_init__(self) -> None:
         self.rng, self.now, self.ids = random.Random(self.seed), START, 0
-        self.settings = face.Settings(
-            balancers=self.nodes, load_report_fields=("x0",), rules=RULES, prices=face.Prices(probe=0.004)
+        self.settings = Settings(
+            balancers=self.nodes, load_report_fields=("x0",), rules=RULES, prices=Prices(probe=0.004)
         )
         self.started = dict.fromkeys(range(self.servers), 0)
         self.open = dict.fromkeys(self.started, 0)
@@ -57,47 +76,45 @@
             node, server = self.pick(), self.rng.randrange(self.servers)
             self.ids += 1
             self.open[server] += 1
-            self.feed(node, face.SessionAdopted(face.Request(self.ids, 0, 0, 1.0), server))
+            self.feed(node, SessionAdopted(Request(self.ids, 0, 0, 1.0), server))
 
     def begin(self, node: int) -> Policy:
         """A new process."""
         self.timers[node] = {}
         policy = Policy(self.settings, self.seed * 1000 + node + self.now)
-        self.run(node, policy.handle(self.now, face.Started()), policy)
+        self.run(node, policy.handle(self.now, Started()), policy)
         self.run(
-            node,
-            policy.handle(self.now, face.EndpointListUpdate(face.ListUpdateKind.CACHED, self.listed())),
-            policy,
+            node, policy.handle(self.now, EndpointListUpdate(ListUpdateKind.CACHED, self.listed())), policy
         )
         return policy
 
-    def listed(self) -> tuple[face.Server, ...]:
+    def listed(self) -> tuple[Endpoint, ...]:
         return tuple(entry(id, started=at) for id, at in self.started.items())
 
     def pick(self) -> int:
         return self.rng.choices(range(self.nodes), self.share)[0]
 
-    def feed(self, node: int, event: face.Event) -> None:
+    def feed(self, node: int, event: Event) -> None:
         policy = self.policies[node]
         self.run(node, policy.handle(self.now, event), policy)
 
-    def run(self, node: int, actions: list[face.Action], policy: Policy) -> None:
+    def run(self, node: int, actions: list[Action], policy: Policy) -> None:
         for action in actions:
-            if isinstance(action, face.SetTimer):
+            if isinstance(action, SetTimer):
                 self.timers[node][action.token] = self.now + action.delay_us
-            elif isinstance(action, face.StartHealthCheck):
+            elif isinstance(action, StartHealthCheck):
                 warmth = allowed(self.now, self.started[action.endpoint]) / allowed(self.now, 0)
                 x0 = (
                     self.open[action.endpoint]
                     / self.full
                     / (warmth if self.started[action.endpoint] else 1.0)
                 )
-                event = face.HealthCheckEnded(action.endpoint, AttemptResult.OK, 500, (x0,))
+                event = HealthCheckEnded(action.endpoint, AttemptResult.OK, 500, (x0,))
                 self.run(node, policy.handle(self.now, event), policy)
-            elif isinstance(action, face.StartAttempt):
+            elif isinstance(action, StartAttempt):
                 self.sent.setdefault(action.endpoint, []).append(self.now)
                 self.open[action.endpoint] += 1
-                up = face.SessionEstablished(action.request_id, 0, action.endpoint, 20_000)
+                up = SessionEstablished(action.request_id, 0, action.endpoint, 20_000)
                 self.run(node, policy.handle(self.now, up), policy)
 
     def pass_time(self, seconds: float, rate: float, returned: bool = False) -> None:
@@ -107,11 +124,11 @@
             for node, timers in enumerate(self.timers):
                 for token in [token for token, due in timers.items() if due <= self.now]:
                     del timers[token]
-                    self.feed(node, face.TimerFired(token))
+                    self.feed(node, TimerFired(token))
             expected = rate * STEP_US / SECOND
             for _ in range(int(expected) + (self.rng.random() < expected % 1)):
                 self.ids += 1
-                request = face.Request(self.ids, 0, self.now + 2 * SECOND, 1.0, is_migrated=returned)
+                request = Request(self.ids, 0, self.now + 2 * SECOND, 1.0, is_migrated=returned)
                 self.feed(self.pick(), request)
 
     def end_some(self, share: float) -> None:
@@ -121,7 +138,7 @@
                 assert flight.server is not None
                 self.open[flight.server.id] -= 1
                 id = flight.request.id
-                end = face.AttemptEnded(id, flight.attempts - 1, flight.server.id, AttemptResult.OK, True, 0)
+                end = AttemptEnded(id, flight.attempts - 1, flight.server.id, AttemptResult.OK, True, 0)
                 self.feed(node, end)
 
     def start_cold(self, *servers: int) -> None:
@@ -133,11 +150,11 @@
         for node, policy in enumerate(self.policies):
             for flight in [f for f in policy.flights.values() if f.server and f.server.id in servers]:
                 assert flight.server is not None
-                end = face.AttemptEnded(
+                end = AttemptEnded(
                     flight.request.id, flight.attempts - 1, flight.server.id, AttemptResult.RESET, True, 0
                 )
                 self.feed(node, end)
-            self.feed(node, face.EndpointListUpdate(face.ListUpdateKind.DELTA, news))
+            self.feed(node, EndpointListUpdate(ListUpdateKind.DELTA, news))
 
     def restart(self, nodes: int) -> int:
         """So many nodes are killed and begin anew; tells how many connections they held."""
--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -8,13 +8,30 @@
 
 import pytest
 
-from stepflow import interface as face
 from stepflow.fleet.audit import Day, Played, fold, play
 from stepflow.fleet.makers import of_source, sources
 from stepflow.fleet.referee import Referee, Rule
 from stepflow.fleet.scenario import Fault, load
 from stepflow.fleet.tally import score
 from stepflow.fleet.world import World
+from stepflow.interface import (
+    Action,
+    AttemptEnded,
+    AttemptResult,
+    ClientDisconnected,
+    EndpointListUpdate,
+    Event,
+    FailRequest,
+    Limits,
+    ListUpdateKind,
+    MigrateSession,
+    RejectRequest,
+    Request,
+    SessionEstablished,
+    Settings,
+    StartAttempt,
+    TimerFired,
+)
 from tests.bench import SECOND, entry
 from tests.test_daemon import command
 
@@ -112,72 +129,53 @@
     assert rule in broken
 
 
-def heard(*events: face.Event | face.Action) -> Referee:
+def heard(*events: Event | Action) -> Referee:
     """What a referee makes of a node's life, a second for each event."""
     referee = Referee()
-    referee.begins(0, 1, face.Settings(limits=face.Limits(max_attempts=2)))
+    referee.begins(0, 1, Settings(limits=Limits(max_attempts=2)))
     for second, event in enumerate(events):
-        if isinstance(event, face.Action):
-            referee.heard(second * SECOND, 0, face.TimerFired(0), [event])
+        if isinstance(event, Action):
+            referee.heard(second * SECOND, 0, TimerFired(0), [event])
         else:
             referee.heard(second * SECOND, 0, event, [])
     referee.close(60 * SECOND, [])
     return referee
 
 
-def request(expires: int = 30) -> face.Request:
-    return face.Request(1, 0, expires * SECOND)
+def request(expires: int = 30) -> Request:
+    return Request(1, 0, expires * SECOND)
 
 
-FULL, DELTA = face.ListUpdateKind.FULL, face.ListUpdateKind.DELTA
-BACK = face.AttemptEnded(1, 0, "a", face.AttemptResult.FULL, False, 0)
-UP = face.SessionEstablished(1, 0, "a", 0)
+FULL, DELTA = ListUpdateKind.FULL, ListUpdateKind.DELTA
+BACK = AttemptEnded(1, 0, "a", AttemptResult.FULL, False, 0)
+UP = SessionEstablished(1, 0, "a", 0)
 
 
 @pytest.mark.parametrize(
     ("events", "broken"),
     [
-        ([request(), face.StartAttempt(1, "a", 0), BACK, face.RejectRequest(1)], []),
-        ([request(), face.StartAttempt(1, "b", 0), BACK, face.RejectRequest(1)], ["unlisted"]),
+        ([request(), StartAttempt(1, "a", 0), BACK, RejectRequest(1)], []),
+        ([request(), StartAttempt(1, "b", 0), BACK, RejectRequest(1)], ["unlisted"]),
         ([request()], ["lost"]),
-        ([request(), face.ClientDisconnected(1)], []),
-        ([request(), face.RejectRequest(1), face.RejectRequest(1)], ["twice"]),
-        ([request(), face.RejectRequest(1), face.StartAttempt(1, "a", 0)], ["twice"]),
-        ([request(2), face.StartAttempt(1, "a", 0), UP], ["late"]),
-        ([request(1), face.StartAttempt(1, "a", 0), BACK, face.FailRequest(1)], ["late"]),
-        (
-            [request(), face.StartAttempt(1, "a", 0), face.StartAttempt(1, "a", 0), face.FailRequest(1)],
-            ["overlap"],
-        ),
-        ([request(), face.MigrateSession(1), face.FailRequest(1)], ["moves"]),
-        ([request(), face.StartAttempt(1, "a", 0), UP, face.MigrateSession(1)], []),
-        ([request(), *[face.StartAttempt(1, "a", 0), BACK] * 3, face.FailRequest(1)], ["attempts"]),
-        (
-            [
-                face.EndpointListUpdate(DELTA, (entry("a", state=1),)),
-                request(),
-                face.StartAttempt(1, "a", 0),
-                UP,
-            ],
-            ["drained"],
-        ),
+        ([request(), ClientDisconnected(1)], []),
+        ([request(), RejectRequest(1), RejectRequest(1)], ["twice"]),
+        ([request(), RejectRequest(1), StartAttempt(1, "a", 0)], ["twice"]),
+        ([request(2), StartAttempt(1, "a", 0), UP], ["late"]),
+        ([request(1), StartAttempt(1, "a", 0), BACK, FailRequest(1)], ["late"]),
+        ([request(), StartAttempt(1, "a", 0), StartAttempt(1, "a", 0), FailRequest(1)], ["overlap"]),
+        ([request(), MigrateSession(1), FailRequest(1)], ["moves"]),
+        ([request(), StartAttempt(1, "a", 0), UP, MigrateSession(1)], []),
+        ([request(), *[StartAttempt(1, "a", 0), BACK] * 3, FailRequest(1)], ["attempts"]),
         (
-            [face.EndpointListUpdate(FULL, (entry("b"),)), request(), face.StartAttempt(1, "a", 0), UP],
+            [EndpointListUpdate(DELTA, (entry("a", state=1),)), request(), StartAttempt(1, "a", 0), UP],
             ["drained"],
         ),
-        (
-            [
-                face.EndpointListUpdate(face.ListUpdateKind.FAILED, ()),
-                request(),
-                face.StartAttempt(1, "a", 0),
-                UP,
-            ],
-            [],
-        ),
+        ([EndpointListUpdate(FULL, (entry("b"),)), request(), StartAttempt(1, "a", 0), UP], ["drained"]),
+        ([EndpointListUpdate(ListUpdateKind.FAILED, ()), request(), StartAttempt(1, "a", 0), UP], []),
     ],
 )
-def test_the_referee_tells_right_from_wrong(events: list[face.Event], broken: list[str]) -> None:
-    referee = heard(face.EndpointListUpdate(FULL, (entry("a"),)), *events)
+def test_the_referee_tells_right_from_wrong(events: list[Event], broken: list[str]) -> None:
+    referee = heard(EndpointListUpdate(FULL, (entry("a"),)), *events)
     assert [name for name, rule in vars(referee).items() if isinstance(rule, Rule) and rule.broken] == broken
 
 
--- a/tests/test_effects.py
+++ b/tests/test_effects.py
@@ -6,12 +6,21 @@
 
 import pytest
 
-from stepflow import interface as face
-from stepflow.interface import AttemptResult, DeduplicationScope, Idempotency
+from stepflow.interface import (
+    AttemptResult,
+    ClientDisconnected,
+    DeduplicationScope,
+    Idempotency,
+    Limits,
+    RejectRequest,
+    RequestClass,
+    StartAttempt,
+    TimerFired,
+)
 from tests.bench import SECOND, Driver, entry, only, plain_settings
 
-ONCE = face.RequestClass("pay", idempotency=Idempotency.NOT_IDEMPOTENT)
-KEYED = face.RequestClass(
+ONCE = RequestClass("pay", idempotency=Idempotency.NOT_IDEMPOTENT)
+KEYED = RequestClass(
     "hold",
     idempotency=Idempotency.BY_KEY,
     deduplication_scope=DeduplicationScope.CELL,
@@ -19,69 +28,69 @@
 )
 
 
-def driver(cls: face.RequestClass, servers: int = 3) -> Driver:
-    settings = plain_settings(classes=(cls,), limits=face.Limits(max_attempts=6))
+def driver(cls: RequestClass, servers: int = 3) -> Driver:
+    settings = plain_settings(classes=(cls,), limits=Limits(max_attempts=6))
     return Driver(settings, [entry(id, cell=id) for id in range(servers)])
 
 
 def test_a_repeat_that_never_ran_leaves_the_first_attempt_bound() -> None:
     """The first may have run at the same server; its repeat's refusal unbound the request for all servers."""
     drive = driver(KEYED)
-    [first] = only(face.StartAttempt, drive.request(1))
+    [first] = only(StartAttempt, drive.request(1))
     drive.end(first, AttemptResult.TIMEOUT)  # it may run yet; only its own cell drops a repeat
     drive.now += 100_000
-    again = only(face.StartAttempt, drive.feed(face.TimerFired(16 + 1)))
+    again = only(StartAttempt, drive.feed(TimerFired(16 + 1)))
     assert [send.endpoint for send in again] == [first.endpoint]
     drive.end(again[0], AttemptResult.FULL, attempt=1)
     for _ in range(8):
         drive.now += 100_000
-        drive.feed(face.TimerFired(16 + 1))
-    sent = only(face.StartAttempt, drive.done)
+        drive.feed(TimerFired(16 + 1))
+    sent = only(StartAttempt, drive.done)
     assert {send.endpoint for send in sent} == {first.endpoint}
-    assert not only(face.RejectRequest, drive.done)
+    assert not only(RejectRequest, drive.done)
 
 
 @pytest.mark.parametrize("cls", [ONCE, KEYED])
-def test_what_may_have_run_is_not_harmless_to_refuse(cls: face.RequestClass) -> None:
+def test_what_may_have_run_is_not_harmless_to_refuse(cls: RequestClass) -> None:
     drive = driver(cls)
     assert drive.policy.harmless(1)  # it was never sent
-    [send] = only(face.StartAttempt, drive.request(1))
+    [send] = only(StartAttempt, drive.request(1))
     assert not drive.policy.harmless(1)
     drive.end(send, AttemptResult.CONNECT_FAILED)
-    drive.feed(face.ClientDisconnected(1))
+    drive.feed(ClientDisconnected(1))
     anywhere = driver(replace(KEYED, deduplication_scope=DeduplicationScope.ALL))
     anywhere.request(1)
     assert anywhere.policy.harmless(1)
 
 
 def test_a_line_is_not_begun_at_a_server_that_began_to_drain_while_it_was_dialled() -> None:
-    drive = driver(face.RequestClass())
-    [send] = only(face.StartAttempt, drive.request(1))
+    drive = driver(RequestClass())
+    [send] = only(StartAttempt, drive.request(1))
     assert drive.policy.may_begin(drive.now, 1)
     drive.news(entry(send.endpoint, cell=int(str(send.endpoint)), state=1))
     assert not drive.policy.may_begin(drive.now, 1)
 
 
 def test_a_line_is_not_begun_at_a_server_that_is_gone_nor_for_a_client_that_left() -> None:
-    drive = driver(face.RequestClass())
-    [send] = only(face.StartAttempt, drive.request(1))
+    drive = driver(RequestClass())
+    [send] = only(StartAttempt, drive.request(1))
     drive.news(entry(send.endpoint, state=2))
     assert not drive.policy.may_begin(drive.now, 1)
-    [other] = only(face.StartAttempt, drive.request(2))
+    [other] = only(StartAttempt, drive.request(2))
     assert drive.policy.may_begin(drive.now, 2)
-    drive.feed(face.ClientDisconnected(2))
+    drive.feed(ClientDisconnected(2))
     assert not drive.policy.may_begin(drive.now, 2)
 
 
 def test_a_repeat_is_not_begun_once_the_window_of_the_first_attempt_is_over() -> None:
     """Decided within the window and dialled for longer than was left of it, it would have run twice."""
     drive = driver(KEYED)
-    [first] = only(face.StartAttempt, drive.request(1, wait_us=5 * SECOND))
+    [first] = only(StartAttempt, drive.request(1, wait_us=5 * SECOND))
     assert drive.policy.may_begin(drive.now + SECOND, 1)  # the first attempt opens the window
     drive.now += 250_000
     drive.end(first, AttemptResult.RESET)
-    drive.feed(face.TimerFired(16 + 1))
-    [_, again] = only(face.StartAttempt, drive.done)
+    drive.feed(TimerFired(16 + 1))
+    [_, again] = only(StartAttempt, drive.done)
     assert again.endpoint == first.endpoint
     assert drive.policy.may_begin(drive.now, 1)
     assert not drive.policy.may_begin(drive.now + 50_000, 1)
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -11,7 +11,6 @@
 import numpy as np
 import pytest
 
-from stepflow import interface as face
 from stepflow.daemon import FileError
 from stepflow.fleet.baselines import RandomChoice
 from stepflow.fleet.compare import CompareError, Side, interval, runs_for
@@ -21,6 +20,16 @@
 from stepflow.fleet.tally import Tally, score
 from stepflow.fleet.traffic import draw
 from stepflow.fleet.world import World
+from stepflow.interface import (
+    Action,
+    Event,
+    Request,
+    SessionReport,
+    SessionReportKind,
+    Settings,
+    StartAttempt,
+    Started,
+)
 from stepflow.policy import Policy, controller
 from tests.test_daemon import command
 
@@ -137,14 +146,14 @@
         def __init__(self) -> None:
             self.came: dict[tuple[int, int], list[int]] = {}
 
-        def begins(self, node: int, life: int, settings: face.Settings) -> None:
+        def begins(self, node: int, life: int, settings: Settings) -> None:
             assert settings.limits.max_attempts == (2 if life > 1 else 6)
 
-        def heard(self, now: int, node: int, event: face.Event, actions: list[face.Action]) -> None:
-            if isinstance(event, face.Request):
+        def heard(self, now: int, node: int, event: Event, actions: list[Action]) -> None:
+            if isinstance(event, Request):
                 self.came[node, event.id] = [now, 0]
             for action in actions:
-                if isinstance(action, face.StartAttempt):
+                if isinstance(action, StartAttempt):
                     self.came[node, action.request_id][1] += 1
 
         def close(self, now: int, servers: object) -> None:
@@ -161,8 +170,8 @@
     told: list[tuple[int, float, float]] = []
     feed = world.feed
 
-    def fed(node: Any, event: face.Event) -> None:
-        if isinstance(event, face.SessionReport) and event.kind == face.SessionReportKind.LOAD:
+    def fed(node: Any, event: Event) -> None:
+        if isinstance(event, SessionReport) and event.kind == SessionReportKind.LOAD:
             client = node.clients[event.request_id]
             told.append((world.now, event.value, client.load * 1000))
         feed(node, event)
@@ -208,7 +217,7 @@
 @pytest.mark.parametrize("spec", ["KP=0.1", "present,KP=0.1,KI=0", "random", "present"])
 def test_a_policy_is_made_by_its_name(spec: str) -> None:
     made: Any = maker(spec)(SMALL.settings(), 1)
-    assert made.handle(0, face.Started())
+    assert made.handle(0, Started())
     if "KP" in spec:
         assert vars(sys.modules[type(made.controller).__module__])["KP"] == 0.1 != controller.KP
 
--- a/tests/test_long.py
+++ b/tests/test_long.py
@@ -7,9 +7,21 @@
 
 import pytest
 
-from stepflow import interface as face
 from stepflow import policy as module
-from stepflow.interface import AttemptResult
+from stepflow.interface import (
+    AttemptResult,
+    ClientDisconnected,
+    HealthCheckEnded,
+    Limits,
+    Prices,
+    RequestClass,
+    SafetyRules,
+    SessionReport,
+    SessionReportKind,
+    Settings,
+    StartAttempt,
+    StartHealthCheck,
+)
 from tests.bench import Driver, entry, only
 
 
@@ -31,29 +43,27 @@
     """Requests that end in every way, servers that come and go, probes that fail."""
     results = list(AttemptResult)
     for id in requests:
-        sends = only(face.StartAttempt, driver.request(id))
+        sends = only(StartAttempt, driver.request(id))
         server = entry(1000 + id)
         driver.news(server)
         driver.news(server._replace(availability=2))
         if sends and id % 3:
             driver.up(sends[0])
-            driver.feed(face.SessionReport(id, 0, sends[0].endpoint, face.SessionReportKind.LATENCY, 900.0))
+            driver.feed(SessionReport(id, 0, sends[0].endpoint, SessionReportKind.LATENCY, 900.0))
             driver.end(sends[0], results[id % 8], complete=True)
         elif sends:
-            for again in only(face.StartAttempt, driver.end(sends[0], results[id % 8])):
+            for again in only(StartAttempt, driver.end(sends[0], results[id % 8])):
                 driver.end(again, AttemptResult.RESET, attempt=1, complete=True)
-        driver.feed(face.ClientDisconnected(id))
+        driver.feed(ClientDisconnected(id))
         driver.tick(0.1)
-        for probe in only(face.StartHealthCheck, driver.done):
-            driver.feed(
-                face.HealthCheckEnded(probe.endpoint, results[id % 4], 900, (0.5,) if id % 4 == 0 else ())
-            )
+        for probe in only(StartHealthCheck, driver.done):
+            driver.feed(HealthCheckEnded(probe.endpoint, results[id % 4], 900, (0.5,) if id % 4 == 0 else ()))
         driver.done.clear()
 
 
 def test_state_does_not_grow() -> None:
-    classes = (face.RequestClass(message_latency_objective_us=60_000.0),)
-    driver = Driver(face.Settings(classes=classes, load_report_fields=("x0",)), map(entry, range(10)))
+    classes = (RequestClass(message_latency_objective_us=60_000.0),)
+    driver = Driver(Settings(classes=classes, load_report_fields=("x0",)), map(entry, range(10)))
     churn(driver, range(1000))
     before = reachable(driver.policy)
     churn(driver, range(1000, 9000))
@@ -62,7 +72,7 @@
 
 
 def test_hours_leave_weights_sane_and_a_recovered_server_has_its_share() -> None:
-    settings = face.Settings(load_report_fields=("x0",))
+    settings = Settings(load_report_fields=("x0",))
     driver = Driver(settings, map(entry, range(4)))
     policy = driver.policy
     for hour in range(6):
@@ -70,9 +80,9 @@
             driver.tick(4.0)
             for id in range(4):  # server 0 is jammed in every other hour
                 load = 3.0 if id == 0 and hour % 2 == 0 else 0.5
-                driver.feed(face.HealthCheckEnded(id, AttemptResult.OK, 900, (load,)))
+                driver.feed(HealthCheckEnded(id, AttemptResult.OK, 900, (load,)))
             if second % 400 == 0 and hour % 2 == 0:
-                driver.feed(face.HealthCheckEnded(0, AttemptResult.TIMEOUT, 250_000))
+                driver.feed(HealthCheckEnded(0, AttemptResult.TIMEOUT, 250_000))
         driver.done.clear()
     shares = {}
     for id in range(4):
@@ -83,25 +93,25 @@
 
 
 def test_a_fleet_wholly_ejected_still_places() -> None:
-    driver = Driver(face.Settings(), map(entry, range(5)))
+    driver = Driver(Settings(), map(entry, range(5)))
     for server in driver.policy.model.servers.values():
         for _ in range(50):
             server.fail()
     driver.tick(5)
-    assert only(face.StartAttempt, driver.request(1))
+    assert only(StartAttempt, driver.request(1))
 
 
 def test_a_lone_server_is_never_starved() -> None:
-    driver = Driver(face.Settings(), [entry(1)])
+    driver = Driver(Settings(), [entry(1)])
     placed = 0
     for id in range(200):
-        sends = only(face.StartAttempt, driver.request(id))
+        sends = only(StartAttempt, driver.request(id))
         if sends:
             driver.end(sends[0], AttemptResult.ERROR, complete=False)
-            driver.feed(face.ClientDisconnected(id))
+            driver.feed(ClientDisconnected(id))
         driver.tick(0.5)
     for id in range(200, 300):
-        for send in only(face.StartAttempt, driver.request(id)):
+        for send in only(StartAttempt, driver.request(id)):
             placed += 1
             driver.up(send)
         driver.tick(0.5)
@@ -115,7 +125,7 @@
     """Counted in tests of servers and weighings: as many for 1000 servers as for 10."""
     counts = {}
     for size in (10, 1000):
-        driver = Driver(face.Settings(load_report_fields=reports), map(entry, range(size)))
+        driver = Driver(Settings(load_report_fields=reports), map(entry, range(size)))
         driver.tick(5)
         looked = 0
         plain = module.Policy.warm
@@ -138,19 +148,19 @@
     [
         ({"balancers": 0}, "balancers"),
         ({"classes": ()}, "classes"),
-        ({"classes": (face.RequestClass(priority_weight=math.nan),)}, "worth"),
-        ({"limits": face.Limits(max_attempts=0)}, "max_attempts"),
-        ({"rules": face.SafetyRules(slow_start_share=-0.1)}, "cold_share"),
-        ({"rules": face.SafetyRules(overload_multiple=math.inf)}, "fall_multiple"),
-        ({"prices": face.Prices(probe=-1.0)}, "probe"),
+        ({"classes": (RequestClass(priority_weight=math.nan),)}, "worth"),
+        ({"limits": Limits(max_attempts=0)}, "max_attempts"),
+        ({"rules": SafetyRules(slow_start_share=-0.1)}, "cold_share"),
+        ({"rules": SafetyRules(overload_multiple=math.inf)}, "fall_multiple"),
+        ({"prices": Prices(probe=-1.0)}, "probe"),
         ({"tick_us": 0}, "tick_us"),
     ],
 )
 def test_impossible_settings_are_named(wrong: dict[str, Any], named: str) -> None:
     with pytest.raises(ValueError, match=named):
-        face.Settings(**wrong)
+        Settings(**wrong)
 
 
 def test_a_class_that_the_settings_lack_is_named() -> None:
     with pytest.raises(ValueError, match="class 3"):
-        Driver(face.Settings(), [entry(1)]).request(1, cls=3)
+        Driver(Settings(), [entry(1)]).request(1, cls=3)
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -12,8 +12,7 @@
 from hypothesis import strategies as st
 from twisted.internet.task import Clock as TwistedClock
 
-from stepflow import interface as face
-from stepflow.interface import SessionReportKind
+from stepflow.interface import Request, SessionReportKind
 from stepflow.node.clients.connection import MalformedLine, parse_opening
 from stepflow.node.core import Core, Front, RequestContext
 from stepflow.node.process.shutdown_schedule import MOVES_FROM, leave, move_waits
@@ -210,7 +209,7 @@
     """A standing connection, as its peer's pulse sees it."""
 
     def __init__(self) -> None:
-        self.context = RequestContext(face.Request(1, 0, 0), cast(Front, None), peer="s-1")
+        self.context = RequestContext(Request(1, 0, 0), cast(Front, None), peer="s-1")
         self.hung = 0
 
     def peer_hangs(self) -> None:
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -9,10 +9,36 @@
 
 import pytest
 
-from stepflow import interface as face
 from stepflow import rendezvous
 from stepflow.budgets import attempt_throttle, slow_start
-from stepflow.interface import AttemptResult, DeduplicationScope, Idempotency
+from stepflow.interface import (
+    Action,
+    AttemptEnded,
+    AttemptResult,
+    Availability,
+    ClientDisconnected,
+    DeduplicationScope,
+    EndpointId,
+    FailRequest,
+    HealthCheckEnded,
+    Idempotency,
+    Limits,
+    ListUpdateKind,
+    MigrateSession,
+    Prices,
+    RejectRequest,
+    Request,
+    RequestClass,
+    SessionAdopted,
+    SessionEstablished,
+    SessionReport,
+    SessionReportKind,
+    SetTimer,
+    StartAttempt,
+    StartHealthCheck,
+    TimerFired,
+    WatchEndpointList,
+)
 from stepflow.policy import Controller, Model, Policy, ServerState, decide
 from stepflow.policy import controller as trimming
 from stepflow.policy import model as knowing
@@ -22,9 +48,9 @@
 REPORTING = {"report_fields": ("x0", "eps")}
 
 
-def placed(drive: Driver, id: int) -> face.EndpointId:
+def placed(drive: Driver, id: int) -> EndpointId:
     """The server of a request that comes up and ends at once."""
-    [send] = only(face.StartAttempt, drive.request(id))
+    [send] = only(StartAttempt, drive.request(id))
     drive.up(send)
     drive.end(send, AttemptResult.OK, complete=True)
     return send.endpoint
@@ -87,13 +113,13 @@
 
 def test_told_load_is_usual_then_present_then_gone() -> None:
     drive = Driver(plain_settings(), [entry(1)])
-    [send] = only(face.StartAttempt, drive.request(1, load=8.0))
+    [send] = only(StartAttempt, drive.request(1, load=8.0))
     server = drive.policy.model.servers[1]
     assert server.load == 8.0
     drive.up(send)
-    drive.feed(face.SessionReport(1, 0, 1, face.SessionReportKind.LOAD, 12.0))
+    drive.feed(SessionReport(1, 0, 1, SessionReportKind.LOAD, 12.0))
     assert server.load == 12.0
-    drive.feed(face.SessionReport(1, 0, 1, face.SessionReportKind.LOAD, float("nan")))
+    drive.feed(SessionReport(1, 0, 1, SessionReportKind.LOAD, float("nan")))
     assert server.load == 12.0
     drive.end(send, AttemptResult.OK, complete=True)
     assert server.load == 0.0
@@ -102,9 +128,9 @@
 
 def test_connections_open_at_the_start_count() -> None:
     drive = Driver(plain_settings(), [entry(1), entry(2)])
-    drive.feed(face.SessionAdopted(face.Request(5, 0, 0, 3.0), 2))
+    drive.feed(SessionAdopted(Request(5, 0, 0, 3.0), 2))
     assert drive.policy.model.servers[2].load == 3.0
-    drive.feed(face.AttemptEnded(5, 0, 2, AttemptResult.OK, True, 0))
+    drive.feed(AttemptEnded(5, 0, 2, AttemptResult.OK, True, 0))
     assert drive.policy.model.servers[2].load == 0.0
 
 
@@ -112,7 +138,7 @@
     drive = Driver(plain_settings(), [entry(1), entry(2)])
     drive.policy.model.servers[1].weight = 3.0
     drive.policy.controller.tabulate(drive.now)
-    counts: dict[face.EndpointId, int] = {1: 0, 2: 0}
+    counts: dict[EndpointId, int] = {1: 0, 2: 0}
     for id in range(400):
         counts[placed(drive, id)] += 1
     assert 260 <= counts[1] <= 340
@@ -120,67 +146,67 @@
 
 def test_a_placed_connection_stays_put() -> None:
     drive = Driver(plain_settings(), [entry(1), entry(2)])
-    [send] = only(face.StartAttempt, drive.request(1))
+    [send] = only(StartAttempt, drive.request(1))
     drive.up(send)
     for _ in range(100):
-        assert not only(face.MigrateSession, drive.tick())
+        assert not only(MigrateSession, drive.tick())
 
 
 # Rule 1: every request gets one answer
 
 
-def final(actions: list[face.Action]) -> list[face.Action]:
-    return [a for a in actions if isinstance(a, face.RejectRequest | face.FailRequest)]
+def final(actions: list[Action]) -> list[Action]:
+    return [a for a in actions if isinstance(a, RejectRequest | FailRequest)]
 
 
 def test_no_server_at_all_still_answers_in_time() -> None:
     drive = Driver(plain_settings())
     actions = drive.request(1)
-    timers = [t for t in only(face.SetTimer, actions) if t.token >= decide.FIRST_REQUEST_TOKEN]
+    timers = [t for t in only(SetTimer, actions) if t.token >= decide.FIRST_REQUEST_TOKEN]
     assert SECOND < max(t.delay_us for t in timers) < 2 * SECOND
     drive.now += max(t.delay_us for t in timers)
-    assert final(drive.feed(face.TimerFired(timers[0].token))) == [face.RejectRequest(1)]
+    assert final(drive.feed(TimerFired(timers[0].token))) == [RejectRequest(1)]
     assert not drive.policy.flights
 
 
 def test_no_reply_still_answers_in_time_and_only_once() -> None:
     drive = Driver(plain_settings(), [entry(1)])
-    [send] = only(face.StartAttempt, drive.request(1))
+    [send] = only(StartAttempt, drive.request(1))
     drive.now += 2 * SECOND - 10_000
-    assert final(drive.feed(face.TimerFired(decide.FIRST_REQUEST_TOKEN + 1))) == [face.RejectRequest(1)]
-    assert not final(drive.feed(face.TimerFired(decide.FIRST_REQUEST_TOKEN + 1)))
+    assert final(drive.feed(TimerFired(decide.FIRST_REQUEST_TOKEN + 1))) == [RejectRequest(1)]
+    assert not final(drive.feed(TimerFired(decide.FIRST_REQUEST_TOKEN + 1)))
     actions = drive.end(send, AttemptResult.TIMEOUT)
-    assert not final(actions) and not only(face.StartAttempt, actions)
+    assert not final(actions) and not only(StartAttempt, actions)
     assert not drive.policy.flights
 
 
 def test_a_time_out_at_the_deadline_is_answered() -> None:
     drive = Driver(plain_settings(), [entry(1)])
-    [send] = only(face.StartAttempt, drive.request(1))
+    [send] = only(StartAttempt, drive.request(1))
     drive.now += 2 * SECOND
     assert len(final(drive.end(send, AttemptResult.TIMEOUT))) == 1
 
 
 def test_a_standing_connection_has_no_deadline() -> None:
     drive = Driver(plain_settings(), [entry(1)])
-    [send] = only(face.StartAttempt, drive.request(1))
+    [send] = only(StartAttempt, drive.request(1))
     drive.up(send)
     drive.now += 10 * SECOND
-    assert not final(drive.feed(face.TimerFired(decide.FIRST_REQUEST_TOKEN + 1)))
+    assert not final(drive.feed(TimerFired(decide.FIRST_REQUEST_TOKEN + 1)))
 
 
 def test_what_is_finished_or_unknown_is_ignored() -> None:
     drive = Driver(plain_settings(), [entry(1)])
-    [send] = only(face.StartAttempt, drive.request(1))
+    [send] = only(StartAttempt, drive.request(1))
     drive.end(send, AttemptResult.OK, complete=True)
     for event in (
-        face.AttemptEnded(1, 0, 1, AttemptResult.RESET, True, 5),
-        face.AttemptEnded(9, 0, 8, AttemptResult.RESET, False, 5),
-        face.SessionEstablished(1, 0, 1, 5),
-        face.SessionReport(9, 0, 1, 1, 5.0),
-        face.ClientDisconnected(9),
-        face.TimerFired(decide.FIRST_REQUEST_TOKEN + 9),
-        face.HealthCheckEnded(77, 0, 5, (1.0,)),
+        AttemptEnded(1, 0, 1, AttemptResult.RESET, True, 5),
+        AttemptEnded(9, 0, 8, AttemptResult.RESET, False, 5),
+        SessionEstablished(1, 0, 1, 5),
+        SessionReport(9, 0, 1, 1, 5.0),
+        ClientDisconnected(9),
+        TimerFired(decide.FIRST_REQUEST_TOKEN + 9),
+        HealthCheckEnded(77, 0, 5, (1.0,)),
     ):
         assert drive.feed(event) == []
 
@@ -189,9 +215,9 @@
 
 
 def effect_driver(effect: Idempotency, scope: DeduplicationScope = DeduplicationScope.ALL) -> Driver:
-    cls = face.RequestClass(idempotency=effect, deduplication_scope=scope, deduplication_window_us=SECOND)
+    cls = RequestClass(idempotency=effect, deduplication_scope=scope, deduplication_window_us=SECOND)
     servers = [entry(i, zone=i % 2, cell=i % 2) for i in range(1, 9)]
-    return Driver(plain_settings(classes=(cls,), limits=face.Limits(max_attempts=4)), servers)
+    return Driver(plain_settings(classes=(cls,), limits=Limits(max_attempts=4)), servers)
 
 
 @pytest.mark.parametrize(
@@ -199,19 +225,19 @@
 )
 def test_unsafe_is_not_tried_again_where_it_may_have_run(result: AttemptResult) -> None:
     drive = effect_driver(Idempotency.NOT_IDEMPOTENT)
-    [send] = only(face.StartAttempt, drive.request(1))
+    [send] = only(StartAttempt, drive.request(1))
     actions = drive.end(send, result)
-    assert not only(face.StartAttempt, actions)
+    assert not only(StartAttempt, actions)
     while not final(drive.done):
-        actions = drive.feed(face.TimerFired(decide.FIRST_REQUEST_TOKEN + 1))
-    assert final(drive.done) == [face.FailRequest(1)]
+        actions = drive.feed(TimerFired(decide.FIRST_REQUEST_TOKEN + 1))
+    assert final(drive.done) == [FailRequest(1)]
 
 
 @pytest.mark.parametrize("result", [AttemptResult.FULL, AttemptResult.CONNECT_FAILED, AttemptResult.NOT_SENT])
 def test_unsafe_is_tried_again_where_it_never_ran(result: AttemptResult) -> None:
     drive = effect_driver(Idempotency.NOT_IDEMPOTENT)
-    [send] = only(face.StartAttempt, drive.request(1))
-    [again] = only(face.StartAttempt, drive.end(send, result))
+    [send] = only(StartAttempt, drive.request(1))
+    [again] = only(StartAttempt, drive.end(send, result))
     assert again.endpoint != send.endpoint
 
 
@@ -219,47 +245,47 @@
     drive = effect_driver(Idempotency.NOT_IDEMPOTENT)
     drive.request(1)
     drive.now += 2 * SECOND
-    assert final(drive.feed(face.TimerFired(decide.FIRST_REQUEST_TOKEN + 1))) == [face.FailRequest(1)]
+    assert final(drive.feed(TimerFired(decide.FIRST_REQUEST_TOKEN + 1))) == [FailRequest(1)]
 
 
 @pytest.mark.parametrize("scope", [DeduplicationScope.ZONE, DeduplicationScope.CELL])
 def test_keyed_stays_in_its_group(scope: DeduplicationScope) -> None:
     for id in range(20):
         drive = effect_driver(Idempotency.BY_KEY, scope)
-        [send] = only(face.StartAttempt, drive.request(id))
-        [again] = only(face.StartAttempt, drive.end(send, AttemptResult.RESET))
+        [send] = only(StartAttempt, drive.request(id))
+        [again] = only(StartAttempt, drive.end(send, AttemptResult.RESET))
         assert isinstance(again.endpoint, int) and isinstance(send.endpoint, int)
         assert again.endpoint % 2 == send.endpoint % 2
         drive.end(again, AttemptResult.RESET, attempt=1)
         drive.now += 2 * SECOND
-        drive.feed(face.TimerFired(decide.FIRST_REQUEST_TOKEN + id))
-        assert face.RejectRequest(id) not in drive.done
+        drive.feed(TimerFired(decide.FIRST_REQUEST_TOKEN + id))
+        assert RejectRequest(id) not in drive.done
 
 
 def test_keyed_is_not_repeated_after_its_window() -> None:
     drive = effect_driver(Idempotency.BY_KEY)
-    [send] = only(face.StartAttempt, drive.request(1))
+    [send] = only(StartAttempt, drive.request(1))
     drive.now += SECOND - 1
-    [again] = only(face.StartAttempt, drive.end(send, AttemptResult.RESET))
+    [again] = only(StartAttempt, drive.end(send, AttemptResult.RESET))
     drive.now += 1
-    assert not only(face.StartAttempt, drive.end(again, AttemptResult.RESET, attempt=1))
-    assert final(drive.done) == [face.RejectRequest(1)]
+    assert not only(StartAttempt, drive.end(again, AttemptResult.RESET, attempt=1))
+    assert final(drive.done) == [RejectRequest(1)]
 
 
 def test_never_two_attempts_out_and_never_more_than_allowed() -> None:
-    drive = Driver(plain_settings(limits=face.Limits(max_attempts=2)), [entry(i) for i in range(5)])
-    [send] = only(face.StartAttempt, drive.request(1))
-    assert not only(face.StartAttempt, drive.tick())
-    [again] = only(face.StartAttempt, drive.end(send, AttemptResult.FULL))
-    assert not only(face.StartAttempt, drive.end(again, AttemptResult.FULL, attempt=1))
+    drive = Driver(plain_settings(limits=Limits(max_attempts=2)), [entry(i) for i in range(5)])
+    [send] = only(StartAttempt, drive.request(1))
+    assert not only(StartAttempt, drive.tick())
+    [again] = only(StartAttempt, drive.end(send, AttemptResult.FULL))
+    assert not only(StartAttempt, drive.end(again, AttemptResult.FULL, attempt=1))
     assert len(final(drive.done)) == 1
 
 
 # Rule 3: drains are kept
 
 
-@pytest.mark.parametrize("state", [face.Availability.DRAINING, face.Availability.GONE])
-def test_nothing_new_to_a_server_that_leaves(state: face.Availability) -> None:
+@pytest.mark.parametrize("state", [Availability.DRAINING, Availability.GONE])
+def test_nothing_new_to_a_server_that_leaves(state: Availability) -> None:
     drive = Driver(plain_settings(), [entry(1), entry(2)])
     drive.news(entry(1, state=state))
     for id in range(50):
@@ -268,33 +294,32 @@
 
 def test_a_server_missing_from_a_full_list_is_gone() -> None:
     drive = Driver(plain_settings(), [entry(1), entry(2)])
-    drive.news(entry(2), form=face.ListUpdateKind.FULL)
+    drive.news(entry(2), form=ListUpdateKind.FULL)
     for id in range(50):
         assert placed(drive, id) == 2
 
 
 def test_a_held_request_goes_out_when_a_server_comes() -> None:
     drive = Driver(plain_settings())
-    assert not only(face.StartAttempt, drive.request(1))
+    assert not only(StartAttempt, drive.request(1))
     drive.news(entry(3))
     drive.now += decide.HOLD_US[1]
     assert [
-        s.endpoint
-        for s in only(face.StartAttempt, drive.feed(face.TimerFired(decide.FIRST_REQUEST_TOKEN + 1)))
+        s.endpoint for s in only(StartAttempt, drive.feed(TimerFired(decide.FIRST_REQUEST_TOKEN + 1)))
     ] == [3]
 
 
 def test_a_list_that_must_be_asked_for_is_asked_again_later_and_later() -> None:
     drive = Driver(plain_settings(ask_for_list=True), [entry(1)])
-    assert decide.ASK_TOKEN in [t.token for t in only(face.SetTimer, drive.done)]
-    assert drive.feed(face.TimerFired(decide.ASK_TOKEN)) == [face.WatchEndpointList(True)]
+    assert decide.ASK_TOKEN in [t.token for t in only(SetTimer, drive.done)]
+    assert drive.feed(TimerFired(decide.ASK_TOKEN)) == [WatchEndpointList(True)]
     waits = []
     for _ in range(12):
-        [timer] = only(face.SetTimer, drive.news(form=face.ListUpdateKind.FAILED))
+        [timer] = only(SetTimer, drive.news(form=ListUpdateKind.FAILED))
         waits.append(timer.delay_us)
     assert waits[0] < SECOND < waits[-1] < drive.policy.settings.rules.list_refresh_us
     drive.news()
-    [timer] = only(face.SetTimer, drive.news(form=face.ListUpdateKind.FAILED))
+    [timer] = only(SetTimer, drive.news(form=ListUpdateKind.FAILED))
     assert timer.delay_us < SECOND
 
 
@@ -309,7 +334,7 @@
     server.budget = 0.0
     for step in range(80):  # 8 s of 20 requests a second, each soon over
         for id in range(step * 10, step * 10 + 10):
-            [send] = only(face.StartAttempt, drive.request(id))
+            [send] = only(StartAttempt, drive.request(id))
             sent += send.endpoint == 99
             drive.up(send)
             drive.end(send, AttemptResult.OK, complete=True)
@@ -321,18 +346,18 @@
 
 
 def test_retries_spend_the_cold_budget_as_well() -> None:
-    drive = Driver(plain_settings(limits=face.Limits(max_attempts=9)), [entry(9, started=START)])
+    drive = Driver(plain_settings(limits=Limits(max_attempts=9)), [entry(9, started=START)])
     drive.policy.model.servers[9].budget = 1.0
-    [send] = only(face.StartAttempt, drive.request(1))
-    assert not only(face.StartAttempt, drive.end(send, AttemptResult.FULL))
+    [send] = only(StartAttempt, drive.request(1))
+    assert not only(StartAttempt, drive.end(send, AttemptResult.FULL))
 
 
 def test_a_lone_cold_server_gets_the_held_request_once_it_is_warm() -> None:
     drive = Driver(plain_settings(), [entry(9, started=START)])
     drive.policy.model.servers[9].budget = 0.0
-    assert not only(face.StartAttempt, drive.request(1, wait_us=30 * SECOND))
+    assert not only(StartAttempt, drive.request(1, wait_us=30 * SECOND))
     drive.now += 10 * SECOND
-    assert len(only(face.StartAttempt, drive.feed(face.TimerFired(decide.FIRST_REQUEST_TOKEN + 1)))) == 1
+    assert len(only(StartAttempt, drive.feed(TimerFired(decide.FIRST_REQUEST_TOKEN + 1)))) == 1
 
 
 def test_a_warm_server_has_no_budget() -> None:
@@ -348,19 +373,19 @@
     # All proxies' retries together overran the store that every set-up needs.
     drive = Driver(plain_settings(), [entry(i) for i in range(9)])
     for id in range(40):
-        for send in only(face.StartAttempt, drive.request(id)):
+        for send in only(StartAttempt, drive.request(id)):
             drive.end(send, AttemptResult.ERROR)
-    assert len(only(face.StartAttempt, drive.done)) <= attempt_throttle.THROTTLE_FREE + 1
+    assert len(only(StartAttempt, drive.done)) <= attempt_throttle.THROTTLE_FREE + 1
     assert not final(drive.done)
     drive.tick(30.0)
-    assert only(face.StartAttempt, drive.request(100))
+    assert only(StartAttempt, drive.request(100))
 
 
 def test_a_full_server_does_not_close_the_throttle() -> None:
     drive = Driver(plain_settings(), [entry(i) for i in range(9)])
     for id in range(40):
-        [send] = only(face.StartAttempt, drive.request(id))
-        [again] = only(face.StartAttempt, drive.end(send, AttemptResult.FULL))
+        [send] = only(StartAttempt, drive.request(id))
+        [again] = only(StartAttempt, drive.end(send, AttemptResult.FULL))
         drive.up(again, attempt=1)
 
 
@@ -369,7 +394,7 @@
     drive = Driver(plain_settings(balancers=50, **REPORTING), [entry(i) for i in range(40)])
     probed_count = 0
     for id in range(20):
-        probes = only(face.StartHealthCheck, drive.request(id, wait_us=20 * SECOND))
+        probes = only(StartHealthCheck, drive.request(id, wait_us=20 * SECOND))
         probed_count += len(probes)
         assert 1 <= len(probes) <= decide.CANDIDATES
         loads = {probe.endpoint: 0.1 * (k + 1) for k, probe in enumerate(probes)}
@@ -378,8 +403,7 @@
             s
             for p in probes
             for s in only(
-                face.StartAttempt,
-                drive.feed(face.HealthCheckEnded(p.endpoint, 0, 500, (loads[p.endpoint], 0.0))),
+                StartAttempt, drive.feed(HealthCheckEnded(p.endpoint, 0, 500, (loads[p.endpoint], 0.0)))
             )
         ]
         assert [s.endpoint for s in sends] == [best]
@@ -391,40 +415,40 @@
 
 def test_a_drawn_server_that_does_not_answer_is_passed_over() -> None:
     drive = Driver(plain_settings(**REPORTING), [entry(i) for i in range(400)])
-    [*silent, answered] = [p.endpoint for p in only(face.StartHealthCheck, drive.request(1))]
+    [*silent, answered] = [p.endpoint for p in only(StartHealthCheck, drive.request(1))]
     assert silent
-    assert not only(face.StartAttempt, drive.feed(face.HealthCheckEnded(answered, 0, 500, (0.5, 0.0))))
+    assert not only(StartAttempt, drive.feed(HealthCheckEnded(answered, 0, 500, (0.5, 0.0))))
     drive.now += 100_000
-    [send] = only(face.StartAttempt, drive.feed(face.TimerFired(decide.FIRST_REQUEST_TOKEN + 1)))
+    [send] = only(StartAttempt, drive.feed(TimerFired(decide.FIRST_REQUEST_TOKEN + 1)))
     assert send.endpoint == answered
 
 
 def overloaded_driver(load: float) -> Driver:
     classes = (
-        face.RequestClass(priority_weight=1.0, message_latency_objective_us=100_000),
-        face.RequestClass(priority_weight=5.0, message_latency_objective_us=100_000),
+        RequestClass(priority_weight=1.0, message_latency_objective_us=100_000),
+        RequestClass(priority_weight=5.0, message_latency_objective_us=100_000),
     )
     drive = Driver(plain_settings(classes=classes, **REPORTING), [entry(1)])
-    drive.feed(face.HealthCheckEnded(1, 0, 500, (load, 0.0)))
+    drive.feed(HealthCheckEnded(1, 0, 500, (load, 0.0)))
     return drive
 
 
 def test_near_saturation_the_least_worth_is_refused_first() -> None:
     low, high = decide.REFUSE_AT
-    assert only(face.StartAttempt, overloaded_driver(low - 0.01).request(1, cls=0))
-    assert only(face.RejectRequest, overloaded_driver(low + 0.01).request(1, cls=0))
-    assert only(face.StartAttempt, overloaded_driver(high - 0.01).request(1, cls=1))
-    assert only(face.RejectRequest, overloaded_driver(high + 0.01).request(1, cls=1))
+    assert only(StartAttempt, overloaded_driver(low - 0.01).request(1, cls=0))
+    assert only(RejectRequest, overloaded_driver(low + 0.01).request(1, cls=0))
+    assert only(StartAttempt, overloaded_driver(high - 0.01).request(1, cls=1))
+    assert only(RejectRequest, overloaded_driver(high + 0.01).request(1, cls=1))
 
 
 def standing_driver(load: float, count: int, **changes: Any) -> Driver:
     """One server with so many connections that stood for a while, and a report of their load."""
     drive = Driver(plain_settings(**REPORTING, **changes), [entry(1)])
     for id in range(count):
-        drive.feed(face.SessionAdopted(face.Request(id, 0, 0, 1.0), 1))
+        drive.feed(SessionAdopted(Request(id, 0, 0, 1.0), 1))
     for _ in range(4):
         drive.tick()
-    drive.feed(face.HealthCheckEnded(1, 0, 500, (load, 0.0)))
+    drive.feed(HealthCheckEnded(1, 0, 500, (load, 0.0)))
     return drive
 
 
@@ -433,7 +457,7 @@
     drive = standing_driver(0.5, 20)
     let_in = 0
     for id in range(100, 140):
-        for send in only(face.StartAttempt, drive.request(id, load=1.0)):
+        for send in only(StartAttempt, drive.request(id, load=1.0)):
             drive.up(send)
             let_in += 1
     # 20 connections are reported as 0.5, with a pseudo-load of 20 beside them: each is held to add 0.0125.
@@ -443,12 +467,12 @@
 def test_what_stood_before_or_changes_its_load_was_not_placed() -> None:
     """At a start 117 adopted connections were held to be a load of 10.8 that no report shows yet."""
     drive = standing_driver(0.5, 20)
-    [send] = only(face.StartAttempt, drive.request(100, load=1.0))
+    [send] = only(StartAttempt, drive.request(100, load=1.0))
     drive.up(send)
     server = drive.policy.model.servers[1]
     placed = server.placed
-    drive.feed(face.SessionAdopted(face.Request(101, 0, 0, 1.0), 1))
-    drive.feed(face.SessionReport(100, 0, 1, face.SessionReportKind.LOAD, 1.1))
+    drive.feed(SessionAdopted(Request(101, 0, 0, 1.0), 1))
+    drive.feed(SessionReport(100, 0, 1, SessionReportKind.LOAD, 1.1))
     assert 0 < placed == server.placed
 
 
@@ -457,9 +481,9 @@
     drive = standing_driver(0.3, 20)
     drive.news(*(entry(id) for id in range(2, 6)))
     for id in range(100, 110):
-        drive.feed(face.SessionAdopted(face.Request(id, 0, 0, 1.0), 1))
+        drive.feed(SessionAdopted(Request(id, 0, 0, 1.0), 1))
     for _ in range(8):
-        drive.feed(face.HealthCheckEnded(1, 0, 500, (0.3, 0.0)))  # it does not hold the ten yet
+        drive.feed(HealthCheckEnded(1, 0, 500, (0.3, 0.0)))  # it does not hold the ten yet
     assert drive.policy.model.servers[1].predicted > 0.38
 
 
@@ -467,11 +491,11 @@
     """An empty server's weight was thirty times a full one's, and so was its pseudo-load."""
     drive = Driver(plain_settings(live_weights=True, **REPORTING), [entry(1, size=0.2), entry(2, size=6.0)])
     for id in range(30):
-        drive.feed(face.SessionAdopted(face.Request(id, 0, 0, 1.0), 1))
+        drive.feed(SessionAdopted(Request(id, 0, 0, 1.0), 1))
     drive.news(entry(1, size=0.2))
     for _ in range(3):
         drive.tick()
-        drive.feed(face.HealthCheckEnded(1, 0, 500, (0.6, 0.0)))
+        drive.feed(HealthCheckEnded(1, 0, 500, (0.6, 0.0)))
     drive.tick(4.0)
     empty = drive.policy.model.servers[2]
     assert empty.share == 1.0 and empty.predicted < 0.6
@@ -479,69 +503,69 @@
 
 def test_who_is_refused_for_load_is_told_to_wait() -> None:
     # Refused clients came again at once, fifteen for each new one, and were refused again.
-    [refuse] = only(face.RejectRequest, overloaded_driver(2.0).request(1))
+    [refuse] = only(RejectRequest, overloaded_driver(2.0).request(1))
     assert 500_000 <= refuse.retry_after_us <= 1_000_000
 
 
 def test_a_jammed_server_is_brought_down_by_moves_of_the_least_worth() -> None:
     drive = overloaded_driver(0.01)
     for id in range(40):
-        [send] = only(face.StartAttempt, drive.request(id, cls=id % 2))
+        [send] = only(StartAttempt, drive.request(id, cls=id % 2))
         drive.up(send)
         drive.now += 100_000
     for _ in range(9):
         drive.now += SECOND
-        drive.feed(face.HealthCheckEnded(1, 0, 500, (1.7, 0.0)))
-    moved = [m.request_id for m in only(face.MigrateSession, drive.tick())]
+        drive.feed(HealthCheckEnded(1, 0, 500, (1.7, 0.0)))
+    moved = [m.request_id for m in only(MigrateSession, drive.tick())]
     assert (
         5 <= len(moved) <= 40 * (1 - decide.MOVE_TO / 1.7) + 1
     )  # what brings 1.7 down to MOVE_TO, as fast as moves may go
     assert all(id % 2 == 0 for id in moved)
-    assert not only(face.MigrateSession, drive.tick())  # the same report is not acted on twice
+    assert not only(MigrateSession, drive.tick())  # the same report is not acted on twice
 
 
 def test_a_note_below_every_aim_moves_nobody() -> None:
     # Notes begin at a third of the shortest aim: moving at once kept clients going round.
     for late_ms, jammed in ((99.0, False), (100.0, True)):
         drive = overloaded_driver(0.1)
-        [send] = only(face.StartAttempt, drive.request(1))
+        [send] = only(StartAttempt, drive.request(1))
         drive.up(send)
-        drive.feed(face.SessionReport(1, 0, 1, face.SessionReportKind.LATENCY, late_ms))
+        drive.feed(SessionReport(1, 0, 1, SessionReportKind.LATENCY, late_ms))
         assert (1 in drive.policy.slow) == jammed
 
 
 def test_a_crossing_has_its_price() -> None:
     """Near servers take what comes until they are jammed; then the far ones are worth the crossing."""
-    settings = plain_settings(zone=1, zones=("a", "b"), prices=face.Prices(cross_zone=0.03), **REPORTING)
+    settings = plain_settings(zone=1, zones=("a", "b"), prices=Prices(cross_zone=0.03), **REPORTING)
     for near_load, crosses in ((0.5, False), (1.2, True)):
         drive = Driver(settings, [entry(1, zone=1), entry(2, zone=0)])
         for _ in range(8):
             for server, load in ((1, near_load), (2, 0.05)):
-                drive.feed(face.HealthCheckEnded(server, 0, 500, (load, 0.0)))
+                drive.feed(HealthCheckEnded(server, 0, 500, (load, 0.0)))
             drive.tick()
         sends = []
         for id in range(20):
-            sends += only(face.StartAttempt, drive.request(id, load=0.001))
+            sends += only(StartAttempt, drive.request(id, load=0.001))
             drive.up(sends[-1])
         far = sum(send.endpoint == 2 for send in sends)
         assert far > 10 if crosses else far == 0
 
 
 def test_where_probes_are_not_allowed_none_is_sent() -> None:
-    drive = Driver(plain_settings(limits=face.Limits(health_checks=False), **REPORTING), [entry(1), entry(2)])
+    drive = Driver(plain_settings(limits=Limits(health_checks=False), **REPORTING), [entry(1), entry(2)])
     for id in range(20):
         drive.request(id)
         drive.tick()
-    assert not only(face.StartHealthCheck, drive.done) and only(face.StartAttempt, drive.done)
+    assert not only(StartHealthCheck, drive.done) and only(StartAttempt, drive.done)
 
 
 def test_a_zone_without_servers_does_not_hold_its_clients_back() -> None:
     # A lost zone's last load was kept, and kept its proxies' clients from the other zones.
-    settings = plain_settings(prices=face.Prices(cross_zone=0.1))
+    settings = plain_settings(prices=Prices(cross_zone=0.1))
     drive = Driver(settings, [entry(1), entry(2, zone=1), entry(3, zone=1)])
     drive.tick(10.0)
     assert [s.id for s in drive.policy.controller.listed] == [1]
-    drive.news(entry(1, state=face.Availability.GONE))
+    drive.news(entry(1, state=Availability.GONE))
     drive.tick(10.0)
     assert [s.id for s in drive.policy.controller.listed] == [2, 3]
 
@@ -563,18 +587,18 @@
     drive = Driver(plain_settings(balancers=200, **REPORTING), [*warm, entry(999, started=START)])
     drive.tick()
     drive.policy.model.servers[999].budget = 1.0
-    assert 999 in [probe.endpoint for probe in only(face.StartHealthCheck, drive.request(1))]
+    assert 999 in [probe.endpoint for probe in only(StartHealthCheck, drive.request(1))]
 
 
 def test_a_connection_shed_at_once_does_not_count_as_up() -> None:
     # Jammed servers accept a connection and drop it: set up again and again, it wore all servers down.
     drive = Driver(plain_settings(), [entry(i) for i in range(9)])
     for id in range(40):
-        for send in only(face.StartAttempt, drive.request(id)):
+        for send in only(StartAttempt, drive.request(id)):
             drive.up(send)
             drive.end(send, AttemptResult.RESET, complete=True)
     assert (
-        len(only(face.StartAttempt, drive.done))
+        len(only(StartAttempt, drive.done))
         <= attempt_throttle.THROTTLE_FREE * attempt_throttle.THROTTLE_RATIO + 1
     )
 
@@ -596,87 +620,87 @@
     # Seen on a day with a hang: all clients of the lost server went to the one held emptiest.
     drive = Driver(plain_settings(**REPORTING), [entry(1), entry(2)])
     for server in (1, 2):
-        drive.feed(face.HealthCheckEnded(server, AttemptResult.OK, 500, (0.02 * server, 0.0)))
+        drive.feed(HealthCheckEnded(server, AttemptResult.OK, 500, (0.02 * server, 0.0)))
     sent = {1: 0, 2: 0}
     for id in range(40):
-        [send] = only(face.StartAttempt, drive.request(id, load=1.0))
+        [send] = only(StartAttempt, drive.request(id, load=1.0))
         drive.up(send)
         sent[int(str(send.endpoint))] += 1
     assert min(sent.values()) >= 5  # and both end at the same predicted load
 
 
 def test_standing_connections_pace_the_probes_in_turn() -> None:
-    prices = face.Prices(probe=0.004)
+    prices = Prices(probe=0.004)
     drive = Driver(plain_settings(prices=prices, **REPORTING), [entry(i) for i in range(4)])
     for id in range(240):  # and nothing new comes
-        drive.feed(face.SessionAdopted(face.Request(id, 0, 0, 1.0), id % 4))
-    probes = [probe for _ in range(20) for probe in only(face.StartHealthCheck, drive.tick())]
+        drive.feed(SessionAdopted(Request(id, 0, 0, 1.0), id % 4))
+    probes = [probe for _ in range(20) for probe in only(StartHealthCheck, drive.tick())]
     assert len(probes) >= 4
 
 
 def test_probes_go_to_the_server_asked_longest_ago() -> None:
     """Drawn by chance, some waited for several seconds, and a jam there went on unseen."""
-    drive = Driver(plain_settings(prices=face.Prices(probe=0.004), **REPORTING), map(entry, range(4)))
+    drive = Driver(plain_settings(prices=Prices(probe=0.004), **REPORTING), map(entry, range(4)))
     for id in range(240):
-        drive.feed(face.SessionAdopted(face.Request(id, 0, 0, 1.0), id % 4))
+        drive.feed(SessionAdopted(Request(id, 0, 0, 1.0), id % 4))
     asked: list[int] = []
     while len(asked) < 12:
-        for probe in only(face.StartHealthCheck, drive.tick()):
-            drive.feed(face.HealthCheckEnded(probe.endpoint, AttemptResult.OK, 900, (0.5, 0.0)))
+        for probe in only(StartHealthCheck, drive.tick()):
+            drive.feed(HealthCheckEnded(probe.endpoint, AttemptResult.OK, 900, (0.5, 0.0)))
             asked.append(int(str(probe.endpoint)))
     assert sorted(asked[:4]) == sorted(asked[4:8]) == sorted(asked[8:12]) == [0, 1, 2, 3]
 
 
 def test_a_jam_is_found_and_relieved_where_connections_stand_and_few_come_anew() -> None:
     # Seen on a day with a hang: no note tells of late messages, and probes in turn took 9 s to find the jam.
-    prices = face.Prices(probe=0.004, moves=0.02)
+    prices = Prices(probe=0.004, moves=0.02)
     drive = Driver(plain_settings(prices=prices, **REPORTING), [entry(1), entry(2)])
     for id in range(100):
-        drive.feed(face.SessionAdopted(face.Request(id, 0, 0, 1.0), 1 + id % 2))
+        drive.feed(SessionAdopted(Request(id, 0, 0, 1.0), 1 + id % 2))
     actions = drive.request(1000) + drive.tick(4.0)
     for _ in range(12):
-        probes, actions = only(face.StartHealthCheck, actions), drive.tick()
+        probes, actions = only(StartHealthCheck, actions), drive.tick()
         for probe in probes:
             drive.feed(
-                face.HealthCheckEnded(
+                HealthCheckEnded(
                     probe.endpoint, AttemptResult.OK, 500, (1.4 if probe.endpoint == 1 else 0.2, 0.0)
                 )
             )
-    moves = only(face.MigrateSession, drive.done)
+    moves = only(MigrateSession, drive.done)
     assert all(move.request_id % 2 == 0 for move in moves)
     assert len(moves) > 8  # paced by the few new ones there were 4, and a jam lasted for 10 s
 
 
 def test_attempts_last_as_long_as_set_ups_take() -> None:
     """After a wave set-ups took 0.4 to 1 s, and attempts cut at half of what was left filled the store."""
-    drive = Driver(plain_settings(limits=face.Limits(max_attempts=6)), map(entry, range(4)))
+    drive = Driver(plain_settings(limits=Limits(max_attempts=6)), map(entry, range(4)))
     for id in range(100, 160):
-        for send in only(face.StartAttempt, drive.request(id)):
-            drive.feed(face.SessionEstablished(id, 0, send.endpoint, 500_000))
-    [send] = only(face.StartAttempt, drive.request(1, wait_us=1_200_000))
+        for send in only(StartAttempt, drive.request(id)):
+            drive.feed(SessionEstablished(id, 0, send.endpoint, 500_000))
+    [send] = only(StartAttempt, drive.request(1, wait_us=1_200_000))
     assert send.timeout_us == 1_200_000  # all of it: half would end before the usual set-up
     drive.now += 800_000
     again = drive.end(send, AttemptResult.CONNECT_FAILED)
-    assert not only(face.StartAttempt, again) and only(
-        face.RejectRequest, again
+    assert not only(StartAttempt, again) and only(
+        RejectRequest, again
     )  # what is left is less than a set-up takes
-    [send] = only(face.StartAttempt, drive.request(2, wait_us=4_800_000))
+    [send] = only(StartAttempt, drive.request(2, wait_us=4_800_000))
     assert send.timeout_us <= 2_400_000  # where there is room for another, it stays
 
 
 def test_a_jammed_server_is_asked_once_a_second() -> None:
     """Each node asked at each step, though reports are no fresher: 40 of them paid 0.01 of the day for it."""
-    prices = face.Prices(probe=0.004, moves=1.0)  # moves that don't pay: the jam stands
+    prices = Prices(probe=0.004, moves=1.0)  # moves that don't pay: the jam stands
     drive = Driver(plain_settings(prices=prices, **REPORTING), [entry(1), entry(2)])
     for id in range(100):
-        drive.feed(face.SessionAdopted(face.Request(id, 0, 0, 1.0), 1 + id % 2))
+        drive.feed(SessionAdopted(Request(id, 0, 0, 1.0), 1 + id % 2))
     drive.request(1000)
     asked = 0
     for step in range(28):
-        for probe in only(face.StartHealthCheck, drive.tick()):
+        for probe in only(StartHealthCheck, drive.tick()):
             asked += probe.endpoint == 1 and step >= 8
             drive.feed(
-                face.HealthCheckEnded(
+                HealthCheckEnded(
                     probe.endpoint, AttemptResult.OK, 500, (1.4 if probe.endpoint == 1 else 0.2, 0.0)
                 )
             )
@@ -688,11 +712,11 @@
     """On the vast days all nodes moved them at the news: the rest was full before a replacement was there."""
     drive = Driver(plain_settings(report_fields=("x0",)), [entry(1), entry(2)])
     for id in range(6):
-        drive.feed(face.SessionAdopted(face.Request(id, 0, 0, 1.0), 2 if id < 3 else 1))
-    drive.news(entry(2, state=face.Availability.DRAINING))
+        drive.feed(SessionAdopted(Request(id, 0, 0, 1.0), 2 if id < 3 else 1))
+    drive.news(entry(2, state=Availability.DRAINING))
     for _ in range(60):
-        drive.feed(face.HealthCheckEnded(1, AttemptResult.OK, 900, (load,)))
-        assert [move for move in only(face.MigrateSession, drive.tick()) if move.request_id < 3] == []
+        drive.feed(HealthCheckEnded(1, AttemptResult.OK, 900, (load,)))
+        assert [move for move in only(MigrateSession, drive.tick()) if move.request_id < 3] == []
 
 
 def test_not_an_event() -> None:
@@ -715,22 +739,20 @@
     """Every server that holds any of a group pays for it; by load alone each group was everywhere."""
     drive = Driver(plain_settings(report_fields=("x0",)), map(entry, range(6)))
     for id in range(6):
-        drive.feed(face.HealthCheckEnded(id, AttemptResult.OK, 900, (0.03,)))
+        drive.feed(HealthCheckEnded(id, AttemptResult.OK, 900, (0.03,)))
     servers = []
     for id in range(20):
-        [send] = only(face.StartAttempt, drive.request(id, group=7 + id % 2))
+        [send] = only(StartAttempt, drive.request(id, group=7 + id % 2))
         drive.up(send)
         servers.append(send.endpoint)
     assert len(set(servers[0::2])) == len(set(servers[1::2])) == 1
     other = Driver(plain_settings(report_fields=("x0",)), map(entry, range(6)), seed=99)
     for id in range(6):
-        other.feed(face.HealthCheckEnded(id, AttemptResult.OK, 900, (0.03,)))
-    assert (
-        only(face.StartAttempt, other.request(1, group=7))[0].endpoint == servers[0]
-    )  # instances look alike
+        other.feed(HealthCheckEnded(id, AttemptResult.OK, 900, (0.03,)))
+    assert only(StartAttempt, other.request(1, group=7))[0].endpoint == servers[0]  # instances look alike
     for _ in range(3):
-        drive.feed(face.HealthCheckEnded(servers[0], AttemptResult.OK, 900, (1.5,)))
-    assert only(face.StartAttempt, drive.request(50, group=7))[0].endpoint != servers[0]
+        drive.feed(HealthCheckEnded(servers[0], AttemptResult.OK, 900, (1.5,)))
+    assert only(StartAttempt, drive.request(50, group=7))[0].endpoint != servers[0]
 
 
 def test_a_server_that_fails_alone_does_not_hold_the_others_back() -> None:
@@ -738,10 +760,10 @@
     drive = Driver(plain_settings(), map(entry, range(3)))
     came_up = 0
     for id in range(200):
-        sends = only(face.StartAttempt, drive.request(id))
+        sends = only(StartAttempt, drive.request(id))
         while sends and sends[0].endpoint == 0:
             attempt = drive.policy.flights[id].attempts - 1
-            sends = only(face.StartAttempt, drive.end(sends[0], AttemptResult.ERROR, attempt))
+            sends = only(StartAttempt, drive.end(sends[0], AttemptResult.ERROR, attempt))
         if sends:
             drive.up(sends[0], drive.policy.flights[id].attempts - 1)
             came_up += 1
@@ -753,13 +775,13 @@
     """A new node counts untold connections as 1 each; costs learned so made the first told load a jam."""
     drive = Driver(plain_settings(report_fields=("x0",)), [entry(1), entry(2)])
     for server in (1, 2):
-        drive.feed(face.HealthCheckEnded(server, AttemptResult.OK, 900, (0.4,)))
-    sends = [only(face.StartAttempt, drive.request(id))[0] for id in range(4)]
+        drive.feed(HealthCheckEnded(server, AttemptResult.OK, 900, (0.4,)))
+    sends = [only(StartAttempt, drive.request(id))[0] for id in range(4)]
     for send in sends:
         drive.up(send)
     drive.tick()
     before = {id: server.predicted for id, server in drive.policy.model.servers.items()}
-    drive.feed(face.SessionReport(0, 0, sends[0].endpoint, face.SessionReportKind.LOAD, 25_000.0))
+    drive.feed(SessionReport(0, 0, sends[0].endpoint, SessionReportKind.LOAD, 25_000.0))
     drive.tick()
     servers = drive.policy.model.servers
     assert {id: server.predicted for id, server in servers.items()} == pytest.approx(before, rel=0.2)
@@ -769,12 +791,12 @@
 def test_placements_count_before_the_first_step() -> None:
     """A restarted node's first second went to one server: without a cost nothing placed there counted."""
     drive = Driver(plain_settings(), [entry(1), entry(2)])
-    [send] = only(face.StartAttempt, drive.request(1))
+    [send] = only(StartAttempt, drive.request(1))
     assert drive.policy.model.servers[send.endpoint].placed > 0
 
 
 def test_an_untold_load_is_the_usual_one_of_its_class() -> None:
-    drive = Driver(plain_settings(classes=(face.RequestClass(), face.RequestClass())), [entry(1)])
+    drive = Driver(plain_settings(classes=(RequestClass(), RequestClass())), [entry(1)])
     drive.request(1, load=10.0)
     drive.request(2, cls=1, load=60.0)
     drive.request(3, cls=0)
@@ -789,14 +811,14 @@
     """A first told load may be any: by costs in its unit a node held fresh servers to be at 15 to 60."""
     drive = Driver(plain_settings(balancers=40, report_fields=("x0",)), [entry(1), entry(2)])
     for id in (1, 2):
-        drive.feed(face.HealthCheckEnded(id, AttemptResult.OK, 900, (0.5,)))
-    sends = [send for id in range(2) for send in only(face.StartAttempt, drive.request(id))]
+        drive.feed(HealthCheckEnded(id, AttemptResult.OK, 900, (0.5,)))
+    sends = [send for id in range(2) for send in only(StartAttempt, drive.request(id))]
     for send in sends:
         drive.up(send)
-    drive.feed(face.SessionReport(0, 0, sends[0].endpoint, face.SessionReportKind.LOAD, 210.0))
+    drive.feed(SessionReport(0, 0, sends[0].endpoint, SessionReportKind.LOAD, 210.0))
     for id in (1, 2):
-        drive.feed(face.HealthCheckEnded(id, AttemptResult.OK, 900, (0.5,)))
-    drive.feed(face.SessionReport(1, 0, sends[1].endpoint, face.SessionReportKind.LOAD, 60_000.0))
+        drive.feed(HealthCheckEnded(id, AttemptResult.OK, 900, (0.5,)))
+    drive.feed(SessionReport(1, 0, sends[1].endpoint, SessionReportKind.LOAD, 60_000.0))
     for _ in range(4):
         drive.tick()
     assert all(server.predicted < 1.0 for server in drive.policy.model.servers.values())
@@ -806,13 +828,13 @@
     """On roll+mass, seed 3, 99 groups came to stand in 826 places, and that load alone filled the fleet."""
     settings = plain_settings(balancers=200, report_fields=("x0",))
     servers = [entry(i) for i in range(1, 41)]
-    where: dict[int, set[face.EndpointId]] = {}
+    where: dict[int, set[EndpointId]] = {}
     for seed in range(10):
         drive = Driver(settings, servers, seed=seed)
         for server in servers:
-            drive.feed(face.HealthCheckEnded(server.id, AttemptResult.OK, 900, (0.2 + 0.01 * seed,)))
+            drive.feed(HealthCheckEnded(server.id, AttemptResult.OK, 900, (0.2 + 0.01 * seed,)))
         for group in range(1, 21):
-            [send] = only(face.StartAttempt, drive.request(group, group=group))
+            [send] = only(StartAttempt, drive.request(group, group=group))
             drive.up(send)
             where.setdefault(group, set()).add(send.endpoint)
     assert sum(map(len, where.values())) <= 1.2 * len(where)
@@ -826,9 +848,9 @@
     for seed in range(10):
         drive = Driver(settings, servers, seed=seed)
         for server in servers:
-            drive.feed(face.HealthCheckEnded(server.id, AttemptResult.OK, 900, (0.5,)))
+            drive.feed(HealthCheckEnded(server.id, AttemptResult.OK, 900, (0.5,)))
         [home, second] = homes(77, list(drive.policy.model.servers.values()), 2)
-        drive.feed(face.HealthCheckEnded(home.id, AttemptResult.OK, 900, (3.0,)))
-        [send] = only(face.StartAttempt, drive.request(1, group=77))
+        drive.feed(HealthCheckEnded(home.id, AttemptResult.OK, 900, (3.0,)))
+        [send] = only(StartAttempt, drive.request(1, group=77))
         found.add(send.endpoint)
     assert found == {second.id}
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -9,9 +9,39 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from stepflow import interface as face
 from stepflow.budgets.slow_start import FULL_FROM
-from stepflow.interface import AttemptResult, DeduplicationScope, Idempotency
+from stepflow.interface import (
+    AttemptEnded,
+    AttemptResult,
+    Availability,
+    ClientDisconnected,
+    DeduplicationScope,
+    Endpoint,
+    EndpointId,
+    EndpointListUpdate,
+    Event,
+    FailRequest,
+    HealthCheckEnded,
+    Idempotency,
+    Limits,
+    ListUpdateKind,
+    MigrateSession,
+    PeerMessageReceived,
+    Prices,
+    RejectRequest,
+    Request,
+    RequestClass,
+    SafetyRules,
+    SessionAdopted,
+    SessionEstablished,
+    SessionReport,
+    SetTimer,
+    Settings,
+    StartAttempt,
+    Started,
+    Tenant,
+    TimerFired,
+)
 from stepflow.policy import Policy
 from tests.bench import SECOND, START, entry
 
@@ -21,41 +51,41 @@
 class World:
     """Plays odd events to a policy and checks each action against what the policy has been told."""
 
-    def __init__(self, seed: int, options: face.Settings, servers: int = 12) -> None:
+    def __init__(self, seed: int, options: Settings, servers: int = 12) -> None:
         self.rng = random.Random(seed)
         self.servers = servers
         self.options = options
         self.policy = Policy(options, seed)
         self.now = START
-        self.listed: dict[face.EndpointId, face.Server] = {}
-        self.leaving: set[face.EndpointId] = set()
-        self.requests: dict[int, face.Request] = {}
+        self.listed: dict[EndpointId, Endpoint] = {}
+        self.leaving: set[EndpointId] = set()
+        self.requests: dict[int, Request] = {}
         self.answers: Counter[int] = Counter()
-        self.attempts: dict[int, list[tuple[face.EndpointId, int]]] = {}
-        self.out: dict[int, tuple[int, face.EndpointId]] = {}
+        self.attempts: dict[int, list[tuple[EndpointId, int]]] = {}
+        self.out: dict[int, tuple[int, EndpointId]] = {}
         self.up: set[int] = set()
         self.gone: set[int] = set()
-        self.ran: dict[int, tuple[face.Server, int]] = {}
+        self.ran: dict[int, tuple[Endpoint, int]] = {}
         self.timers: list[tuple[int, int]] = []
-        self.feed(face.Started())
+        self.feed(Started())
 
-    def feed(self, event: face.Event) -> None:
+    def feed(self, event: Event) -> None:
         """Feed an event and check what comes of it."""
         for action in self.policy.handle(self.now, event):
-            if isinstance(action, face.StartAttempt):
+            if isinstance(action, StartAttempt):
                 self.check_send(action)
-            elif isinstance(action, face.RejectRequest | face.FailRequest):
+            elif isinstance(action, RejectRequest | FailRequest):
                 self.check_answer(action)
-            elif isinstance(action, face.SetTimer):
+            elif isinstance(action, SetTimer):
                 assert action.delay_us > 0
                 heappush(self.timers, (self.now + action.delay_us, action.token))
-            elif isinstance(action, face.MigrateSession):
+            elif isinstance(action, MigrateSession):
                 assert action.request_id in self.up
 
     def finished(self, id: int) -> bool:
         return bool(self.answers[id]) or id in self.gone
 
-    def check_send(self, send: face.StartAttempt) -> None:
+    def check_send(self, send: StartAttempt) -> None:
         request = self.requests[send.request_id]
         cls = self.options.classes[request.class_index]
         attempts = self.attempts.setdefault(send.request_id, [])
@@ -73,13 +103,13 @@
         self.out[send.request_id] = (len(attempts), send.endpoint)
         attempts.append((send.endpoint, self.now))
 
-    def check_answer(self, answer: face.RejectRequest | face.FailRequest) -> None:
+    def check_answer(self, answer: RejectRequest | FailRequest) -> None:
         request = self.requests[answer.request_id]
         cls = self.options.classes[request.class_index]
         assert not self.finished(request.id) and request.id not in self.up
         assert self.now <= request.expires_us + self.options.rules.answer_slack_us
         self.answers[request.id] += 1
-        if isinstance(answer, face.RejectRequest) and (request.id in self.ran or request.id in self.out):
+        if isinstance(answer, RejectRequest) and (request.id in self.ran or request.id in self.out):
             assert cls.idempotency == Idempotency.IDEMPOTENT or (
                 cls.idempotency == Idempotency.BY_KEY and cls.deduplication_scope == DeduplicationScope.ALL
             )
@@ -98,14 +128,10 @@
         if full:
             self.leaving = set(self.listed) - set(ids)
         for row in rows:
-            if row.availability != face.Availability.GONE:
+            if row.availability != Availability.GONE:
                 self.listed[row.id] = row
             (self.leaving.discard if row.availability == 0 else self.leaving.add)(row.id)
-        self.feed(
-            face.EndpointListUpdate(
-                face.ListUpdateKind.FULL if full else face.ListUpdateKind.DELTA, tuple(rows)
-            )
-        )
+        self.feed(EndpointListUpdate(ListUpdateKind.FULL if full else ListUpdateKind.DELTA, tuple(rows)))
 
     def request(self, id: int) -> None:
         more = {
@@ -117,28 +143,28 @@
         }
         wait = self.rng.randrange(1, 3 * SECOND)
         cls = self.rng.randrange(len(self.options.classes))
-        self.requests[id] = face.Request(id, cls, self.now + wait, **more)  # type: ignore[arg-type]
+        self.requests[id] = Request(id, cls, self.now + wait, **more)  # type: ignore[arg-type]
         self.feed(self.requests[id])
 
     def adopt(self, id: int) -> None:
         """A connection was open at the start, perhaps at a server that no list names."""
-        self.requests[id] = face.Request(id, 0, self.now, self.rng.choice((None, 3.0)))
+        self.requests[id] = Request(id, 0, self.now, self.rng.choice((None, 3.0)))
         server = self.rng.randrange(self.servers + 2)
         self.up.add(id)
         self.attempts[id], self.out[id] = [(server, self.now)], (0, server)
-        self.feed(face.SessionAdopted(self.requests[id], server))
+        self.feed(SessionAdopted(self.requests[id], server))
 
     def note(self, id: int) -> None:
         attempt, server = self.out[id]
         kind, value = self.rng.choice((1, 2)), self.rng.choice((0.0, 7.0, 5000.0, float("inf")))
-        self.feed(face.SessionReport(id, attempt, server, kind, value))
+        self.feed(SessionReport(id, attempt, server, kind, value))
 
     def end(self, id: int) -> None:
         """An attempt ends, or its connection comes up."""
         attempt, server = self.out[id]
         if id not in self.up and not self.finished(id) and self.rng.random() < 0.4:
             self.up.add(id)
-            self.feed(face.SessionEstablished(id, attempt, server, 20_000))
+            self.feed(SessionEstablished(id, attempt, server, 20_000))
             return
         if id in self.up and self.rng.random() < 0.3:
             return self.note(id)
@@ -150,9 +176,7 @@
         if complete:
             self.gone.add(id)
             self.up.discard(id)
-        self.feed(
-            face.AttemptEnded(id, attempt, server, result, complete, 20_000, (self.rng.uniform(-1, 3),))
-        )
+        self.feed(AttemptEnded(id, attempt, server, result, complete, 20_000, (self.rng.uniform(-1, 3),)))
 
     def pass_time(self, span_us: int) -> None:
         """Time passes and timers come due, at the time they were set for."""
@@ -160,7 +184,7 @@
         while self.timers and self.timers[0][0] <= until:
             when, token = heappop(self.timers)
             self.now = max(self.now, when)
-            self.feed(face.TimerFired(token))
+            self.feed(TimerFired(token))
         self.now = until
 
     def play(self, steps: int) -> None:
@@ -179,16 +203,16 @@
                 gone = self.rng.choice(sorted(self.requests))
                 if gone not in self.up and not self.finished(gone):
                     self.gone.add(gone)
-                    self.feed(face.ClientDisconnected(gone))
+                    self.feed(ClientDisconnected(gone))
             elif what < 0.9:
                 self.feed(
-                    face.HealthCheckEnded(
+                    HealthCheckEnded(
                         self.rng.randrange(20), self.rng.randrange(4), 900, (self.rng.uniform(0, 3),)
                     )
                 )
             elif what < 0.91:
                 self.feed(
-                    face.PeerMessageReceived(self.rng.randrange(5), self.rng.randbytes(self.rng.randrange(9)))
+                    PeerMessageReceived(self.rng.randrange(5), self.rng.randbytes(self.rng.randrange(9)))
                 )
             elif what < 0.92 and all(self.finished(id) or id in self.up for id in self.requests):
                 self.now += 3600 * SECOND  # nothing is owed: the host may have slept
@@ -204,7 +228,7 @@
 
 classes = st.lists(
     st.builds(
-        face.RequestClass,
+        RequestClass,
         effect=st.sampled_from(Idempotency),
         scope=st.sampled_from(DeduplicationScope),
         window_us=st.integers(0, 3 * SECOND),
@@ -215,19 +239,17 @@
     max_size=3,
 ).map(tuple)
 limits = st.builds(
-    face.Limits,
+    Limits,
     max_attempts=st.integers(1, 6),
     probes=st.booleans(),
     peers=st.booleans(),
     cancel=st.booleans(),
     retry_after=st.booleans(),
 )
-tenants = st.sampled_from(((), (face.Tenant("a", 0.7, 5.0, 50.0), face.Tenant("b", 0.3, 1.0, 9.0))))
-prices = st.builds(
-    face.Prices, cross_zone=st.sampled_from((0.0, 0.1)), probe=st.sampled_from((0.0, 0.002, 1.0))
-)
+tenants = st.sampled_from(((), (Tenant("a", 0.7, 5.0, 50.0), Tenant("b", 0.3, 1.0, 9.0))))
+prices = st.builds(Prices, cross_zone=st.sampled_from((0.0, 0.1)), probe=st.sampled_from((0.0, 0.002, 1.0)))
 odd_settings = st.builds(
-    face.Settings,
+    Settings,
     balancers=st.sampled_from((1, 2, 300)),
     classes=classes,
     limits=limits,
@@ -242,7 +264,7 @@
 
 @settings(max_examples=150, deadline=None, derandomize=True)
 @given(st.integers(0, 2**32), odd_settings, st.sampled_from((1, 2, 12, 12, 300)))
-def test_the_rules_hold(seed: int, options: face.Settings, servers: int) -> None:
+def test_the_rules_hold(seed: int, options: Settings, servers: int) -> None:
     World(seed, options, servers).play(150)
 
 
@@ -259,25 +281,25 @@
     seed: int, warm: int, cold: int, pace: float, multiple: float, standing: int
 ) -> None:
     """No window holds more sends to a cold server than the stated multiple of what a warm one takes."""
-    rules = face.SafetyRules(overload_multiple=multiple, slow_start_share=0.2, slow_start_us=20 * SECOND)
+    rules = SafetyRules(overload_multiple=multiple, slow_start_share=0.2, slow_start_us=20 * SECOND)
     servers = [entry(id) for id in range(warm)] + [entry(warm + id, started=START) for id in range(cold)]
-    world = World(seed, face.Settings(rules=rules, load_report_fields=("x0",)))
+    world = World(seed, Settings(rules=rules, load_report_fields=("x0",)))
     world.listed = {row.id: row for row in servers}
-    world.feed(face.EndpointListUpdate(face.ListUpdateKind.FULL, tuple(servers)))
+    world.feed(EndpointListUpdate(ListUpdateKind.FULL, tuple(servers)))
     for id in range(standing):
-        world.feed(face.SessionAdopted(face.Request(10**6 + id, 0, START), id % warm))
-    sent: dict[face.EndpointId, list[int]] = {}
+        world.feed(SessionAdopted(Request(10**6 + id, 0, START), id % warm))
+    sent: dict[EndpointId, list[int]] = {}
     for id in range(int(pace * 20)):
         world.pass_time(int(SECOND / pace))
-        world.requests[id] = face.Request(id, 0, world.now + SECOND)
+        world.requests[id] = Request(id, 0, world.now + SECOND)
         world.feed(world.requests[id])
         for other, (attempt, server) in tuple(world.out.items()):
             del world.out[other]
             sent.setdefault(server, []).append(world.now)
             if world.rng.random() < 0.7:
-                world.feed(face.SessionEstablished(other, attempt, server, 20_000))
+                world.feed(SessionEstablished(other, attempt, server, 20_000))
             else:
-                world.feed(face.AttemptEnded(other, attempt, server, AttemptResult.FULL, False, 900))
+                world.feed(AttemptEnded(other, attempt, server, AttemptResult.FULL, False, 900))
     usual = max(pace / warm, (standing + pace * 20) / warm / FULL_FROM / 20)
     for id in range(warm, warm + cold):
         times = sent.get(id, [])
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -7,8 +7,8 @@
 
 import pytest
 
-from stepflow import interface as face
 from stepflow import settings as module
+from stepflow.interface import Settings, Tenant
 from stepflow.settings import follow, node_settings
 
 ROOT = Path(__file__).resolve().parent.parent
@@ -70,12 +70,12 @@
 
 
 def test_a_tenant_keeps_its_number_when_the_settings_change() -> None:
-    def told(*tenants: tuple[str, float]) -> face.Settings:
-        return face.Settings(tenants=tuple(face.Tenant(name, share) for name, share in tenants))
+    def told(*tenants: tuple[str, float]) -> Settings:
+        return Settings(tenants=tuple(Tenant(name, share) for name, share in tenants))
 
     after = follow(told(("a", 0.6), ("b", 0.4)), told(("b", 0.7), ("c", 0.3)))
     assert [(t.name, t.share) for t in after.tenants] == [("a", 0.0), ("b", 0.7), ("c", 0.3)]
 
 
 def test_who_keeps_the_watch_does_not_change_while_the_node_runs() -> None:
-    assert follow(face.Settings(polls_endpoint_list=True), face.Settings()).polls_endpoint_list
+    assert follow(Settings(polls_endpoint_list=True), Settings()).polls_endpoint_list
--- a/tests/test_trace.py
+++ b/tests/test_trace.py
@@ -10,10 +10,23 @@
 import pyarrow.parquet as pq
 import pytest
 
-from stepflow import interface as face
 from stepflow.fleet import Trace, TraceError, convert
 from stepflow.fleet.streams import stream
 from stepflow.fleet.trace import SCHEMAS, summary
+from stepflow.interface import (
+    Action,
+    AttemptEnded,
+    AttemptResult,
+    EndpointListUpdate,
+    Event,
+    ListUpdateKind,
+    RejectRequest,
+    Request,
+    SessionEstablished,
+    SessionReport,
+    SessionReportKind,
+    StartAttempt,
+)
 from stepflow.traffic import Recorder
 from tests.test_daemon import command
 from tests.test_traffic import KEY, SERVER, SETTINGS, Kept
@@ -27,26 +40,24 @@
     def __init__(self, segment: int = 1 << 30) -> None:
         self.sink = Kept()
         self.recorder = Recorder(self.sink, KEY, "n0", BEGAN, SETTINGS, segment)
-        self.feed(0, face.EndpointListUpdate(face.ListUpdateKind.FULL, (SERVER,)))
+        self.feed(0, EndpointListUpdate(ListUpdateKind.FULL, (SERVER,)))
 
-    def feed(self, ms: int, event: face.Event, *actions: face.Action) -> None:
+    def feed(self, ms: int, event: Event, *actions: Action) -> None:
         self.recorder.take(BEGAN + ms * 1000, event, list(actions))
 
     def open(self, id: int, ms: int, cls: int = 0) -> None:
         self.feed(
-            ms,
-            face.Request(id, cls, BEGAN + ms * 1000 + 500_000, affinity_group=3),
-            face.StartAttempt(id, "s-1", 9),
+            ms, Request(id, cls, BEGAN + ms * 1000 + 500_000, affinity_group=3), StartAttempt(id, "s-1", 9)
         )
 
     def up(self, id: int, ms: int) -> None:
-        self.feed(ms, face.SessionEstablished(id, 0, "s-1", 20_000))
+        self.feed(ms, SessionEstablished(id, 0, "s-1", 20_000))
 
     def load(self, id: int, ms: int, load: float) -> None:
-        self.feed(ms, face.SessionReport(id, 0, "s-1", face.SessionReportKind.LOAD, load))
+        self.feed(ms, SessionReport(id, 0, "s-1", SessionReportKind.LOAD, load))
 
-    def end(self, id: int, ms: int, result: face.AttemptResult = face.AttemptResult.OK) -> None:
-        self.feed(ms, face.AttemptEnded(id, 0, "s-1", result, True, 5))
+    def end(self, id: int, ms: int, result: AttemptResult = AttemptResult.OK) -> None:
+        self.feed(ms, AttemptEnded(id, 0, "s-1", result, True, 5))
 
     def journals(self, folder: Path) -> list[Path]:
         self.recorder.end(BEGAN + 60_000_000)
@@ -84,14 +95,10 @@
 def test_a_failed_attempt_and_the_next_one_are_one_connection_s(tmp_path: Path) -> None:
     script = Script()
     script.open(1, 100)
-    script.feed(
-        200, face.AttemptEnded(1, 0, "s-1", face.AttemptResult.FULL, False, 5), face.StartAttempt(1, "s-2", 9)
-    )
+    script.feed(200, AttemptEnded(1, 0, "s-1", AttemptResult.FULL, False, 5), StartAttempt(1, "s-2", 9))
     script.up(1, 220)
     script.open(2, 300)
-    script.feed(
-        400, face.AttemptEnded(2, 0, "s-1", face.AttemptResult.RESET, False, 5), face.RejectRequest(2, 70)
-    )
+    script.feed(400, AttemptEnded(2, 0, "s-1", AttemptResult.RESET, False, 5), RejectRequest(2, 70))
     trace = script.save(tmp_path)
     first, second = rows(trace)
     assert (first["attempts"], first["server"], first["end"]) == (2, "s-2", "")
--- a/tests/test_traffic.py
+++ b/tests/test_traffic.py
@@ -14,15 +14,29 @@
 from hypothesis import strategies as st
 
 from standins.preload import Call, Machine
-from stepflow import interface as face
+from stepflow.interface import (
+    AttemptEnded,
+    AttemptResult,
+    ClientDisconnected,
+    Endpoint,
+    EndpointListUpdate,
+    ListUpdateKind,
+    Request,
+    RequestClass,
+    SessionEstablished,
+    SessionReport,
+    SessionReportKind,
+    Settings,
+    StartAttempt,
+)
 from stepflow.traffic import JournalError, Kind, Recorder, Writer, read_journal
 from stepflow.traffic import journal as form
 from stepflow.traffic.writer import MOST_PENDING, journals
 from tests.node_kit import PATIENCE, Node, Peer, opening
 
 KEY = "0123456789abcdef"
-SETTINGS = face.Settings(classes=(face.RequestClass("view"),), load_report_fields=("x0",))
-SERVER = face.Server("s-1", 0, 0, 0, 0, 1.0, 0)
+SETTINGS = Settings(classes=(RequestClass("view"),), load_report_fields=("x0",))
+SERVER = Endpoint("s-1", 0, 0, 0, 0, 1.0, 0)
 
 
 class Kept:
@@ -45,15 +59,15 @@
     """So many sessions, each up, told a load of, and ended."""
     sink = Kept()
     recorder = Recorder(sink, KEY, "n0", 1_000_000, SETTINGS, segment)
-    recorder.take(1_000_000, face.EndpointListUpdate(face.ListUpdateKind.FULL, (SERVER,)), [])
+    recorder.take(1_000_000, EndpointListUpdate(ListUpdateKind.FULL, (SERVER,)), [])
     for id in range(sessions):
         now = 1_000_000 + id * 10
-        request = face.Request(id, 0, now + 500_000, affinity_group=77)
-        recorder.take(now, request, [face.StartAttempt(id, "s-1", 9)])
-        recorder.take(now + 1, face.SessionEstablished(id, 0, "s-1", 1), [])
-        recorder.take(now + 2, face.SessionReport(id, 0, "s-1", face.SessionReportKind.LOAD, 2.5), [])
+        request = Request(id, 0, now + 500_000, affinity_group=77)
+        recorder.take(now, request, [StartAttempt(id, "s-1", 9)])
+        recorder.take(now + 1, SessionEstablished(id, 0, "s-1", 1), [])
+        recorder.take(now + 2, SessionReport(id, 0, "s-1", SessionReportKind.LOAD, 2.5), [])
         if id % 2:
-            recorder.take(now + 3, face.AttemptEnded(id, 0, "s-1", face.AttemptResult.OK, True, 3), [])
+            recorder.take(now + 3, AttemptEnded(id, 0, "s-1", AttemptResult.OK, True, 3), [])
         if flush_each:
             recorder.flush(now + 4)
     recorder.end(1_000_000 + sessions * 10)
@@ -168,7 +182,7 @@
     recorder = Recorder(sink, KEY, "n0", 0, SETTINGS, 1 << 30)
     sink.full = True
     for id in range(5):
-        recorder.take(id, face.ClientDisconnected(id), [])
+        recorder.take(id, ClientDisconnected(id), [])
         recorder.flush(id)
     sink.full = False
     recorder.end(9)
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -15,7 +15,15 @@
 
 import pytest
 
-from stepflow import interface as face
+from stepflow.interface import (
+    AttemptResult,
+    Availability,
+    Endpoint,
+    EndpointListUpdate,
+    HealthCheckEnded,
+    ListUpdateKind,
+    Request,
+)
 from stepflow.node.process.snapshot import learned, recall
 from stepflow.policy import Policy
 from stepflow.settings import node_settings
@@ -198,16 +206,16 @@
     settings = node_settings(SETTINGS).module
     old, new, other = (Policy(settings, seed) for seed in (1, 2, 3))
     for policy in (old, new, other):
-        entry = face.Server("s-1", 0, 0, 0, face.Availability.READY, 1.0, 0)
-        policy.handle(1_000_000, face.EndpointListUpdate(face.ListUpdateKind.FULL, (entry,)))
-    old.handle(2_000_000, face.Request(64, 0, 9_000_000, load=7000.0))
-    old.handle(3_000_000, face.HealthCheckEnded("s-1", face.AttemptResult.OK, 1000, (0.4, 0.0, 0.4)))
+        entry = Endpoint("s-1", 0, 0, 0, Availability.READY, 1.0, 0)
+        policy.handle(1_000_000, EndpointListUpdate(ListUpdateKind.FULL, (entry,)))
+    old.handle(2_000_000, Request(64, 0, 9_000_000, load=7000.0))
+    old.handle(3_000_000, HealthCheckEnded("s-1", AttemptResult.OK, 1000, (0.4, 0.0, 0.4)))
     now = 3_000_000
     told = json.loads(json.dumps(learned(old, now)))
     recall(new, told, now)
     assert learned(new, now) == told != learned(other, now)
     # Predictions were at 2 where the process before had 0.8: reports came before its sessions had.
-    new.handle(3_500_000, face.HealthCheckEnded("s-1", face.AttemptResult.OK, 1000, (0.8, 0.0, 0.8)))
+    new.handle(3_500_000, HealthCheckEnded("s-1", AttemptResult.OK, 1000, (0.8, 0.0, 0.8)))
     assert learned(new, now) != told
     recall(new, told, now)
     assert learned(new, now)["servers"] == told["servers"]
@@ -224,15 +232,15 @@
     """The wall clock was stepped between two starts: each further report failed the decision module."""
     settings = node_settings(SETTINGS).module
     old, new = Policy(settings, 1), Policy(settings, 2)
-    entry = face.Server("s-1", 0, 0, 0, face.Availability.READY, 1.0, 0)
+    entry = Endpoint("s-1", 0, 0, 0, Availability.READY, 1.0, 0)
     then, now = 5_000_000_000, 5_000_000_000 + apart_s * 1_000_000
-    old.handle(then, face.EndpointListUpdate(face.ListUpdateKind.FULL, (entry,)))
-    new.handle(now, face.EndpointListUpdate(face.ListUpdateKind.FULL, (entry,)))
-    old.handle(then + 100_000, face.HealthCheckEnded("s-1", face.AttemptResult.OK, 1000, (0.4, 0.0, 0.4)))
+    old.handle(then, EndpointListUpdate(ListUpdateKind.FULL, (entry,)))
+    new.handle(now, EndpointListUpdate(ListUpdateKind.FULL, (entry,)))
+    old.handle(then + 100_000, HealthCheckEnded("s-1", AttemptResult.OK, 1000, (0.4, 0.0, 0.4)))
     told = json.loads(json.dumps(learned(old, then + 600_000)))
     recall(new, told, now + 600_000)
     assert new.model.servers["s-1"].seen_us == now + 100_000
-    new.handle(now + 700_000, face.HealthCheckEnded("s-1", face.AttemptResult.OK, 1000, (0.8, 0.0, 0.8)))
+    new.handle(now + 700_000, HealthCheckEnded("s-1", AttemptResult.OK, 1000, (0.8, 0.0, 0.8)))
     cost = new.model.servers["s-1"].cost
-    old.handle(then + 700_000, face.HealthCheckEnded("s-1", face.AttemptResult.OK, 1000, (0.8, 0.0, 0.8)))
+    old.handle(then + 700_000, HealthCheckEnded("s-1", AttemptResult.OK, 1000, (0.8, 0.0, 0.8)))
     assert cost == old.model.servers["s-1"].cost
--- a/tests/test_upstream.py
+++ b/tests/test_upstream.py
@@ -12,7 +12,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from stepflow.interface import Availability, Server
+from stepflow.interface import Availability, Endpoint
 from stepflow.upstream import EndpointGroup, JsonStream, JsonStreamError
 from stepflow.upstream.start_times import NEWS_US, StartTimes
 from tests.node_kit import PATIENCE, Discovery, Node, Peer, opening
@@ -165,8 +165,8 @@
 SECOND = 1_000_000
 
 
-def started(uid: str, boot_us: int) -> Server:
-    return Server(uid, 0, 0, 0, Availability.READY, 1.0, boot_us)
+def started(uid: str, boot_us: int) -> Endpoint:
+    return Endpoint(uid, 0, 0, 0, Availability.READY, 1.0, boot_us)
 
 
 @pytest.mark.parametrize("ahead_s", [-3600, -3, 0, 3, 3600])
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -7,8 +7,40 @@
 
 import pytest
 
-from stepflow import interface as face
 from stepflow import wire
+from stepflow.interface import (
+    ALL_PEERS,
+    Action,
+    AttemptEnded,
+    CancelAttempt,
+    ClientDisconnected,
+    CloseIdleConnections,
+    DeduplicationScope,
+    Endpoint,
+    EndpointListUpdate,
+    Event,
+    FailRequest,
+    FetchEndpointList,
+    HealthCheckEnded,
+    Idempotency,
+    LogMessage,
+    MigrateSession,
+    PeerMessageReceived,
+    RejectRequest,
+    Request,
+    RequestClass,
+    SendPeerMessage,
+    SessionAdopted,
+    SessionEstablished,
+    SessionReport,
+    SetTimer,
+    Settings,
+    StartAttempt,
+    StartHealthCheck,
+    Tenant,
+    TimerFired,
+    WatchEndpointList,
+)
 from stepflow.settings import SettingsError, parse_settings
 
 EXAMPLE_BATCH = bytes.fromhex(
@@ -24,7 +56,7 @@
 OTHER = bytes.fromhex("0a9011f26c1f")
 
 
-def decode_one(text: str) -> face.Event | wire.Boot | wire.Retire:
+def decode_one(text: str) -> Event | wire.Boot | wire.Retire:
     body = bytes.fromhex("3c 04000000 03000000" + text)
     [(who, event)] = wire.decode(2, memoryview(body))
     assert who == 3
@@ -37,16 +69,16 @@
     now, count, body = batch
     assert now == 0x805C5A
     assert list(wire.decode(count, body)) == [
-        (3, face.Request(REQUEST, 0, 0x8405DA, 12000.0, 0, 0x91F03B7C55D20A64, 0x2B8E6401D9F37C10)),
-        (3, face.TimerFired(77)),
-        (5, face.ClientDisconnected(0x92EC20E6F2B19)),
+        (3, Request(REQUEST, 0, 0x8405DA, 12000.0, 0, 0x91F03B7C55D20A64, 0x2B8E6401D9F37C10)),
+        (3, TimerFired(77)),
+        (5, ClientDisconnected(0x92EC20E6F2B19)),
     ]
 
 
 def test_reply_of_two_instances() -> None:
     records = [
-        *wire.encode(3, [face.StartAttempt(REQUEST, SERVER, 80000), face.SetTimer(500000, 77)]),
-        *wire.encode(5, [face.LogMessage("two servers known")]),
+        *wire.encode(3, [StartAttempt(REQUEST, SERVER, 80000), SetTimer(500000, 77)]),
+        *wire.encode(5, [LogMessage("two servers known")]),
     ]
     assert wire.frame(records) == bytes.fromhex(
         "05000000 5a000000"
@@ -64,8 +96,8 @@
         "0a124a07 431f 00 0000 0000 00 0000803f 0000000000000000"
         "0a9011f2 6c1f 01 0000 0000 00 0000c03f 20145d0000000000"
     )
-    assert event == face.EndpointListUpdate(
-        2, (face.Server(SERVER, 0, 0, 0, 0, 1.0, 0), face.Server(OTHER, 1, 0, 0, 0, 1.5, 0x5D1420))
+    assert event == EndpointListUpdate(
+        2, (Endpoint(SERVER, 0, 0, 0, 0, 1.0, 0), Endpoint(OTHER, 1, 0, 0, 0, 1.5, 0x5D1420))
     )
 
 
@@ -74,49 +106,49 @@
         "1e 2f000000 192b6f0ec22e0900 0000 0000 640ad2557c3bf091 da05840000000000 e02e0000"
         "107cf3d901648e2b 01 0a9011f2 6c1f"
     )
-    request = face.Request(0x92EC20E6F2B19, 0, 0x8405DA, 12000.0, 0, 0x91F03B7C55D20A64, 0x2B8E6401D9F37C10)
-    assert event == face.SessionAdopted(request, OTHER)
+    request = Request(0x92EC20E6F2B19, 0, 0x8405DA, 12000.0, 0, 0x91F03B7C55D20A64, 0x2B8E6401D9F37C10)
+    assert event == SessionAdopted(request, OTHER)
 
 
 def test_news_of_attempts() -> None:
-    assert decode_one("6e 14000000 c4913a5d4c060000 22240000 0a124a07 431f 0000") == face.SessionEstablished(
+    assert decode_one("6e 14000000 c4913a5d4c060000 22240000 0a124a07 431f 0000") == SessionEstablished(
         REQUEST, 0, SERVER, 0x2422
     )
-    assert decode_one("46 15000000 c4913a5d4c060000 0000 0a124a07 431f 01 0000003f") == face.SessionReport(
+    assert decode_one("46 15000000 c4913a5d4c060000 0000 0a124a07 431f 01 0000003f") == SessionReport(
         REQUEST, 0, SERVER, 1, 0.5
     )
-    assert decode_one(
-        "14 17000000 c4913a5d4c060000 0a124a07 431f 44480000 01 00 0000 00"
-    ) == face.AttemptEnded(REQUEST, 0, SERVER, 0, True, 0x4844)
+    assert decode_one("14 17000000 c4913a5d4c060000 0a124a07 431f 44480000 01 00 0000 00") == AttemptEnded(
+        REQUEST, 0, SERVER, 0, True, 0x4844
+    )
     report = decode_one("50 1c000000 0a9011f2 6c1f 00 78050000 04 cdcccc3e 0000003f 00000c43 52b81e3f")
-    assert isinstance(report, face.HealthCheckEnded)
+    assert isinstance(report, HealthCheckEnded)
     assert report[:3] == (OTHER, 0, 1400)
     assert report.load_report == pytest.approx((0.4, 0.5, 140.0, 0.62), abs=1e-6)
-    assert decode_one("0a 0a000000 02000000 0400 68692037") == face.PeerMessageReceived(2, b"hi 7")
+    assert decode_one("0a 0a000000 02000000 0400 68692037") == PeerMessageReceived(2, b"hi 7")
 
 
 def test_hint_counts_only_where_marked() -> None:
     event = decode_one(
         "5a 29000000 0100000000000000 0000 1a 0000 e02e0000 da058400000000000000000000000000 0000000000000000"
     )
-    assert event == face.Request(1, 0, 0x8405DA, None, 0, 0, 0, True, True, True)
+    assert event == Request(1, 0, 0x8405DA, None, 0, 0, 0, True, True, True)
 
 
 @pytest.mark.parametrize(
     ("action", "text"),
     [
-        (face.CancelAttempt(REQUEST, 0), "28 0a000000 c4913a5d4c060000 0000"),
-        (face.RejectRequest(0x92EC20E6F2B19, 250000), "14 0c000000 192b6f0ec22e0900 90d00300"),
-        (face.FailRequest(0x92EC20E6F2B19), "1e 08000000 192b6f0ec22e0900"),
-        (face.MigrateSession(0x92EC20E6F2B19), "82 08000000 192b6f0ec22e0900"),
-        (face.StartHealthCheck(OTHER), "3c 06000000 0a9011f2 6c1f"),
-        (face.CloseIdleConnections(OTHER), "46 06000000 0a9011f2 6c1f"),
-        (face.SendPeerMessage(face.ALL_PEERS, b"hi 7"), "50 0a000000 ffffffff 0400 68692037"),
-        (face.WatchEndpointList(True), "6e 01000000 01"),
-        (face.FetchEndpointList(), "78 00000000"),
+        (CancelAttempt(REQUEST, 0), "28 0a000000 c4913a5d4c060000 0000"),
+        (RejectRequest(0x92EC20E6F2B19, 250000), "14 0c000000 192b6f0ec22e0900 90d00300"),
+        (FailRequest(0x92EC20E6F2B19), "1e 08000000 192b6f0ec22e0900"),
+        (MigrateSession(0x92EC20E6F2B19), "82 08000000 192b6f0ec22e0900"),
+        (StartHealthCheck(OTHER), "3c 06000000 0a9011f2 6c1f"),
+        (CloseIdleConnections(OTHER), "46 06000000 0a9011f2 6c1f"),
+        (SendPeerMessage(ALL_PEERS, b"hi 7"), "50 0a000000 ffffffff 0400 68692037"),
+        (WatchEndpointList(True), "6e 01000000 01"),
+        (FetchEndpointList(), "78 00000000"),
     ],
 )
-def test_actions(action: face.Action, text: str) -> None:
+def test_actions(action: Action, text: str) -> None:
     assert wire.encode(3, [action]) == [bytes.fromhex("8c 04000000 03000000"), bytes.fromhex(text)]
 
 
@@ -126,7 +158,7 @@
 
 def test_unknown_event_is_skipped() -> None:
     body = bytes.fromhex("3c 04000000 03000000 fa 02000000 0102 28 08000000 4d00000000000000")
-    assert list(wire.decode(3, memoryview(body))) == [(3, face.TimerFired(77))]
+    assert list(wire.decode(3, memoryview(body))) == [(3, TimerFired(77))]
 
 
 @pytest.mark.parametrize("data", [EXAMPLE_BATCH[:10], EXAMPLE_BATCH[:40], struct.pack("<IIQ", 0, 3, 0)])
@@ -163,20 +195,13 @@
     )
     assert settings.zones == ("a", "b")
     assert settings.classes == (
-        face.RequestClass(
-            "0",
-            300_000,
-            2_000_000,
-            face.Idempotency.BY_KEY,
-            face.DeduplicationScope.CELL,
-            7000,
-            5.0,
-            60_000.0,
+        RequestClass(
+            "0", 300_000, 2_000_000, Idempotency.BY_KEY, DeduplicationScope.CELL, 7000, 5.0, 60_000.0
         ),
     )
     assert settings.prices.probe == 0.002
     assert (settings.balancers, settings.position, settings.zone) == (12, 3, 1)
-    assert settings.tenants == (face.Tenant("x", 0.4, 0.0, 0.0),)
+    assert settings.tenants == (Tenant("x", 0.4, 0.0, 0.0),)
     assert settings.load_report_fields == ("x0", "util")
     assert settings.polls_endpoint_list
     assert settings.limits.max_attempts == 4
@@ -184,7 +209,7 @@
 
 
 def test_empty_settings_take_the_defaults() -> None:
-    assert parse_settings("") == face.Settings()
+    assert parse_settings("") == Settings()
 
 
 @pytest.mark.parametrize(
