--- /dev/null
+++ b/stepflow/interface/__init__.py
@@ -0,0 +1,100 @@
+"""The types at the boundary of the decision module: settings in, events in, actions out.
+
+The host (the real node, the simulator's adapter or the fleet model) translates its own facts into events,
+hands them to the policy one at a time, and carries out the actions that come back. Nothing here holds state
+or does I/O.
+
+Units: times are whole microseconds on a clock of the host's choice that only moves forward. Loads are work
+per second in the unit of the client's hint (microseconds of a standard core). Endpoint ids are opaque: they
+are compared, hashed and handed back.
+"""
+
+from stepflow.interface.actions import (
+    Action,
+    CancelAttempt,
+    CloseIdleConnections,
+    FailRequest,
+    FetchEndpointList,
+    LogMessage,
+    MigrateSession,
+    RejectRequest,
+    SendPeerMessage,
+    SetTimer,
+    StartAttempt,
+    StartHealthCheck,
+    WatchEndpointList,
+)
+from stepflow.interface.events import (
+    ALL_PEERS,
+    AttemptEnded,
+    AttemptResult,
+    Availability,
+    ClientDisconnected,
+    Endpoint,
+    EndpointId,
+    EndpointListUpdate,
+    Event,
+    HealthCheckEnded,
+    ListUpdateKind,
+    PeerMessageReceived,
+    Request,
+    SessionAdopted,
+    SessionEstablished,
+    SessionReport,
+    SessionReportKind,
+    Started,
+    TimerFired,
+)
+from stepflow.interface.settings import (
+    DeduplicationScope,
+    Idempotency,
+    Limits,
+    Prices,
+    RequestClass,
+    SafetyRules,
+    Settings,
+    Tenant,
+)
+
+__all__ = [
+    "ALL_PEERS",
+    "Action",
+    "AttemptEnded",
+    "AttemptResult",
+    "Availability",
+    "CancelAttempt",
+    "ClientDisconnected",
+    "CloseIdleConnections",
+    "DeduplicationScope",
+    "Endpoint",
+    "EndpointId",
+    "EndpointListUpdate",
+    "Event",
+    "FailRequest",
+    "FetchEndpointList",
+    "HealthCheckEnded",
+    "Idempotency",
+    "Limits",
+    "ListUpdateKind",
+    "LogMessage",
+    "MigrateSession",
+    "PeerMessageReceived",
+    "Prices",
+    "RejectRequest",
+    "Request",
+    "RequestClass",
+    "SafetyRules",
+    "SendPeerMessage",
+    "SessionAdopted",
+    "SessionEstablished",
+    "SessionReport",
+    "SessionReportKind",
+    "SetTimer",
+    "Settings",
+    "StartAttempt",
+    "StartHealthCheck",
+    "Started",
+    "Tenant",
+    "TimerFired",
+    "WatchEndpointList",
+]
--- a/stepflow/interface/settings.py
+++ b/stepflow/interface/settings.py
@@ -1,80 +1,44 @@
-"""The types that the decision module speaks: settings, events and actions.
+"""Settings: all that a deployment tells an instance of the policy at its start or at a reload.
 
-Times are whole microseconds on a clock of the host's choice; it may only move forward.
-Loads are work per second in the unit of the hint (microseconds of a standard core).
-Server ids are opaque: the module only compares them and hands them back.
+They are parsed elsewhere (`stepflow.settings`), from the simulator's text or the node's JSON; the keys that
+stand there are listed in docs/settings.md. Every field has a default, and impossible values raise ValueError.
 """
 
 from __future__ import annotations
 
 import math
-from collections.abc import Hashable
 from dataclasses import dataclass, field
 from enum import IntEnum
-from typing import NamedTuple
 
-EndpointId = Hashable
-
-ALL_PEERS = 0xFFFFFFFF
-"""As the peer of a Tell: every other instance."""
+from stepflow.interface.events import Request
 
 
 class Idempotency(IntEnum):
-    """What a repeat of a request of a class would do."""
+    """Whether a request of a class may be sent again after it may have run."""
 
     IDEMPOTENT = 0
+    """It may: a repeat has no further effect."""
     BY_KEY = 1
+    """It may where endpoints drop repeats by the request's idempotency key."""
     NOT_IDEMPOTENT = 2
+    """It may not: a repeat would take effect twice."""
 
 
 class DeduplicationScope(IntEnum):
-    """Which servers drop the repeats of a keyed request."""
+    """Which endpoints share the idempotency keys that they have seen."""
 
     ALL = 0
     ZONE = 1
     CELL = 2
 
 
-class AttemptResult(IntEnum):
-    """How an attempt or a probe ended."""
-
-    OK = 0
-    ERROR = 1
-    FULL = 2
-    TIMEOUT = 3
-    CONNECT_FAILED = 4
-    RESET = 5
-    CANCELLED = 6
-    NOT_SENT = 7
-
-
-class Availability(IntEnum):
-    """What the list says of a server's process."""
-
-    READY = 0
-    DRAINING = 1
-    GONE = 2
-
-
-class ListUpdateKind(IntEnum):
-    """What kind of news of the list this is."""
-
-    DELTA = 0
-    FULL = 1
-    CACHED = 2
-    FAILED = 3
-
-
-class SessionReportKind(IntEnum):
-    """What a note on an open connection tells."""
-
-    LOAD = 1
-    LATENCY = 2
-
-
 @dataclass(frozen=True, slots=True)
 class RequestClass:
-    """One class of requests."""
+    """One class of requests.
+
+    Endpoints drop repeats of a key for `deduplication_window_us`. `priority_weight` is what serving one
+    request is worth, relative to other classes. `message_latency_objective_us` of 0 sets none.
+    """
 
     name: str = ""
     latency_objective_us: int = 500_000
@@ -88,7 +52,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Tenant:
-    """One tenant and its share of the service."""
+    """One tenant, its share of the service and its quotas (0 for none)."""
 
     name: str = ""
     share: float = 1.0
@@ -98,7 +62,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Prices:
-    """Points taken off the result, each times its rate or share."""
+    """What the operators charge for, in points of the result for each unit of rate or share."""
 
     cross_zone: float = 0.0
     late_fail: float = 0.0
@@ -110,7 +74,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Limits:
-    """What the site permits."""
+    """What the deployment permits."""
 
     max_attempts: int = 3
     health_checks: bool = True
@@ -122,7 +86,13 @@
 
 @dataclass(frozen=True, slots=True)
 class SafetyRules:
-    """The figures of the four rules."""
+    """The figures of the operators' safety rules.
+
+    An endpoint that has just started bears `slow_start_share` of its capacity, and all of it `slow_start_us`
+    later. It falls once it is loaded `overload_multiple` times what it bears for `overload_after_us`. The
+    endpoint list has to be polled every `list_refresh_us`, and nothing may be sent to an endpoint
+    `drain_grace_us` after it began to drain.
+    """
 
     answer_slack_us: int = 20_000
     list_refresh_us: int = 10_000_000
@@ -135,7 +105,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """All that an instance is told at its start; every field has a default."""
+    """All settings of an instance.
+
+    `balancers` is how many share the endpoints, `position` this one's place among them. With
+    `polls_endpoint_list` the endpoint list has to be polled, else it is pushed. With `live_weights` an
+    endpoint's size falls with what it holds.
+    """
 
     balancers: int = 1
     position: int = 0
@@ -153,11 +128,11 @@
     park_us: int = 0
     over_share_weight: float = 0.1
     weight_by_work: bool = False
-    live_weights: bool = False  # a server's size falls with what it holds
+    live_weights: bool = False
     tick_us: int = 5_000
 
     def __post_init__(self) -> None:
-        """Name what no deployment can mean."""
+        """Raise ValueError naming a value that no deployment can mean."""
         checks = {
             "balancers": self.balancers >= 1,
             "classes": len(self.classes) >= 1,
@@ -176,226 +151,9 @@
                 raise ValueError(f"impossible setting: {name}")
 
     def class_of(self, request: Request) -> RequestClass:
-        """The class of a request."""
+        """The class of a request; ValueError where the settings have no such class."""
         if not 0 <= request.class_index < len(self.classes):
             raise ValueError(
                 f"request {request.id} is of class {request.class_index}, which the settings lack"
             )
         return self.classes[request.class_index]
-
-
-class Endpoint(NamedTuple):
-    """One entry of the list of servers."""
-
-    id: EndpointId
-    zone: int
-    kind: int
-    cell: int
-    availability: int
-    size: float
-    started_us: int
-
-
-# Events
-
-
-class Started(NamedTuple):
-    """The instance begins its life."""
-
-
-class EndpointListUpdate(NamedTuple):
-    """News of the list of servers."""
-
-    kind: int
-    endpoints: tuple[Endpoint, ...]
-
-
-class Request(NamedTuple):
-    """A client wants a connection; the instance owes one final answer by expires_us."""
-
-    id: int
-    class_index: int
-    expires_us: int
-    load: float | None = None
-    tenant: int = 0
-    idempotency_key: int = 0
-    affinity_group: int = 0
-    is_retry: bool = False
-    mid_flow: bool = False
-    is_migrated: bool = False
-
-
-class SessionAdopted(NamedTuple):
-    """A connection that was open at this instance's start; its attempt 0 counts as made."""
-
-    request: Request
-    endpoint: EndpointId
-
-
-class SessionEstablished(NamedTuple):
-    """An attempt's connection is up; only an Outcome ends it now."""
-
-    request_id: int
-    attempt: int
-    endpoint: EndpointId
-    latency_us: int
-
-
-class SessionReport(NamedTuple):
-    """News of an open connection: its load now, or how long messages take at its server (ms)."""
-
-    request_id: int
-    attempt: int
-    endpoint: EndpointId
-    kind: int
-    value: float
-
-
-class AttemptEnded(NamedTuple):
-    """An attempt has ended; complete when the request is finished with it or was before."""
-
-    request_id: int
-    attempt: int
-    endpoint: EndpointId
-    result: int
-    is_final: bool
-    latency_us: int
-    load_report: tuple[float, ...] = ()
-
-
-class ClientDisconnected(NamedTuple):
-    """The client left; nothing is owed for the request any more."""
-
-    request_id: int
-
-
-class TimerFired(NamedTuple):
-    """A timer that the instance set has come due."""
-
-    token: int
-
-
-class HealthCheckEnded(NamedTuple):
-    """The result of one Probe."""
-
-    endpoint: EndpointId
-    result: int
-    latency_us: int
-    load_report: tuple[float, ...] = ()
-
-
-class PeerMessageReceived(NamedTuple):
-    """Bytes from another instance."""
-
-    peer: int
-    data: bytes
-
-
-Event = (
-    Started
-    | EndpointListUpdate
-    | Request
-    | SessionAdopted
-    | SessionEstablished
-    | SessionReport
-    | AttemptEnded
-    | ClientDisconnected
-    | TimerFired
-    | HealthCheckEnded
-    | PeerMessageReceived
-)
-
-
-# Actions
-
-
-class StartAttempt(NamedTuple):
-    """Begin an attempt of a request at a server; 0 leaves the time-out to the client's deadline."""
-
-    request_id: int
-    endpoint: EndpointId
-    timeout_us: int
-
-
-class RejectRequest(NamedTuple):
-    """Final answer: refused, and harmless to try again (after retry_after_us, 0 for no advice)."""
-
-    request_id: int
-    retry_after_us: int = 0
-
-
-class FailRequest(NamedTuple):
-    """Final answer: failed; nothing is promised of its effect."""
-
-    request_id: int
-
-
-class CancelAttempt(NamedTuple):
-    """Stop waiting for an attempt."""
-
-    request_id: int
-    attempt: int
-
-
-class MigrateSession(NamedTuple):
-    """End an open connection politely; its client comes again as a new request."""
-
-    request_id: int
-
-
-class SetTimer(NamedTuple):
-    """Ask for a Timer event after delay_us."""
-
-    delay_us: int
-    token: int
-
-
-class StartHealthCheck(NamedTuple):
-    """Ask a server for its health and load report."""
-
-    endpoint: EndpointId
-
-
-class CloseIdleConnections(NamedTuple):
-    """Close the idle connections to a server."""
-
-    endpoint: EndpointId
-
-
-class SendPeerMessage(NamedTuple):
-    """Send bytes to another instance, or to all."""
-
-    peer: int
-    data: bytes
-
-
-class WatchEndpointList(NamedTuple):
-    """Ask for (or end) a subscription to changes of the list."""
-
-    enabled: bool
-
-
-class FetchEndpointList(NamedTuple):
-    """Ask for the whole list once."""
-
-
-class LogMessage(NamedTuple):
-    """A line for the host's log."""
-
-    text: str
-
-
-Action = (
-    StartAttempt
-    | RejectRequest
-    | FailRequest
-    | CancelAttempt
-    | MigrateSession
-    | SetTimer
-    | StartHealthCheck
-    | CloseIdleConnections
-    | SendPeerMessage
-    | WatchEndpointList
-    | FetchEndpointList
-    | LogMessage
-)
