--- /dev/null
+++ b/tests/test_format_journal.py
@@ -0,0 +1,254 @@
+"""The journal of traffic and the trace made of it, as they are stored: bytes, rows, columns and file names.
+
+None of what is compared here may change where names in the code do, for users keep it. `written_files` and
+`rows_read` alone speak of the names in the code; all else reads bytes, or goes through the command line. The
+files in `data` were recorded by version 0.3.0; beside each stands what it says, one row a line.
+"""
+
+from __future__ import annotations
+
+import json
+import re
+import struct
+import zlib
+from dataclasses import replace
+from pathlib import Path
+from typing import Any
+
+import msgspec
+import pyarrow.parquet as parquet
+import pytest
+
+from stepflow import interface as face
+from stepflow.cli import main
+from stepflow.traffic import Recorder, read_journal
+from tests.node_kit import Node, Peer, opening
+
+DATA = Path(__file__).parent / "data"
+JOURNAL = DATA / "traffic-v1.sft"  # every kind of row, as version 0.3.0 wrote them
+LATER_JOURNAL = DATA / "traffic-v1-second.sft"  # the same process's next file
+TRACE_ROWS = DATA / "trace-v1.rows.jsonl"  # [table, value, ...], in the order of the columns
+BEGAN_US = 1_700_000_000_000_000
+KEY = "0123456789abcdef"
+
+
+class Files:
+    """A sink that keeps each file's bytes, and drops what it gets while it is full."""
+
+    def __init__(self) -> None:
+        self.files: list[bytes] = []
+        self.full = False
+
+    def put(self, data: bytes, begins: bool) -> bool:
+        if self.full:
+            return False
+        if begins:
+            self.files.append(b"")
+        self.files[-1] += data
+        return True
+
+
+def written_files() -> list[bytes]:
+    """What the recorder writes for one fixed story: every kind of row, in two files."""
+    view = face.RequestClass("view", aim_us=300_000, deadline_us=1_200_000, worth=1.5)
+    edit = face.RequestClass("edit", aim_us=50_000, deadline_us=800_000, worth=4.0)
+    settings = face.Settings(
+        balancers=3, zones=("a", "b"), kinds=("k", "j"), classes=(view,), report_fields=("x0", "util")
+    )
+    sink = Files()
+    recorder = Recorder(sink, KEY, "n0", BEGAN_US, settings, 1000)
+    recorder.known(face.Server("s-0", 1, 1, 2, 0, 0.5, 33))
+    recorder.stands(BEGAN_US + 1, face.Request(100, 0, 0, group=7), "s-0", 1.5)
+    recorder.stands(BEGAN_US + 2, face.Request(101, 0, 0), "s-0", None)
+
+    def at(ms: int, event: face.Event, *actions: face.Action) -> None:
+        recorder.take(BEGAN_US + ms * 1000, event, actions)
+
+    def expires(ms: int) -> int:
+        return BEGAN_US + ms * 1000 + 500_000
+
+    first = face.Server("s-1", 0, 0, 0, 0, 1.0, 0)
+    second = face.Server("s-2", 1, 0, 3, 1, 2.5, 44)
+    at(1, face.ServerList(2, (first,)))
+    at(2, face.ServerList(1, (first, second)))
+    at(3, face.ServerList(0, (second._replace(availability=2),)))
+    at(4, face.ServerList(3, ()))
+    at(10, face.Request(1, 0, expires(10), group=77), face.Send(1, "s-1", 9000))
+    at(11, face.Established(1, 0, "s-1", 1000))
+    at(12, face.Note(1, 0, "s-1", 1, 2.5))
+    at(13, face.Note(1, 0, "s-1", 2, 40.0))
+    at(14, face.Timer(1), face.Move(1))
+    at(15, face.Outcome(1, 0, "s-1", 0, True, 4000))
+    at(20, face.Request(2, 0, expires(20), repeated=True), face.Refuse(2, 250_000))
+    at(21, face.Request(3, 0, expires(21), returned=True), face.Fail(3))
+    at(22, face.Request(4, 0, expires(22)), face.Send(4, "s-2", 0))
+    at(23, face.ClientGone(4))
+    at(24, face.Outcome(4, 0, "s-2", 6, True, 2000))
+    at(25, face.Request(5, 0, expires(25)))
+    at(26, face.ClientGone(5))
+    at(30, face.Request(6, 0, expires(30)))
+    for result in range(1, 8):
+        at(30 + result, face.Timer(1), face.Send(6, "s-2", 100))
+        at(30 + result, face.Outcome(6, result - 1, "s-2", result, result == 7, 10 * result))
+    for result in range(8):
+        at(40 + result, face.Probed("s-1", result, 100 + result, (0.25, 0.5) if result == 0 else ()))
+    recorder.flush(BEGAN_US + 49_000)
+    recorder.retune(BEGAN_US + 50_000, replace(settings, classes=(view, edit)))
+    at(51, face.Request(7, 1, expires(51), group=77), face.Send(7, "s-1", 0))
+    at(52, face.Established(7, 0, "s-1", 900))
+    recorder.flush(BEGAN_US + 53_000)
+    sink.full = True
+    at(54, face.Note(7, 0, "s-1", 1, 3.0))
+    recorder.flush(BEGAN_US + 55_000)
+    sink.full = False
+    recorder.end(BEGAN_US + 60_000)
+    return sink.files
+
+
+def rows_read(path: Path) -> tuple[object, list[list[Any]], bool, str]:
+    """What the reader tells of a journal: header, rows, whether it was ended in order, what is wrong."""
+    reading = read_journal(path)
+    rows = list(reading.rows())
+    return reading.header, rows, reading.ended, reading.cut
+
+
+def literal_rows(path: Path) -> list[list[Any]]:
+    """The rows of a text beside a recorded file."""
+    return [json.loads(line) for line in path.read_text().splitlines()]
+
+
+def raw_rows(data: bytes) -> list[list[Any]]:
+    """A journal's rows, its header among them, by docs/traffic-format.md alone."""
+    assert data[:8] == b"SFTRAF\x01\x00"
+    rows, at = [], 8
+    while at < len(data):
+        length, checksum = struct.unpack_from("<II", data, at)
+        payload = data[at + 8 : at + 8 + length]
+        assert zlib.crc32(payload) == checksum
+        rows += msgspec.msgpack.decode(payload)
+        at += 8 + length
+    return rows
+
+
+def test_the_recorded_files_hold_every_kind_of_row_and_every_result() -> None:
+    rows = [row for path in (JOURNAL, LATER_JOURNAL) for row in raw_rows(path.read_bytes())]
+    assert {row[0] for row in rows} == set(range(17))
+    assert {row[3] for row in rows if row[0] in (4, 12)} == set(range(8))
+    assert {row[2] for row in rows if row[0] == 11} == {0, 1, 2, 3}
+
+
+def test_the_writer_writes_the_recorded_bytes() -> None:
+    expected = [JOURNAL.read_bytes(), LATER_JOURNAL.read_bytes()]
+    written = written_files()
+    assert [raw_rows(data) for data in written] == [
+        raw_rows(data) for data in expected
+    ]  # the plainer failure
+    assert written == expected
+
+
+@pytest.mark.parametrize(("path", "ended"), [(JOURNAL, False), (LATER_JOURNAL, True)])
+def test_a_recorded_file_is_read_to_its_literal_rows(path: Path, ended: bool) -> None:
+    header, *rows = literal_rows(path.with_suffix(".rows.jsonl"))
+    assert rows_read(path) == (header[1], rows, ended, "")
+
+
+def test_a_node_s_file_has_its_name_and_its_header(tmp_path: Path) -> None:
+    conf = tmp_path / "stepflow.conf"
+    conf.write_text(f"record {{\n folder {tmp_path}/traffic\n key {KEY}\n segment 64K\n}}\n")
+    node = Node(Peer("s-1"))
+    node.env["STEPFLOW_CONF"] = str(conf)
+    with node:
+        assert node.client(opening(d=30_000)).read() == "UP r1"
+        node.terminate()
+        node.wait_log("counters: ")
+        process = node.process.pid
+    (path,) = (tmp_path / "traffic").iterdir()
+    assert re.fullmatch(rf"traffic-\d{{16}}-00001-{process:04d}\.sft", path.name)
+    rows = raw_rows(path.read_bytes())
+    assert rows[0][1].pop("began_us") > BEGAN_US
+    assert rows[0] == [0, {
+        "version": 1, "node": "n0", "zones": ["a"], "kinds": ["k"], "fields": ["x0", "x1", "util"],
+        "balancers": 1,
+        "classes": [{"name": "view", "aim_us": 300_000, "deadline_us": 1_200_000, "worth": 1.0}],
+    }]  # fmt: skip
+    assert {0, 1, 2, 3, 11, 16} <= {row[0] for row in rows}
+
+
+COLUMNS = {
+    "connections": [
+        ("node", "string"), ("run", "int64"), ("id", "int64"), ("at_us", "int64"), ("class", "string"),
+        ("group", "int64"), ("wait_us", "int64"), ("repeated", "bool"), ("returned", "bool"),
+        ("stood", "bool"), ("server", "string"), ("attempts", "int64"), ("connect_us", "int64"),
+        ("up_us", "int64"), ("answer", "string"), ("end_us", "int64"), ("end", "string"), ("moved", "bool"),
+        ("load", "double"), ("loads", "int64"),
+    ],
+    "attempts": [
+        ("node", "string"), ("run", "int64"), ("id", "int64"), ("at_us", "int64"), ("server", "string"),
+        ("timeout_us", "int64"), ("result", "string"), ("wait_us", "int64"),
+    ],
+    "loads": [
+        ("node", "string"), ("run", "int64"), ("id", "int64"), ("at_us", "int64"), ("load", "double"),
+    ],
+    "lists": [
+        ("node", "string"), ("at_us", "int64"), ("form", "string"), ("server", "string"), ("zone", "int64"),
+        ("kind", "int64"), ("state", "int64"), ("size", "double"), ("started_us", "int64"),
+    ],
+    "probes": [
+        ("node", "string"), ("at_us", "int64"), ("server", "string"), ("result", "string"),
+        ("wait_us", "int64"), ("report", "list<double>"),
+    ],
+}  # fmt: skip
+
+
+@pytest.fixture(scope="module")
+def trace(tmp_path_factory: pytest.TempPathFactory) -> Path:
+    """The trace of the recorded files, made by the command."""
+    folder = tmp_path_factory.mktemp("trace") / "made"
+    assert main(["fleet", "convert", str(JOURNAL), str(LATER_JOURNAL), "-o", str(folder)]) == 0
+    return folder
+
+
+def test_a_trace_has_its_files(trace: Path) -> None:
+    assert {path.name for path in trace.iterdir()} == {"trace.json", *(f"{name}.parquet" for name in COLUMNS)}
+
+
+@pytest.mark.parametrize("table", COLUMNS)
+def test_a_trace_s_table_has_its_columns_and_rows(trace: Path, table: str) -> None:
+    found = parquet.read_table(trace / f"{table}.parquet")
+    types = [(field.name, re.sub(r"<\w+: ", "<", str(field.type))) for field in found.schema]
+    assert types == COLUMNS[table]
+    rows = [list(row.values()) for row in found.to_pylist()]
+    assert rows == [row[1:] for row in literal_rows(TRACE_ROWS) if row[0] == table]
+
+
+def sources() -> list[dict[str, object]]:
+    """What a trace tells of the recorded files."""
+    common = {"node": "n0", "cut": ""}
+    return [
+        {"path": str(JOURNAL), "ended": False, "lost": 0, "rows": 53, **common},
+        {"path": str(LATER_JOURNAL), "ended": True, "lost": 1, "rows": 6, **common},
+    ]
+
+
+def test_a_trace_s_manifest_has_its_keys(trace: Path) -> None:
+    assert json.loads((trace / "trace.json").read_text()) == {
+        "version": 1, "from_us": BEGAN_US + 1, "to_us": BEGAN_US + 60_000,
+        "classes": [{"name": "view", "aim_us": 300_000, "deadline_us": 1_200_000, "worth": 1.5}],
+        "kinds": ["k", "j"], "zones": ["a", "b"], "fields": ["x0", "util"], "sources": sources(),
+    }  # fmt: skip
+
+
+def test_what_inspect_tells_programs_has_its_keys(trace: Path, capsys: pytest.CaptureFixture[str]) -> None:
+    assert main(["fleet", "inspect", "--json", str(trace)]) == 0
+    results = ("OK", "ERROR", "FULL", "TIMEOUT", "CONNECT_FAILED", "RESET", "CANCELLED", "NOT_SENT")
+    assert json.loads(capsys.readouterr().out) == {
+        "seconds": 0.059999, "nodes": ["n0"], "servers": 3, "list_rows": 6,
+        "probes": dict.fromkeys(results, 1), "groups": 3,
+        "classes": [{
+            "class": "view", "connections": 8, "stood": 2, "per_s": pytest.approx(100.0016666944449),
+            "answers": {"served": 1, "refused": 1, "failed": 1, "left": 2, "": 1},
+            "connect_ms": [1.0, 1.0, 1.0], "life_s": [0.004, 0.004, 0.004], "lives_censored": 2,
+            "load": [1.6, 2.0, 2.4], "moved": 1,
+        }],
+        "sources": sources(),
+    }  # fmt: skip
