--- /dev/null
+++ b/tests/handover_kit.py
@@ -0,0 +1,267 @@
+"""The channel between a node's two processes: scripted ends, and a tap that records what passes.
+
+`python -m tests.handover_kit FILE` records a hand-over between two real processes of this very text.
+"""
+
+from __future__ import annotations
+
+import array
+import json
+import os
+import queue
+import socket
+import sys
+import threading
+import time
+from contextlib import ExitStack, suppress
+from dataclasses import dataclass, field
+from pathlib import Path
+from typing import Any
+
+from tests.node_kit import PATIENCE, Discovery, Line, Node, Peer, opening
+
+RECORDING = Path(__file__).parent / "data" / "handover-5fd6943.json"
+RECORDED_PEER = "127.0.0.1:1"  # in place of the addresses of the recording's peers, which are gone
+
+CLIENT_LINE, PEER_LINE = "M ü1", "M €2"
+HALF = 3  # bytes of either that have been sent at the hand-over: it falls amid a letter
+CLIENT_HALF, PEER_HALF = CLIENT_LINE.encode()[:HALF], PEER_LINE.encode()[:HALF]
+CLIENT_REST, PEER_REST = (f"{line}\r\n".encode()[HALF:] for line in (CLIENT_LINE, PEER_LINE))
+LISTED = '{"rev":7,"all":false,"targets":[]}'
+
+_LONGEST_RECEIVED, _MOST_DESCRIPTORS = 1 << 16, 16
+
+
+def channel_path(node: Node) -> str:
+    return f"{node.folder}/stepflow-n0"
+
+
+def with_tenants(config: dict[str, Any]) -> None:
+    """The settings of the recording: tenants have names, and SIGTERM leaves the longest time."""
+    config["settings"]["tenants"] = [{"name": "silver"}, {"name": "gold"}]
+    config["settings"]["classes"][0]["give_up_us"] = 60_000_000
+
+
+class ChannelEnd:
+    """One end of the channel, as lines of JSON and the descriptors that came with them."""
+
+    def __init__(self, sock: socket.socket) -> None:
+        sock.settimeout(PATIENCE)
+        self._sock, self._unread = sock, b""
+        self.descriptors: list[int] = []
+
+    def send(self, line: str, *descriptors: int) -> None:
+        """Send the descriptors ahead of the line, each with one of its bytes, as Twisted does."""
+        data = line.encode() + b"\n"
+        for at, descriptor in enumerate(descriptors):
+            rights = array.array("i", [descriptor])
+            self._sock.sendmsg([data[at : at + 1]], [(socket.SOL_SOCKET, socket.SCM_RIGHTS, rights)])
+        self._sock.sendall(data[len(descriptors) :])
+
+    def read(self) -> dict[str, Any]:
+        """The next message; EOFError at the end of the channel."""
+        while b"\n" not in self._unread:
+            data, descriptors, _, _ = socket.recv_fds(self._sock, _LONGEST_RECEIVED, _MOST_DESCRIPTORS)
+            self.descriptors += descriptors
+            if not data:
+                raise EOFError
+            self._unread += data
+        line, _, self._unread = self._unread.partition(b"\n")
+        message = json.loads(line)
+        assert isinstance(message, dict)
+        return message
+
+    def read_kind(self, key: str) -> dict[str, Any]:
+        """The next message with this key, past those that tell how many descriptors are open."""
+        while key not in (message := self.read()):
+            assert list(message) == ["descriptors"], message
+        return message
+
+    def close(self) -> None:
+        for descriptor in self.descriptors:
+            os.close(descriptor)
+        self.descriptors = []
+        self._sock.close()
+
+
+def join_as_successor(path: str) -> ChannelEnd:
+    """Connect to a process as the next one would, once it listens."""
+    until = time.monotonic() + PATIENCE
+    while True:
+        sock = socket.socket(socket.AF_UNIX)
+        try:
+            sock.connect(path)
+            return ChannelEnd(sock)
+        except OSError:
+            sock.close()
+            assert time.monotonic() < until, "no process waits for a successor"
+            time.sleep(0.01)
+
+
+class Predecessor:
+    """A process that serves, as its successor sees it: it tells a state to whoever connects first."""
+
+    def __init__(self, path: str, state: str, listener: socket.socket) -> None:
+        self._path, self._state, self._listener = path, state, listener
+        self._joined: queue.Queue[ChannelEnd] = queue.Queue()
+        self._sock = socket.socket(socket.AF_UNIX)
+        self._sock.bind(path)
+        self._sock.listen()
+        threading.Thread(target=self._accept, daemon=True).start()
+
+    def _accept(self) -> None:
+        sock, _ = self._sock.accept()
+        self._sock.close()
+        os.unlink(self._path)
+        end = ChannelEnd(sock)
+        end.send(self._state, self._listener.fileno())
+        self._joined.put(end)
+
+    def end(self) -> ChannelEnd:
+        return self._joined.get(timeout=PATIENCE)
+
+
+@dataclass
+class Recording:
+    """The lines that each of the two processes has sent, in order."""
+
+    old: list[str] = field(default_factory=list)
+    new: list[str] = field(default_factory=list)
+    old_descriptors: int = 0
+    new_descriptors: int = 0
+
+    def messages(self, key: str, by: str = "old") -> list[dict[str, Any]]:
+        """The messages that have this key."""
+        lines = self.old if by == "old" else self.new
+        return [message for message in map(json.loads, lines) if key in message]
+
+
+def load_recording() -> Recording:
+    """The hand-over that two processes of commit 5fd6943 have made."""
+    return Recording(**json.loads(RECORDING.read_text()))
+
+
+class Tap:
+    """Stands between the process that serves and its successor, and keeps what passes."""
+
+    def __init__(self, path: str) -> None:
+        self._path, self._real_path = path, path + ".tapped"
+        self.recording = Recording()
+        os.rename(path, self._real_path)
+        self._sock = socket.socket(socket.AF_UNIX)
+        self._sock.bind(path)
+        self._sock.listen()
+        self._thread = threading.Thread(target=self._run, daemon=True)
+        self._thread.start()
+
+    def _run(self) -> None:
+        new, _ = self._sock.accept()
+        self._sock.close()
+        old = socket.socket(socket.AF_UNIX)
+        old.connect(self._real_path)
+        back = threading.Thread(target=self._forward, args=(new, old, "new"), daemon=True)
+        back.start()
+        self._forward(old, new, "old")
+        back.join(PATIENCE)
+        old.close()
+        new.close()
+
+    def _forward(self, source: socket.socket, target: socket.socket, by: str) -> None:
+        unread, count = b"", 0
+        with suppress(OSError):
+            while True:
+                data, descriptors, _, _ = socket.recv_fds(source, _LONGEST_RECEIVED, _MOST_DESCRIPTORS)
+                if not data:
+                    break
+                count += len(descriptors)
+                socket.send_fds(target, [data], descriptors)
+                for descriptor in descriptors:
+                    os.close(descriptor)
+                unread += data
+                *lines, unread = unread.split(b"\n")
+                getattr(self.recording, by).extend(line.decode() for line in lines)
+        setattr(self.recording, f"{by}_descriptors", count)
+        for sock in (source, target):
+            with suppress(OSError):
+                sock.shutdown(socket.SHUT_RDWR)
+
+    def finish(self) -> Recording:
+        """What passed, once the channel has ended."""
+        self._thread.join(PATIENCE)
+        assert not self._thread.is_alive()
+        return self.recording
+
+
+def wait_until_reported(path: str) -> None:
+    """Until a server's report has shown in the figures that a process would hand over."""
+    until = time.monotonic() + PATIENCE
+    while time.monotonic() < until:
+        end = join_as_successor(path)
+        try:
+            if end.read()["learned"]["cost_in_means"]:
+                return
+        finally:
+            end.close()
+        time.sleep(0.05)
+    raise AssertionError("no report came")
+
+
+def tap_when_waiting(path: str) -> Tap:
+    """A tap on a process that has just lost a successor, once it listens anew."""
+    until = time.monotonic() + PATIENCE
+    while not os.path.exists(path):
+        assert time.monotonic() < until, "no process waits for a successor"
+        time.sleep(0.01)
+    return Tap(path)
+
+
+def record_handover() -> Recording:
+    """Two real processes, one session that stands amid a line either way, and a line without its echo."""
+    first, second = Peer("s-1", X=None), Peer("s-2")
+    with ExitStack() as stack:
+        old = stack.enter_context(Node(first, second, discovery=Discovery(LISTED), change=recorded_config))
+        path = channel_path(old)
+        client = old.client(opening(0x1D, extra=",t=gold,h=2.0"))
+        assert client.read() == "UP r1"
+        wait_until_reported(path)
+        server = first.standing.get(timeout=PATIENCE)
+        tap = tap_when_waiting(path)
+        new = stack.enter_context(old.successor())
+        _leave_amid_lines(client, server, first)
+        old.terminate()
+        assert old.process.wait(PATIENCE) == 0
+        recording = tap.finish()
+        server.sock.sendall(PEER_REST)  # first: the peer's echo would come amid its line
+        assert client.read() == PEER_LINE
+        client.sock.sendall(CLIENT_REST)
+        assert client.read() == CLIENT_LINE  # the echo
+        assert new.process.poll() is None
+    recording.old = [_without_addresses(line, first, second) for line in recording.old]
+    return recording
+
+
+def recorded_config(config: dict[str, Any]) -> None:
+    """The recording's configuration: its list has a version, and one server that drains."""
+    with_tenants(config)
+    config["known"]["rev"] = 7
+    config["known"]["targets"][1]["state"] = "Terminating"
+
+
+def _leave_amid_lines(client: Line, server: Line, peer: Peer) -> None:
+    """Each side has sent a half line behind a whole one, in one piece, when the whole one is read."""
+    server.sock.sendall(b"LOAD 2.5\r\n" + PEER_HALF)
+    assert client.read() == "LOAD 2.5"
+    client.sock.sendall(b"X 1\r\n" + CLIENT_HALF)
+    while not peer.lines.get(timeout=PATIENCE).startswith("X"):
+        pass
+
+
+def _without_addresses(line: str, *peers: Peer) -> str:
+    for peer in peers:
+        line = line.replace(f'"{peer.address}"', f'"{RECORDED_PEER}"')
+    return line
+
+
+if __name__ == "__main__":
+    recorded = record_handover()
+    Path(sys.argv[1]).write_text(json.dumps(vars(recorded), indent=1) + "\n")
