--- /dev/null
+++ b/standins/soak/node_process.py
@@ -0,0 +1,77 @@
+"""One process of a node: the signals it is sent, and whether its exit is a fault."""
+
+from __future__ import annotations
+
+import asyncio
+import os
+import signal
+
+from standins.soak.records import Records
+
+EXPECTED_RETURN_CODES = (0, -signal.SIGKILL)
+
+
+class NodeProcess:
+    """A running process of a node; its exit is recorded as a fault where the rig did not cause it."""
+
+    def __init__(self, node_name: str, process: asyncio.subprocess.Process, records: Records) -> None:
+        self._node_name, self._process, self._records = node_name, process, records
+        self._end_requested = False
+        self._exited_unrequested = False
+        self._exit_watcher = asyncio.create_task(self._watch_exit())
+
+    def request_end(self) -> None:
+        """Send SIGTERM; from now on an exit is expected."""
+        self._send_last_signal(signal.SIGTERM)
+
+    def kill(self) -> None:
+        """Send SIGKILL; from now on an exit is expected."""
+        self._send_last_signal(signal.SIGKILL)
+
+    def send_signal(self, number: signal.Signals) -> None:
+        """Send a signal, or note that the process is gone.
+
+        A thread of asyncio may reap the process before the event loop sets its return code. Thus the
+        operating system is asked, not the return code, and the process may still go after the answer.
+        """
+        if self._has_exited():
+            self._note_gone()
+            return
+        try:
+            os.kill(self._process.pid, number)
+        except ProcessLookupError:
+            self._note_gone()
+
+    async def wait(self, timeout_s: float | None = None) -> bool:
+        """Wait until the exit was recorded; whether that came in time."""
+        done, _ = await asyncio.wait({self._exit_watcher}, timeout=timeout_s)
+        for watcher in done:
+            watcher.result()
+        return bool(done)
+
+    def _send_last_signal(self, number: signal.Signals) -> None:
+        self.send_signal(number)
+        self._end_requested = True
+
+    def _has_exited(self) -> bool:
+        """Whether the process ended, reaped or not; it is not reaped by this."""
+        if self._process.returncode is not None:
+            return True
+        try:
+            exited = os.waitid(os.P_PID, self._process.pid, os.WEXITED | os.WNOHANG | os.WNOWAIT)
+        except ChildProcessError:
+            return True
+        return exited is not None
+
+    def _note_gone(self) -> None:
+        """Keep for the record of the exit that the process went before it was told to."""
+        if not self._end_requested:
+            self._exited_unrequested = True
+
+    async def _watch_exit(self) -> None:
+        code = await self._process.wait()
+        ended = f"{self._node_name}: ended with {code}"
+        if self._exited_unrequested or not self._end_requested:
+            self._records.node_faults.append(f"{ended} without having been told to end")
+        elif code not in EXPECTED_RETURN_CODES:
+            self._records.node_faults.append(ended)
--- a/standins/soak/run.py
+++ b/standins/soak/run.py
@@ -4,7 +4,6 @@
 
 import asyncio
 import json
-import os
 import random
 import signal
 import tempfile
@@ -18,6 +17,8 @@
 from standins.node import start_node
 from standins.preload import Call, Machine
 from standins.soak.clients import Client, Door
+from standins.soak.fault_injector import CLOCK_STEPS_S, FaultInjector, FaultPlan
+from standins.soak.node_process import NodeProcess
 from standins.soak.records import KINDS, LONGEST_S, Records
 from standins.soak.servers import FaultyServer
 
@@ -26,7 +27,6 @@
 READY_S = 25.0
 SERVERS, CLIENTS, CROWD = 6, 30, 150
 SOCKETS = 256  # descriptors that a node may hold
-STEPS_S = (-3600.0, -5.0, -0.6, 0.6, 5.0, 3600.0)
 BREAKING = (Call.RECV_ACCEPTED, Call.SEND_ACCEPTED)  # these cost a client its connection
 BREAKING_PEERS = (Call.RECV_DIALLED, Call.SEND_DIALLED)  # and these must not
 HARMLESS_TO_LISTS = (Call.ACCEPT, Call.WAIT, Call.SHORT_RECV, Call.SHORT_SEND, Call.OPEN)
@@ -36,32 +36,34 @@
 
 
 @dataclass
-class NodeProcess:
-    """One node, its machine and its door."""
+class Node:
+    """One node, its machine, its door and what goes wrong on it."""
 
     number: int
     machine: Machine
     door: Door
     config: Path
-    process: asyncio.subprocess.Process | None = None  # the one that serves
+    process: NodeProcess | None = None  # the one that serves
+    fault_rng: random.Random | None = None
+    fault_injector: FaultInjector | None = None
     log: list[bytes] = field(default_factory=list)  # of all its processes
 
+    @property
+    def name(self) -> str:
+        """The name in its configuration and in the records."""
+        return f"n{self.number}"
+
     @property
     def broken(self) -> int:
         """Connections that the machine has broken under the node."""
         return sum(self.machine.injected(call) for call in BREAKING)
 
-    def signal(self, number: int) -> None:
-        """Send a signal, if the process still runs."""
-        if self.process is not None:
-            _signal(self.process, number)
-
 
 class Run:
     """One seed, played once; `play` returns what was seen."""
 
     def __init__(self, seed: int, folder: Path) -> None:
-        self._luck = random.Random(seed)
+        self._rng = random.Random(seed)
         self._folder, self.records = folder, Records()
         self.servers = [
             FaultyServer(f"s-{n}", records=self.records, luck=random.Random(seed * 100 + n))
@@ -73,11 +75,12 @@
         self._pushed = seed % 3 == 1  # lists are pushed to an agent
         self._crowded = self.records.crowded = seed % 4 == 0
         self._nodes = [self._node(seed, n) for n in range(1 + seed % 3)]
+        self._processes: list[NodeProcess] = []
         self._tasks: list[asyncio.Task[None]] = []
 
-    def _node(self, seed: int, number: int) -> NodeProcess:
+    def _node(self, seed: int, number: int) -> Node:
         machine = Machine(self._folder, seed * 10 + number + 1)
-        return NodeProcess(number, machine, Door(number), self._folder / f"node-{number}.json")
+        return Node(number, machine, Door(number), self._folder / f"node-{number}.json")
 
     async def play(self) -> Records:
         """All of it."""
@@ -90,11 +93,13 @@
                 return self.records
             for node in self._nodes:
                 self._begin_clients(node)
-                self._begin(self._spoil_machine(node))
-            self._begin(self._spoil_servers())
+            for node in self._nodes:
+                node.fault_rng = random.Random(self._rng.random())
+                self._begin_faults(node)
+            self._begin(self._inject_server_faults())
             self._begin(self._drain_one())
             if not self._sound_lists:
-                self._begin(self._spoil_discovery())
+                self._begin(self._inject_discovery_faults())
             await asyncio.sleep(LASTS_S)
             for node in self._nodes:
                 if self._replaced:
@@ -111,16 +116,18 @@
         self._tasks.append(asyncio.create_task(work))
 
     async def _close(self) -> None:
-        for node in self._nodes:
-            if node.process is not None and node.process.returncode is None:
-                node.process.kill()
-                await node.process.wait()
+        stopped = await asyncio.gather(
+            *(self._stop_faults(node) for node in self._nodes), return_exceptions=True
+        )
+        for process in self._processes:
+            process.kill()
+            await process.wait()
         for task in self._tasks:
             task.cancel()
         done = await asyncio.gather(*self._tasks, return_exceptions=True)
         for fleet in self._fleets:
             fleet.close()
-        for fault in done:
+        for fault in (*stopped, *done):
             if isinstance(fault, Exception):
                 raise fault
 
@@ -132,11 +139,11 @@
 
     # Nodes.
 
-    async def _start(self, node: NodeProcess) -> None:
+    async def _start(self, node: Node) -> None:
         """Start it, or a process that is to replace it, on a machine that may be in trouble already."""
-        if self._luck.random() < 0.4:
-            node.machine.step_wall_clock(self._luck.choice(STEPS_S))
-        troubled = self._luck.random() < 0.3
+        if self._rng.random() < 0.4:
+            node.machine.step_wall_clock(self._rng.choice(CLOCK_STEPS_S))
+        troubled = self._rng.random() < 0.3
         if troubled:
             for call in (Call.SOCKET, Call.OPEN, Call.WAIT):
                 node.machine.fail(call, 0.3)
@@ -147,20 +154,22 @@
         env = {**node.machine.env, "TMPDIR": str(self._folder), "STEPFLOW_CONF": str(told)}
         try:
             async with asyncio.timeout(READY_S):
-                node.process, node.door.port = await start_node(node.config, env)
+                process, node.door.port = await start_node(node.config, env)
         except (TimeoutError, RuntimeError) as fault:
-            self.records.node_faults.append(f"n{node.number}: not ready: {fault!r}")
+            self.records.node_faults.append(f"{node.name}: not ready: {fault!r}")
             return
         node.machine.heal()
-        assert node.process.stderr is not None
-        self._begin(self._read_log(node, node.process.stderr))
+        node.process = NodeProcess(node.name, process, self.records)
+        self._processes.append(node.process)
+        assert process.stderr is not None
+        self._begin(self._read_log(node, process.stderr))
 
     @staticmethod
-    async def _read_log(node: NodeProcess, stream: asyncio.StreamReader) -> None:
+    async def _read_log(node: Node, stream: asyncio.StreamReader) -> None:
         while line := await stream.readline():
             node.log.append(line)
 
-    def _configuration(self, node: NodeProcess, at: int) -> dict[str, Any]:
+    def _configuration(self, node: Node, at: int) -> dict[str, Any]:
         classes = [
             {
                 "name": kind.name, "aim_us": 300_000, "give_up_us": int(kind.wait_s * 1e6),
@@ -170,7 +179,7 @@
             for kind in KINDS
         ]  # fmt: skip
         return {
-            "name": f"n{node.number}", "listen": f"{HOST}:0", "discovery": self._fleets[at].address,
+            "name": node.name, "listen": f"{HOST}:0", "discovery": self._fleets[at].address,
             "seed": f"{node.number + 5:x}", "limits": {"sockets": SOCKETS},
             "known": self._fleets[0].known(),
             "settings": {
@@ -185,75 +194,60 @@
             },
         }  # fmt: skip
 
-    def _begin_clients(self, node: NodeProcess) -> None:
+    def _begin_clients(self, node: Node) -> None:
         for _ in range(CLIENTS):
-            luck = random.Random(self._luck.random())
-            client = Client(node.door, self.records, luck, self._has_stopped)
+            rng = random.Random(self._rng.random())
+            client = Client(node.door, self.records, rng, self._has_stopped)
             self._begin(client.live())
         if self._crowded:
             for _ in range(CROWD):
-                self._begin(_idle(node.door, random.Random(self._luck.random())))
+                self._begin(_idle(node.door, random.Random(self._rng.random())))
 
     def _has_stopped(self, uid: str) -> bool:
         return any(server.uid == uid and server.stopped for server in self.servers)
 
     # What goes wrong.
 
-    async def _spoil_machine(self, node: NodeProcess) -> None:
-        """Steps of the wall clock, failing calls, short halts, until the node's end."""
-        luck, machine = random.Random(self._luck.random()), node.machine
-        while True:
-            await asyncio.sleep(luck.uniform(0.1, 0.6))
-            trouble = luck.random()
-            if trouble < 0.25:
-                machine.step_wall_clock(luck.choice(STEPS_S))
-            elif trouble < 0.65:
-                for call in luck.sample(self._passing(), luck.randint(1, 3)):
-                    machine.fail(call, luck.choice((0.05, 0.3, 0.8)))
-                await asyncio.sleep(luck.uniform(0.05, 0.5))
-                machine.heal()
-            elif trouble < 0.75:
-                breaking = BREAKING if self._sound_lists else BREAKING + BREAKING_PEERS
-                machine.fail(luck.choice(breaking), 0.02)
-                await asyncio.sleep(luck.uniform(0.05, 0.2))
-                machine.heal()
-            elif trouble < 0.9:
-                node.signal(signal.SIGSTOP)
-                await asyncio.sleep(luck.uniform(0.02, 0.15))
-                node.signal(signal.SIGCONT)
-            else:
-                await self._reload(node, luck)
-
-    def _passing(self) -> tuple[Call, ...]:
-        return HARMLESS_TO_LISTS if self._sound_lists else PASSING
-
-    async def _reload(self, node: NodeProcess, luck: random.Random) -> None:
-        """New configurations in a row; a file may be half written when the first signal comes."""
-        text = json.dumps(self._configuration(node, 0 if self._sound_lists else luck.randrange(2)))
-        if luck.random() < 0.5:
-            node.config.write_text(text[: len(text) // 2])
-            node.signal(signal.SIGHUP)
-            await asyncio.sleep(luck.uniform(0.0, 0.1))
-        node.config.write_text(text)
-        for _ in range(luck.randint(1, 3)):
-            node.signal(signal.SIGHUP)
-
-    async def _spoil_servers(self) -> None:
-        luck = random.Random(self._luck.random())
+    def _begin_faults(self, node: Node) -> None:
+        """Inject faults into the process that serves, until it is told to end."""
+        assert node.process is not None and node.fault_rng is not None
+        node.fault_injector = FaultInjector(
+            node.process, node.machine, self._fault_plan(node), node.fault_rng
+        )
+        node.fault_injector.start()
+
+    @staticmethod
+    async def _stop_faults(node: Node) -> None:
+        if node.fault_injector is not None:
+            await node.fault_injector.stop()
+
+    def _fault_plan(self, node: Node) -> FaultPlan:
+        return FaultPlan(
+            failing_calls=HARMLESS_TO_LISTS if self._sound_lists else PASSING,
+            breaking_calls=BREAKING if self._sound_lists else BREAKING + BREAKING_PEERS,
+            config=node.config,
+            new_configuration=lambda rng: self._new_configuration(node, rng),
+        )
+
+    def _new_configuration(self, node: Node, rng: random.Random) -> str:
+        return json.dumps(self._configuration(node, 0 if self._sound_lists else rng.randrange(2)))
+
+    async def _inject_server_faults(self) -> None:
+        rng = random.Random(self._rng.random())
         while True:
-            await asyncio.sleep(luck.uniform(0.2, 0.8))
-            luck.choice(self.servers).mood = luck.choice(MOODS)
+            await asyncio.sleep(rng.uniform(0.2, 0.8))
+            rng.choice(self.servers).mood = rng.choice(MOODS)
 
     async def _drain_one(self) -> None:
         """One server drains, later it is gone; what is still there then is cut."""
-        luck = random.Random(self._luck.random())
-        await asyncio.sleep(luck.uniform(0.5, 2.0))
-        server = luck.choice(self.servers)
+        rng = random.Random(self._rng.random())
+        await asyncio.sleep(rng.uniform(0.5, 2.0))
+        server = rng.choice(self.servers)
         server.state = "Terminating"
         self._tell(server)
         told = time.monotonic() + (0.0 if self._sound_lists else LIST_LATE_S)
         self.records.told_to_avoid[server.uid] = told
-        await asyncio.sleep(luck.uniform(1.0, 3.0))
+        await asyncio.sleep(rng.uniform(1.0, 3.0))
         server.state = "Gone"
         self._tell(server)
         server.stop()
@@ -262,63 +256,61 @@
         for fleet in self._fleets:
             fleet.tell(server)
 
-    async def _spoil_discovery(self) -> None:
-        luck = random.Random(self._luck.random())
+    async def _inject_discovery_faults(self) -> None:
+        rng = random.Random(self._rng.random())
         while True:
-            await asyncio.sleep(luck.uniform(0.5, 2.5))
-            fleet = luck.choice(self._fleets)
+            await asyncio.sleep(rng.uniform(0.5, 2.5))
+            fleet = rng.choice(self._fleets)
             fleet.down = True
             fleet.drop()
-            await asyncio.sleep(luck.uniform(0.2, 1.5))
+            await asyncio.sleep(rng.uniform(0.2, 1.5))
             fleet.down = False
 
     # The end.
 
-    async def _replace(self, node: NodeProcess) -> None:
+    async def _replace(self, node: Node) -> None:
         """Start a second process beside the one that serves, and end the first."""
         before = node.process
         assert before is not None
         await self._start(node)
+        await self._stop_faults(node)
+        if node.process is not before:
+            self._begin_faults(node)
         await self._tell_to_end(node, before)
         await asyncio.sleep(1.0)
 
-    async def _end(self, node: NodeProcess) -> None:
+    async def _end(self, node: Node) -> None:
         """Signals in series; then the kill, as early as the protocol allows."""
         assert node.process is not None
+        await self._stop_faults(node)
         node.door.told_to_end = time.monotonic()
         await self._tell_to_end(node, node.process)
         await asyncio.sleep(0.05)  # for clients to read what was sent
         node.door.killed = True
+        self._check_log(node)
+
+    def _check_log(self, node: Node) -> None:
+        """Record a traceback in a node's log, or a count of faults other than none."""
         log = b"".join(node.log).decode()
         if "Traceback" in log or " faults=0" not in log:
             lines = [line for line in log.splitlines() if "Traceback" in line or "faults=" in line]
-            self.records.node_faults.append("\n".join([f"n{node.number}: its log has a fault", *lines]))
-
-    async def _tell_to_end(self, node: NodeProcess, process: asyncio.subprocess.Process) -> None:
-        luck, began = random.Random(self._luck.random()), time.monotonic()
-        _signal(process, signal.SIGTERM)
-        for _ in range(luck.randint(0, 3)):
-            await asyncio.sleep(luck.uniform(0.0, 0.5))
-            _signal(process, luck.choice((signal.SIGTERM, signal.SIGHUP, signal.SIGINT)))
-        left = KILL_AFTER_S - (time.monotonic() - began)
-        try:
-            async with asyncio.timeout(left):
-                await process.wait()
-        except TimeoutError:
-            self.records.node_faults.append(f"n{node.number}: still runs when SIGKILL comes")
-            _signal(process, signal.SIGKILL)
-        code = await process.wait()
-        if code not in (0, -signal.SIGKILL):
-            self.records.node_faults.append(f"n{node.number}: ended with {code}")
-
-
-def _signal(process: asyncio.subprocess.Process, number: int) -> None:
-    """Send a signal, if the process still runs; asyncio's own way may reap it unseen."""
-    if process.returncode is None:
-        os.kill(process.pid, number)
-
-
-async def _idle(door: Door, luck: random.Random) -> None:
+            self.records.node_faults.append("\n".join([f"{node.name}: its log has a fault", *lines]))
+
+    async def _tell_to_end(self, node: Node, process: NodeProcess) -> None:
+        """Send SIGTERM, more signals while the process ends, and SIGKILL when its time is over."""
+        rng, began = random.Random(self._rng.random()), time.monotonic()
+        process.request_end()
+        for _ in range(rng.randint(0, 3)):
+            await asyncio.sleep(rng.uniform(0.0, 0.5))
+            process.send_signal(rng.choice((signal.SIGTERM, signal.SIGHUP, signal.SIGINT)))
+        left_s = KILL_AFTER_S - (time.monotonic() - began)
+        if not await process.wait(left_s):
+            self.records.node_faults.append(f"{node.name}: still runs when SIGKILL comes")
+            process.kill()
+        await process.wait()
+
+
+async def _idle(door: Door, rng: random.Random) -> None:
     """A connection that says nothing."""
     while door.open:
         try:
@@ -332,7 +324,7 @@
             pass
         finally:
             writer.transport.abort()
-        await asyncio.sleep(luck.uniform(0.0, 0.3))
+        await asyncio.sleep(rng.uniform(0.0, 0.3))
 
 
 def play(seed: int) -> Records:
