--- a/stepflow/interface/events.py
+++ b/stepflow/interface/events.py
@@ -60,11 +60,11 @@
 
 
 class SessionReportKind(IntEnum):
-    """What a report on an established session measures."""
+    """What a report on an established session measures. The names stand in traces."""
 
     LOAD = 1
     """The session's load now."""
-    LATENCY = 2
+    DELAY = 2
     """How long messages take at its endpoint, in milliseconds."""
 
 
--- a/stepflow/node/upstreams/liveness.py
+++ b/stepflow/node/upstreams/liveness.py
@@ -99,7 +99,7 @@
             self._since, self._summed, self._count, self._slow = now, ZERO, 0, slow
 
     def _note(self, connection: Joined, took: timedelta) -> None:
-        self._core.note(connection.context, SessionReportKind.LATENCY, took / timedelta(milliseconds=1))
+        self._core.note(connection.context, SessionReportKind.DELAY, took / timedelta(milliseconds=1))
 
     def _check(self) -> None:
         """Look whether the peer still owes what it owed when this was set."""
--- a/stepflow/node/upstreams/load_reports.py
+++ b/stepflow/node/upstreams/load_reports.py
@@ -42,11 +42,11 @@
         if not self._tells_delay:
             return SessionReportKind.LOAD
         if not self._tells_load:
-            return SessionReportKind.LATENCY
+            return SessionReportKind.DELAY
         share = value / math.exp(self._usual)
         if share < TINY or (share < SMALL and self._on_beat(peer, now)):
             self._keep(peer, now)
-            return SessionReportKind.LATENCY
+            return SessionReportKind.DELAY
         self._loads += 1
         if math.isfinite(value):
             self._usual += (math.log(value) - self._usual) * max(LEARN, 1 / (self._loads + FEW))
--- a/stepflow/policy/decide.py
+++ b/stepflow/policy/decide.py
@@ -483,7 +483,7 @@
             flight.load = self.model.told(value, flight.request.class_index)
             if server is not None:
                 self.settle(flight, server)
-        elif event.kind == SessionReportKind.LATENCY and server is not None and value >= self.late_ms:
+        elif event.kind == SessionReportKind.DELAY and server is not None and value >= self.late_ms:
             server.delay_us = self.now
             self.slow[server.id] = server
 
--- a/stepflow/traffic/recorder.py
+++ b/stepflow/traffic/recorder.py
@@ -67,7 +67,7 @@
             StartAttempt: self._send,
             RejectRequest: self._refuse,
             FailRequest: self._fail,
-            MigrateSession: lambda t, a: self._put(Kind.MOVE, t, a.request),
+            MigrateSession: lambda t, a: self._put(Kind.MOVE, t, a.request_id),
         }
 
     @property
