--- a/standins/sharer.py
+++ b/standins/sharer.py
@@ -15,11 +15,11 @@
 from stepflow.address import Address
 from stepflow.budgets.shares import ONE, Shares
 from stepflow.members import View
-from stepflow.node.member_port import NeighbourPort
+from stepflow.node.member_port import MemberPort
 from stepflow.node.runtime.clock import Clock, micros
 from stepflow.node.runtime.counters import Counters
 from stepflow.node.runtime.reactor import serving_reactor
-from stepflow.node.runtime.timers import Deadlines
+from stepflow.node.runtime.timers import Timers
 
 WINDOW_US = 1_000_000
 
@@ -44,7 +44,7 @@
                 print(decided, amount, flush=True)
 
     listen = Address.parse(told["listen"])
-    port = NeighbourPort(clock, Deadlines(clock, reactor, Counters()), shares, peers, spend)
+    port = MemberPort(clock, Timers(clock, reactor, Counters()), shares, peers, spend)
     reactor.listenUDP(listen.port, port, interface=listen.host)
     print("listens", flush=True)
     reactor.run()
--- a/stepflow/budgets/attempt_throttle.py
+++ b/stepflow/budgets/attempt_throttle.py
@@ -9,7 +9,7 @@
 THROTTLE_RATIO = 1.3  # attempts allowed for each that came up
 
 
-class Throttle:
+class AttemptThrottle:
     """Holds attempts back while too few of them come up."""
 
     tried = up = failed = 0.0
@@ -21,6 +21,6 @@
         self.tried, self.up, self.failed = self.tried * kept, self.up * kept, self.failed * kept
         self.free = THROTTLE_FREE + rate
 
-    def closed(self) -> bool:
+    def is_closed(self) -> bool:
         """Whether the next attempt is to wait until more have come up."""
         return self.tried >= THROTTLE_RATIO * self.up + self.free
--- a/stepflow/budgets/slow_start.py
+++ b/stepflow/budgets/slow_start.py
@@ -4,7 +4,7 @@
 
 import math
 
-from stepflow.estimates.arrivals import SECOND, Arrivals
+from stepflow.estimates.arrivals import SECOND, ArrivalEstimate
 from stepflow.interface import SafetyRules
 
 SAFETY = 0.8  # share of the allowed work used, for chance and for what others do
@@ -13,7 +13,7 @@
 KEPT_S = 10.0  # memory of what they told
 
 
-class Ramp:
+class SlowStartBudget:
     """How fast one node may fill cold servers, as if all others did likewise.
 
     A server can take new connections at the rate that fills it over its warm-up, however fast they come and
@@ -25,14 +25,14 @@
     def __init__(self) -> None:
         self._full = 0.0  # own connections that fill a mean server, as the warm ones told
 
-    def learn(self, own: Arrivals, warm: int, servers: int, load: float, seconds: float) -> None:
+    def learn(self, own: ArrivalEstimate, warm: int, servers: int, load: float, seconds: float) -> None:
         """Take what so many warm servers tell, as long as they are enough."""
         if warm and warm >= TOLD_FROM * servers:
             now = own.open / warm / max(load, FULL_FROM)
             share = 1 - math.exp(-seconds / KEPT_S) if self._full else 1.0
             self._full += share * (now - self._full)
 
-    def pace(self, own: Arrivals, warm: int, servers: int, load: float, rules: SafetyRules) -> float:
+    def pace(self, own: ArrivalEstimate, warm: int, servers: int, load: float, rules: SafetyRules) -> float:
         """Connections a second that the node may send to a mean server at full capacity."""
         enough = max(1, math.ceil(TOLD_FROM * servers))
         full = own.open / max(warm, enough) / max(load, FULL_FROM)
--- a/stepflow/cli/__init__.py
+++ b/stepflow/cli/__init__.py
@@ -10,7 +10,7 @@
 from stepflow import __version__
 from stepflow.cli.check import check
 from stepflow.cli.fleet import fleet
-from stepflow.errors import BadInput
+from stepflow.errors import InputError
 
 EXIT_BAD_INPUT, EXIT_FAILED = 2, 1
 EXTRA = ("numpy", "pyarrow", "scipy")  # what the extra `fleet` brings
@@ -41,7 +41,7 @@
     """Carry out a command; bad input gets one line and exit code 2."""
     try:
         ended = stepflow.main(list(words), prog_name="stepflow", standalone_mode=False)
-    except BadInput as fault:
+    except InputError as fault:
         click.echo(f"stepflow: {fault}", err=True)
         return EXIT_BAD_INPUT
     except ModuleNotFoundError as fault:
--- a/stepflow/cli/check.py
+++ b/stepflow/cli/check.py
@@ -9,7 +9,7 @@
 import msgspec
 
 from stepflow.daemon import read
-from stepflow.errors import BadInput
+from stepflow.errors import InputError
 from stepflow.node.process.config import load
 
 
@@ -39,6 +39,6 @@
             load({**os.environ, "GW_CONFIG": file})
         else:
             read(file)
-    except BadInput as fault:
+    except InputError as fault:
         return str(fault)
     return None
--- a/stepflow/cli/fleet.py
+++ b/stepflow/cli/fleet.py
@@ -9,7 +9,7 @@
 import click
 import msgspec
 
-from stepflow.errors import BadInput
+from stepflow.errors import InputError
 from stepflow.traffic.writer import journals
 
 
@@ -29,7 +29,7 @@
     for source in sources:
         paths += journals(source) if Path(source).is_dir() else [source]
     if not paths:
-        raise BadInput(f"{sources[0]}: no journal in it")
+        raise InputError(f"{sources[0]}: no journal in it")
 
     with click.progressbar(paths, label="journals", file=sys.stderr) as bar:
         manifest = make(bar, out)
@@ -295,7 +295,7 @@
         with open(path, "x") as file:
             file.write(text)
     except OSError as fault:
-        raise BadInput(f"{path}: {fault.strerror}") from None
+        raise InputError(f"{path}: {fault.strerror}") from None
 
 
 def _text(path: str) -> str:
--- a/stepflow/daemon/lines.py
+++ b/stepflow/daemon/lines.py
@@ -15,12 +15,12 @@
 import shlex
 from typing import NamedTuple
 
-from stepflow.errors import BadInput
+from stepflow.errors import InputError
 
 MOST_BYTES = 1 << 20
 
 
-class FileError(BadInput):
+class FileError(InputError):
     """What is wrong with a file, in one line that names the file, the line and the directive."""
 
     def __init__(self, file: str, line: int, what: str) -> None:
--- a/stepflow/daemon/model.py
+++ b/stepflow/daemon/model.py
@@ -9,7 +9,7 @@
 import msgspec
 
 from stepflow.daemon.lines import MOST_BYTES, Directive, FileError, parse
-from stepflow.errors import read_fault
+from stepflow.errors import mark_read_error
 
 _UNITS = {"": 1, "K": 1 << 10, "M": 1 << 20, "G": 1 << 30}
 _SIZE = re.compile(r"([0-9]{1,12})([KMG]?)")
@@ -49,7 +49,7 @@
         with open(path, "rb") as file:
             data = file.read(MOST_BYTES + 1)
     except OSError as fault:
-        raise read_fault(FileError(path, 0, fault.strerror or str(fault)), fault) from None
+        raise mark_read_error(FileError(path, 0, fault.strerror or str(fault)), fault) from None
     if len(data) > MOST_BYTES:
         raise FileError(path, 0, f"over {MOST_BYTES} bytes")
     try:
--- a/stepflow/errors.py
+++ b/stepflow/errors.py
@@ -6,33 +6,33 @@
 from collections.abc import Callable
 from typing import TypeVar
 
-from stepflow.os_errors import OF_THE_DISK
+from stepflow.os_errors import TRANSIENT_FILE_ERRORS
 
 T = TypeVar("T")
 
-READ_AGAIN_S = 0.05  # between two tries to read a file at the start
-READ_FOR_S = 10.0  # a process is owed to be ready within 30 s
+READ_RETRY_DELAY_S = 0.05  # between two tries to read a file at the start
+READ_RETRY_LIMIT_S = 10.0  # a process is owed to be ready within 30 s
 
 
-class BadInput(Exception):
+class InputError(Exception):
     """A file or a value that can't be taken: its text is one line, and names the file; exit code 2."""
 
-    passing = False  # the file could not be read just now: it may be had a moment later
+    is_transient = False  # the file could not be read just now: it may be had a moment later
 
 
-def read_fault(made: BadInput, fault: OSError) -> BadInput:
+def mark_read_error(made: InputError, fault: OSError) -> InputError:
     """What is wrong with a file that could not be read, marked where that may pass."""
-    made.passing = fault.errno in OF_THE_DISK
+    made.is_transient = fault.errno in TRANSIENT_FILE_ERRORS
     return made
 
 
-def read_patiently(read: Callable[[], T]) -> T:
+def read_with_retries(read: Callable[[], T]) -> T:
     """Read something at the start, again while what keeps it from being read may pass."""
-    until = time.monotonic() + READ_FOR_S
+    until = time.monotonic() + READ_RETRY_LIMIT_S
     while True:
         try:
             return read()
-        except BadInput as fault:
-            if not fault.passing or time.monotonic() >= until:
+        except InputError as fault:
+            if not fault.is_transient or time.monotonic() >= until:
                 raise
-            time.sleep(READ_AGAIN_S)
+            time.sleep(READ_RETRY_DELAY_S)
--- a/stepflow/estimates/arrivals.py
+++ b/stepflow/estimates/arrivals.py
@@ -11,7 +11,7 @@
 OUTWEIGH = 6.0  # as many times the new ones: a jam then lasts, and few new ones find it
 
 
-class Arrivals:
+class ArrivalEstimate:
     """Counts of one instance."""
 
     def __init__(self) -> None:
--- a/stepflow/estimates/loads.py
+++ b/stepflow/estimates/loads.py
@@ -8,7 +8,7 @@
 MEMORY = 1000  # told loads that the mean is of, at the most
 
 
-class Loads:
+class LoadEstimate:
     """Loads are work a second, in a unit that the first told one shows; until then one stands for each."""
 
     def __init__(self) -> None:
@@ -16,7 +16,7 @@
         self.by_class: dict[int, float] = {}  # the usual one
         self.count = 0  # of those that were told
 
-    def told(self, load: float | None, cls: int) -> tuple[float, float]:
+    def resolve(self, load: float | None, cls: int) -> tuple[float, float]:
         """The load of a connection, and the factor that brings what was counted before into its unit.
 
         One that is not told, or has no sense, is that of others of its class.
--- a/stepflow/fleet/baselines.py
+++ b/stepflow/fleet/baselines.py
@@ -31,7 +31,7 @@
     """What a node asks: the decision module, or a policy to hold it against."""
 
     def handle(self, now: int, event: Event) -> list[Action]: ...
-    def retune(self, settings: Settings) -> None: ...
+    def update_settings(self, settings: Settings) -> None: ...
 
 
 Maker = Callable[[Settings, int], Decides]
@@ -45,7 +45,7 @@
         self._servers: dict[EndpointId, Endpoint] = {}
         self._open: dict[int, int] = {}
 
-    def retune(self, settings: Settings) -> None:
+    def update_settings(self, settings: Settings) -> None:
         self._settings = settings
 
     def handle(self, now: int, event: Event) -> list[Action]:
--- a/stepflow/fleet/compare.py
+++ b/stepflow/fleet/compare.py
@@ -23,7 +23,7 @@
 from scipy import stats
 
 from stepflow import __version__
-from stepflow.errors import BadInput
+from stepflow.errors import InputError
 from stepflow.fleet import scenario as scenarios
 from stepflow.fleet.makers import maker
 from stepflow.fleet.tally import Score, score, series
@@ -37,7 +37,7 @@
 )
 
 
-class CompareError(BadInput):
+class CompareError(InputError):
     """Why a comparison can't be made."""
 
 
--- a/stepflow/fleet/fit.py
+++ b/stepflow/fleet/fit.py
@@ -27,7 +27,7 @@
 from numpy.typing import NDArray
 from scipy import stats
 
-from stepflow.errors import BadInput
+from stepflow.errors import InputError
 from stepflow.fleet.scenario import NORMAL_95, Class, Day
 from stepflow.fleet.trace import Trace
 
@@ -41,7 +41,7 @@
 Floats = NDArray[np.float64]
 
 
-class FitError(BadInput):
+class FitError(InputError):
     """Why a trace can't be fitted."""
 
 
--- a/stepflow/fleet/makers.py
+++ b/stepflow/fleet/makers.py
@@ -12,7 +12,7 @@
 from typing import Any
 
 from stepflow import policy as present
-from stepflow.errors import BadInput
+from stepflow.errors import InputError
 from stepflow.fleet.baselines import Maker, RandomChoice
 from stepflow.interface import Settings
 
@@ -25,7 +25,7 @@
 _numbers = count(1)
 
 
-class SpecError(BadInput):
+class SpecError(InputError):
     """What is wrong with the name of a policy."""
 
 
--- a/stepflow/fleet/report.py
+++ b/stepflow/fleet/report.py
@@ -19,7 +19,7 @@
 from matplotlib.figure import Figure
 from numpy.typing import NDArray
 
-from stepflow.errors import BadInput
+from stepflow.errors import InputError
 from stepflow.fleet import scenario as scenarios
 from stepflow.fleet.compare import FIGURES, Interval, interval
 
@@ -38,7 +38,7 @@
 }
 
 
-class ReportError(BadInput):
+class ReportError(InputError):
     """Why a results folder can't be shown."""
 
 
--- a/stepflow/fleet/synth.py
+++ b/stepflow/fleet/synth.py
@@ -5,7 +5,7 @@
 from collections.abc import Sequence
 from pathlib import Path
 
-from stepflow.errors import BadInput
+from stepflow.errors import InputError
 from stepflow.fleet.baselines import Maker
 from stepflow.fleet.scenario import Scenario
 from stepflow.fleet.servers import Server
@@ -75,7 +75,7 @@
     """Play a day and leave its journals in a new folder, one for each node; returns their paths."""
     target = Path(folder)
     if target.exists():
-        raise BadInput(f"{target}: is there already")
+        raise InputError(f"{target}: is there already")
     target.mkdir(parents=True)
     scribe = Scribe(target)
     World(scenario, seed, maker, ears=(scribe,)).run()
--- a/stepflow/fleet/trace.py
+++ b/stepflow/fleet/trace.py
@@ -13,7 +13,7 @@
 import pyarrow.compute as pc
 import pyarrow.parquet as pq
 
-from stepflow.errors import BadInput
+from stepflow.errors import InputError
 from stepflow.interface import AttemptResult, ListUpdateKind
 from stepflow.traffic import Kind, Reading, read_journal
 
@@ -89,7 +89,7 @@
 `load` is the mean of the loads told, weighed by how long each held."""
 
 
-class TraceError(BadInput):
+class TraceError(InputError):
     """Why a trace can't be read, in one line that names the file."""
 
 
--- a/stepflow/fleet/world.py
+++ b/stepflow/fleet/world.py
@@ -231,7 +231,7 @@
         """SIGHUP at all nodes: those that run take the settings that hold now."""
         for node in self.nodes:
             if node.policy is not None:
-                node.policy.retune(self.scenario.settings(node.number, self.now / SECOND))
+                node.policy.update_settings(self.scenario.settings(node.number, self.now / SECOND))
 
     def feed(self, node: Node, event: Event) -> None:
         """Hand an event to a node's module, and carry out what it says."""
--- a/stepflow/lazy_imports.py
+++ b/stepflow/lazy_imports.py
@@ -35,7 +35,7 @@
 ASYNCIO = {"AbstractEventLoop": "asyncio.events", "Future": "_asyncio", "iscoroutine": "asyncio.coroutines"}
 
 
-class Finder:
+class LazyFinder:
     """Finds what is put off, and gives it a loader that waits."""
 
     @classmethod
@@ -50,7 +50,7 @@
         return spec
 
 
-class Asyncio(ModuleType):
+class LazyAsyncio(ModuleType):
     """The package whose names come from its parts, as long as those that are known are enough."""
 
     def __getattr__(self, name: str) -> object:
@@ -68,11 +68,11 @@
         return getattr(self, name)
 
 
-def begin() -> None:
+def install() -> None:
     """Put them off; what is loaded already stays."""
     if "asyncio" not in sys.modules and (spec := PathFinder.find_spec("asyncio")) is not None:
         package = module_from_spec(spec)
-        package.__class__ = Asyncio
+        package.__class__ = LazyAsyncio
         sys.modules["asyncio"] = package
-    if Finder not in sys.meta_path:
-        sys.meta_path.insert(0, Finder)
+    if LazyFinder not in sys.meta_path:
+        sys.meta_path.insert(0, LazyFinder)
--- a/stepflow/node/admin/metrics.py
+++ b/stepflow/node/admin/metrics.py
@@ -9,7 +9,7 @@
 
 from stepflow.interface import Availability
 from stepflow.node.runtime.counters import ClassCounts, Counters
-from stepflow.policy import ServerState
+from stepflow.policy import EndpointState
 
 PREFIX = "edge_gw"
 EXCLUDED = 0.1  # below this share of its weight a server is as good as left out
@@ -24,7 +24,7 @@
     map_servers_excluded: int  # of them, those that get nothing new now
 
 
-def excluded(servers: Iterable[ServerState]) -> int:
+def excluded(servers: Iterable[EndpointState]) -> int:
     """How many listed servers get nothing new now, or next to nothing: those that drain or fail."""
     listed = [s for s in servers if s.availability != Availability.GONE]
     return sum(s.availability != Availability.READY or s.health < EXCLUDED for s in listed)
--- a/stepflow/node/admin/site.py
+++ b/stepflow/node/admin/site.py
@@ -12,7 +12,7 @@
 from twisted.python.failure import Failure
 
 from stepflow.address import Address
-from stepflow.node.runtime.timers import Deadline, Deadlines
+from stepflow.node.runtime.timers import Timer, Timers
 from stepflow.node.runtime.transports import Port, Reactor, Transport
 
 CALLS_KEPT = 12  # descriptors for calls; clients never get them, and calls no others
@@ -34,7 +34,7 @@
         return cast(Transport, self.transport)
 
     def connectionMade(self) -> None:
-        self._deadline: Deadline = self._site.deadlines.after(CALL, self.end)
+        self._deadline: Timer = self._site.deadlines.after(CALL, self.end)
         self._site.calls[self] = None
 
     def dataReceived(self, data: bytes) -> None:
@@ -79,7 +79,7 @@
 
     noisy = False
 
-    def __init__(self, deadlines: Deadlines, ready: Callable[[], bool], figures: Callable[[], bytes]) -> None:
+    def __init__(self, deadlines: Timers, ready: Callable[[], bool], figures: Callable[[], bytes]) -> None:
         self.deadlines, self._ready = deadlines, ready
         self.calls: dict[_Call, None] = {}  # the oldest first
         self._paths: dict[bytes, Callable[[], Answer]] = {
--- a/stepflow/node/clients/connection.py
+++ b/stepflow/node/clients/connection.py
@@ -19,11 +19,11 @@
 from stepflow.node.runtime.clock import Clock, micros, millis
 from stepflow.node.runtime.counters import Counters
 from stepflow.node.runtime.lines import LineProtocol, was_reset
-from stepflow.node.runtime.timers import Deadline, Deadlines
+from stepflow.node.runtime.timers import Timer, Timers
 from stepflow.node.runtime.transports import Reactor, family, finish, flush, has_ended, has_unread
-from stepflow.node.upstreams.attempt import PeerAttempt, Peers
+from stepflow.node.upstreams.attempt import UpstreamAttempt, UpstreamConnections
 from stepflow.node.upstreams.dialer import Dial
-from stepflow.node.upstreams.liveness import Pulses
+from stepflow.node.upstreams.liveness import LivenessMonitor
 
 # From the connection's first moment, whatever comes: neither a drip of bytes nor PINGs put it off, or a
 # crowd that sends those would hold the node's sockets. True clients may write for 2 s; bad ones are owed
@@ -43,7 +43,7 @@
 _LOAD = re.compile(rb"[0-9]{1,15}(\.[0-9]{1,15})?([eE][-+]?[0-9]{1,2})?")
 
 
-class Opening(NamedTuple):
+class OpenRequest(NamedTuple):
     """The first line of a client connection."""
 
     head: bytes  # OPEN, id and key, as they came
@@ -63,13 +63,13 @@
         return b"%s %s\r\n" % (self.head, pairs)
 
 
-class MalformedLine(ValueError):
+class MalformedRequestError(ValueError):
     """What is wrong with a first line."""
 
 
-def parse_opening(
+def parse_open_request(
     line: bytes, now: timedelta, classes: dict[bytes, int], tenants: dict[bytes, int] | None = None
-) -> Opening:
+) -> OpenRequest:
     """Read `OPEN ID KEY NAME=VALUE,...`; names that are not known here go on to the peer as they are.
 
     A tenant that the settings don't name has a number beyond all of theirs.
@@ -77,27 +77,27 @@
     tenants = tenants or {}
     words = line.split(b" ")
     if len(words) != 4 or words[0] != b"OPEN" or not all(words):
-        raise MalformedLine("not OPEN, an id, a key and a list")
+        raise MalformedRequestError("not OPEN, an id, a key and a list")
     pairs = []
     for item in words[3].split(b","):
         name, equals, value = item.partition(b"=")
         if not name or not equals:
-            raise MalformedLine("an item that is not NAME=VALUE")
+            raise MalformedRequestError("an item that is not NAME=VALUE")
         pairs.append((name, value))
     told = dict(pairs)
     if len(told) != len(pairs):
-        raise MalformedLine("a name stands twice")
+        raise MalformedRequestError("a name stands twice")
     if not line.isascii() or any(byte < 32 or byte == 127 for byte in line):
-        raise MalformedLine("a byte that is not plain ASCII")
+        raise MalformedRequestError("a byte that is not plain ASCII")
     if told.get(b"c", b"") not in classes:
-        raise MalformedLine("an unknown class")
+        raise MalformedRequestError("an unknown class")
     # Python's own conversions take signs, underscores, prefixes, `nan` and `inf`; peers don't.
     forms = ((_HEX, words[1]), (_HEX, words[2]), (_HEX, told.get(b"g", b"0")), (_LOAD, told.get(b"h", b"0")))
     if not all(form.fullmatch(value) for form, value in (*forms, (_COUNT, told.get(b"d", b"")))):
-        raise MalformedLine("a value that can't be read")
+        raise MalformedRequestError("a value that can't be read")
     wait = timedelta(milliseconds=int(told[b"d"]))
     if wait > (STANDING_WAIT if b"at" in told else MOST_WAIT):
-        raise MalformedLine("a wait that no client has")
+        raise MalformedRequestError("a wait that no client has")
     request = Request(
         id=0,
         class_index=classes[told[b"c"]],
@@ -109,7 +109,7 @@
         is_retry=told.get(b"r") == b"1",
         is_migrated=told.get(b"again") == b"1",
     )
-    return Opening(b" ".join(words[:3]), tuple(pairs), request, told.get(b"at", b"").decode())
+    return OpenRequest(b" ".join(words[:3]), tuple(pairs), request, told.get(b"at", b"").decode())
 
 
 class ClientFactory(Factory):
@@ -124,11 +124,11 @@
         self,
         core: Core,
         clock: Clock,
-        deadlines: Deadlines,
+        deadlines: Timers,
         counters: Counters,
-        pulses: Pulses,
+        pulses: LivenessMonitor,
         reactor: Reactor,
-        peers: Peers,
+        peers: UpstreamConnections,
         classes: dict[bytes, int],
         tenants: dict[bytes, int],
         free: Callable[[], int],
@@ -158,13 +158,13 @@
         tenant = self.tenants.get(str(told.get("tenant", "")).encode(), len(self.tenants))
         request = Request(0, cls, 0, told["load"], tenant, told["key"], told["group"])
         connection = ClientConnection(self)
-        context = self.core.adopt(request, connection, at)
+        context = self.core.adopt_session(request, connection, at)
         if context is None:
             return False
         self.reactor.adoptStreamConnection(client, families[0], Dial(connection, lambda: None))
         connection.stand(context, told["id"])
-        context.attempt = attempt = self.peers.standing(context, peer)
-        connection.served(attempt)
+        context.attempt = attempt = self.peers.adopt_session(context, peer)
+        connection.session_established(attempt)
         connection.go_on(told)
         return True
 
@@ -204,10 +204,10 @@
     def __init__(self, factory: ClientFactory) -> None:
         super().__init__()
         self._node = factory
-        self._opening: Opening | None = None
+        self._opening: OpenRequest | None = None
         self._context: RequestContext | None = None
         self._relay: Relay | None = None
-        self._deadline: Deadline | None = None
+        self._deadline: Timer | None = None
         self._closing = False
         self._pings = self._discarded = 0
         self._id: int | None = None
@@ -243,8 +243,8 @@
             return
         text = bytes(line)  # outlives the buffer: every attempt sends it
         try:
-            opening = parse_opening(text, self._node.clock.now(), self._node.classes, self._node.tenants)
-        except MalformedLine:
+            opening = parse_open_request(text, self._node.clock.now(), self._node.classes, self._node.tenants)
+        except MalformedRequestError:
             self._malformed()
             return
         id = int(text.split(b" ", 2)[1], 16)
@@ -256,12 +256,12 @@
         self._settle_opening()
         if not self._node.make_room():
             self._node.counters.table_full += 1
-            self._node.core.turn_away(opening.request, opening.name, "no descriptor")
+            self._node.core.reject_unaccepted(opening.request, opening.name, "no descriptor")
             self.reject(timedelta(0))
             return
         self._node.ids.add(id)
         self._id, self._opening = id, opening
-        self._context = self._node.core.take(opening.request, self, opening.standing_at, opening.name)
+        self._context = self._node.core.accept(opening.request, self, opening.standing_at, opening.name)
         if self._context is None:
             self.reject(timedelta(0))
 
@@ -319,7 +319,7 @@
         """The client is owed nothing more."""
         if self._context is not None:
             context, self._context = self._context, None
-            self._node.core.client_gone(context)
+            self._node.core.client_disconnected(context)
 
     def offer(self) -> dict[str, Any] | None:
         """What another process must know to go on with this session, once its sockets can be passed."""
@@ -333,10 +333,10 @@
             "id": self._id,
             "class": self._node.core.class_name(request.class_index),
             "tenant": self._node.core.tenant_name(request.tenant),
-            "load": self._node.core.load(self._context),
+            "load": self._node.core.session_load(self._context),
             "key": request.idempotency_key,
             "group": request.affinity_group,
-            "at": self._context.peer,
+            "at": self._context.endpoint,
         }
 
     def taken(self, by_other: bool) -> None:
@@ -352,7 +352,7 @@
 
     # The core's side.
 
-    def look(self) -> None:
+    def check_disconnected(self) -> None:
         """Take note of a client that has left, though its end was not read yet: nothing may begin for it."""
         if not self._closing and self._relay is None and has_ended(self.wire):
             self._leave()
@@ -361,8 +361,8 @@
         """The first line for an attempt that waits so long."""
         return b"" if self._opening is None else self._opening.line(wait)
 
-    def served(self, attempt: Attempt) -> None:
-        peer = cast(PeerAttempt, attempt)
+    def session_established(self, attempt: Attempt) -> None:
+        peer = cast(UpstreamAttempt, attempt)
         context = cast(RequestContext, self._context)
         self.wire.write(peer.receipt)
         node = self._node
@@ -391,10 +391,10 @@
     def fail(self) -> None:
         self._answer(b"ERR\r\n")
 
-    def finish(self, answer: bytes) -> None:
+    def complete(self, answer: bytes) -> None:
         self._answer(answer)
 
-    def move(self) -> None:
+    def migrate(self) -> None:
         if self._relay is not None:
             self._relay.move()
 
--- a/stepflow/node/clients/listener.py
+++ b/stepflow/node/clients/listener.py
@@ -20,7 +20,7 @@
 from stepflow.logs import get_logger
 from stepflow.node.runtime.counters import Counters
 from stepflow.node.runtime.transports import Reactor, has_unread
-from stepflow.os_errors import ACCEPT_AGAIN, OF_ONE_CONNECTION
+from stepflow.os_errors import ACCEPT_RETRY_DELAY, SINGLE_CONNECTION_ERRORS
 
 log = get_logger()
 
@@ -55,7 +55,7 @@
             try:
                 accepted, address = self.socket.accept()
             except OSError as fault:
-                if fault.errno in OF_ONE_CONNECTION:
+                if fault.errno in SINGLE_CONNECTION_ERRORS:
                     continue
                 if fault.errno not in (errno.EAGAIN, errno.EINTR):
                     self.counters.accept_failures += 1
@@ -82,7 +82,7 @@
         if not self._pausing:
             self._pausing = True
             self.stopReading()
-            self.reactor.callLater(ACCEPT_AGAIN.total_seconds(), self._go_on)
+            self.reactor.callLater(ACCEPT_RETRY_DELAY.total_seconds(), self._go_on)
 
     def _go_on(self) -> None:
         self._pausing = False
@@ -103,7 +103,7 @@
             before = self.sessionno
             self.doRead()
             if self.sessionno == before and self._pausing:
-                self.reactor.callLater(ACCEPT_AGAIN.total_seconds(), self.end, ended)
+                self.reactor.callLater(ACCEPT_RETRY_DELAY.total_seconds(), self.end, ended)
                 return
         self.close_now()
         ended()
--- a/stepflow/node/core.py
+++ b/stepflow/node/core.py
@@ -49,24 +49,24 @@
 from stepflow.node.runtime.counters import Counters
 from stepflow.node.runtime.request_log import RequestLog
 from stepflow.node.runtime.slots import SlotTable
-from stepflow.node.runtime.timers import Deadlines
+from stepflow.node.runtime.timers import Timers
 from stepflow.policy import Policy
 from stepflow.upstream.start_times import StartTimes
 
 log = get_logger()
 
-Tap = Callable[[int, Event, list[Action]], None]
+EventRecorder = Callable[[int, Event, list[Action]], None]
 
 STAND_AGAIN = timedelta(milliseconds=250)  # until a connection that stood before the start is tried again
 
 
-class Front(Protocol):
+class Downstream(Protocol):
     """The client's side of one request."""
 
-    def look(self) -> None:
+    def check_disconnected(self) -> None:
         """Tell `Core.client_gone` now if the client has left, though that would be heard of only later."""
 
-    def served(self, attempt: Attempt) -> None:
+    def session_established(self, attempt: Attempt) -> None:
         """The attempt is up: join it with the client."""
 
     def reject(self, retry_after: timedelta) -> None:
@@ -75,10 +75,10 @@
     def fail(self) -> None:
         """Answer that the request failed."""
 
-    def finish(self, answer: bytes) -> None:
+    def complete(self, answer: bytes) -> None:
         """Answer what a peer made of a request that it served to its end."""
 
-    def move(self) -> None:
+    def migrate(self) -> None:
         """Tell a joined client to come again, and end both sides; `ended` follows."""
 
 
@@ -89,13 +89,13 @@
         """Give it up by closing its socket; `attempt_ended` follows once it is closed."""
 
 
-class Uplink(Protocol):
+class Upstream(Protocol):
     """The way to the peers."""
 
-    def attempt(self, context: RequestContext, peer: str, wait: timedelta) -> Attempt | None:
+    def start_attempt(self, context: RequestContext, peer: str, wait: timedelta) -> Attempt | None:
         """Begin an attempt; None where the peer has no address."""
 
-    def probe(self, peer: str) -> None:
+    def start_health_check(self, peer: str) -> None:
         """Ask a peer for its load report; `probed` follows."""
 
     def close_idle(self, peer: str) -> None:
@@ -114,16 +114,16 @@
     """One request, from its arrival until its client has its answer and no attempt is out."""
 
     request: Request
-    front: Front
-    standing_at: str = ""  # the peer at which it stood before this node's start
-    name: str = ""  # the id that its client gave
+    downstream: Downstream
+    previous_endpoint: str = ""  # the peer at which it stood before this node's start
+    client_request_id: str = ""  # the id that its client gave
     attempt: Attempt | None = None
     attempts: int = 0
-    peer: str = ""
-    sent: timedelta = ZERO
-    up: bool = False
+    endpoint: str = ""
+    attempt_started: timedelta = ZERO
+    established: bool = False
     answered: bool = False
-    limit: int = 1  # of attempts: the settings' when it was taken
+    max_attempts: int = 1  # of attempts: the settings' when it was taken
 
     @property
     def id(self) -> int:
@@ -138,7 +138,7 @@
         policy: Policy,
         settings: Settings,
         clock: Clock,
-        deadlines: Deadlines,
+        deadlines: Timers,
         counters: Counters,
         slots: int,
     ) -> None:
@@ -147,10 +147,10 @@
         self._contexts: SlotTable[RequestContext] = SlotTable(slots)
         self._requests = RequestLog(clock, counters)
         self._start_times = StartTimes()
-        self.retune(settings)
+        self.update_settings(settings)
         self._events: deque[Event] = deque()
         self._handling = self._leaving = False
-        self.tap: Tap | None = None  # hears each event with the actions that followed
+        self.recorder: EventRecorder | None = None  # hears each event with the actions that followed
         self._actions: dict[type, Callable[..., None]] = {
             StartAttempt: self._send,
             RejectRequest: self._refuse,
@@ -158,7 +158,7 @@
             CancelAttempt: self._cancel,
             MigrateSession: self._move,
             SetTimer: self._set_timer,
-            StartHealthCheck: lambda action: self._uplink.probe(action.endpoint),
+            StartHealthCheck: lambda action: self._uplink.start_health_check(action.endpoint),
             CloseIdleConnections: lambda action: self._uplink.close_idle(action.endpoint),
             WatchEndpointList: lambda action: self._discovery.watch(action.enabled),
             FetchEndpointList: lambda action: self._discovery.fetch(),
@@ -166,17 +166,17 @@
             LogMessage: lambda action: log.info("policy", text=action.text),
         }
 
-    def start(self, uplink: Uplink, discovery: Discovery, known: tuple[Endpoint, ...]) -> None:
+    def start(self, uplink: Upstream, discovery: Discovery, known: tuple[Endpoint, ...]) -> None:
         """Begin the module's life with the list that this node last had."""
         self._uplink, self._discovery = uplink, discovery
         self._post(Started())
-        self.listed(ListUpdateKind.CACHED, known)
+        self.endpoint_list_updated(ListUpdateKind.CACHED, known)
 
-    def retune(self, settings: Settings) -> None:
+    def update_settings(self, settings: Settings) -> None:
         """Take settings, at the start or later; what is open keeps its class and its limit of attempts."""
         self._settings = settings
         self._counts = [self._counters.of(cls.name) for cls in settings.classes]
-        self._policy.retune(settings)
+        self._policy.update_settings(settings)
 
     def class_name(self, number: int) -> str:
         return self._settings.classes[number].name
@@ -192,19 +192,19 @@
 
     # Facts from the front.
 
-    def take(
-        self, request: Request, front: Front, standing_at: str = "", name: str = ""
+    def accept(
+        self, request: Request, front: Downstream, standing_at: str = "", name: str = ""
     ) -> RequestContext | None:
         """Take a request, which is owed one answer from now on; None when it can't be taken."""
         if self._leaving:  # what came up now would be cut off at the exit
-            self.turn_away(request, name, "the node leaves")
+            self.reject_unaccepted(request, name, "the node leaves")
             return None
         limit = self._settings.limits.max_attempts
-        context = RequestContext(request, front, standing_at, name, limit=limit)
+        context = RequestContext(request, front, standing_at, name, max_attempts=limit)
         id = self._contexts.take(context)
         if id is None:
             self._counters.table_full += 1
-            self.turn_away(request, name, "no slot")
+            self.reject_unaccepted(request, name, "no slot")
             return None
         context.request = request._replace(id=id)
         self._counters.requests += 1
@@ -217,12 +217,18 @@
             self._post(context.request)
         return context
 
-    def adopt(self, request: Request, front: Front, peer: str) -> RequestContext | None:
+    def adopt_session(self, request: Request, front: Downstream, peer: str) -> RequestContext | None:
         """Go on with a session that came up in the process before; None when it can't be taken."""
         if self._leaving:
             return None
         context = RequestContext(
-            request, front, attempts=1, peer=peer, sent=self._clock.now(), up=True, answered=True
+            request,
+            front,
+            attempts=1,
+            endpoint=peer,
+            attempt_started=self._clock.now(),
+            established=True,
+            answered=True,
         )
         id = self._contexts.take(context)
         if id is None:
@@ -231,24 +237,24 @@
         self._post(SessionAdopted(context.request, peer))
         return context
 
-    def load(self, context: RequestContext) -> float | None:
+    def session_load(self, context: RequestContext) -> float | None:
         """What the module counts a session's load as."""
-        flight = self._policy.flights.get(context.id)
+        flight = self._policy.requests.get(context.id)
         return None if flight is None else flight.load
 
     def sessions(self) -> Iterator[tuple[Request, str, float | None]]:
         """What stands: its request, its peer, and its load as the module counts it."""
-        for context in self.standing():
-            yield context.request, context.peer, self.load(context)
+        for context in self.established_sessions():
+            yield context.request, context.endpoint, self.session_load(context)
 
-    def entries(self) -> list[Endpoint]:
+    def endpoints(self) -> list[Endpoint]:
         """The list as the module holds it."""
         return [
             Endpoint(s.id, s.zone, s.kind, s.cell, s.availability, s.size, s.started_us)
-            for s in self._policy.model.servers.values()
+            for s in self._policy.model.endpoints.values()
         ]
 
-    def turn_away(self, request: Request, name: str, why: str) -> None:
+    def reject_unaccepted(self, request: Request, name: str, why: str) -> None:
         """Count a request that the node rejects without taking it."""
         self._requests.turned_away(name, why)
         self._count_rejected(request)
@@ -257,14 +263,14 @@
         self._counters.rejected += 1
         self._counts[request.class_index].refused += 1
 
-    def client_gone(self, context: RequestContext) -> None:
+    def client_disconnected(self, context: RequestContext) -> None:
         """The client left before its answer: an attempt that is still out would only waste work."""
         if context.answered:
             return
         context.answered = True
         self._counters.left += 1
         self._requests.answered(context, "none", "the client left")
-        if not context.standing_at:
+        if not context.previous_endpoint:
             self._post(ClientDisconnected(context.id))
         if context.attempt is not None:
             context.attempt.abandon()
@@ -272,33 +278,33 @@
 
     # Facts from attempts and from joined connections.
 
-    def may_begin(self, context: RequestContext) -> bool:
+    def may_send_attempt(self, context: RequestContext) -> bool:
         """Whether an attempt whose connection has come up may still send its line."""
-        context.front.look()
+        context.downstream.check_disconnected()
         if context.answered:
             return False
         now = micros(self._clock.now())
-        return bool(context.standing_at) or self._policy.may_begin(now, context.id)
+        return bool(context.previous_endpoint) or self._policy.may_send_attempt(now, context.id)
 
-    def attempt_written(self, context: RequestContext) -> None:
+    def attempt_sent(self, context: RequestContext) -> None:
         """The last byte of an attempt's line went out."""
         self._counters.attempts += 1
         self._counts[context.request.class_index].attempts += 1
 
-    def attempt_up(self, context: RequestContext, attempt: Attempt) -> None:
+    def attempt_established(self, context: RequestContext, attempt: Attempt) -> None:
         """A peer took the connection."""
         if context.attempt is not attempt or context.answered:
             attempt.abandon()
             return
-        context.up = context.answered = True
+        context.established = context.answered = True
         self._count_served(context)
         self._requests.answered(context, "UP", "the peer's answer")
-        if context.standing_at:
-            self._post(SessionAdopted(context.request, context.peer))
+        if context.previous_endpoint:
+            self._post(SessionAdopted(context.request, context.endpoint))
         else:
-            wait = micros(self._clock.now() - context.sent)
-            self._post(SessionEstablished(context.id, context.attempts - 1, context.peer, wait))
-        context.front.served(attempt)
+            wait = micros(self._clock.now() - context.attempt_started)
+            self._post(SessionEstablished(context.id, context.attempts - 1, context.endpoint, wait))
+        context.downstream.session_established(attempt)
 
     def attempt_ended(
         self,
@@ -315,15 +321,15 @@
             context.answered = True
             self._count_served(context)
             self._requests.answered(context, "BYE", "the peer's answer")
-            context.front.finish(answer)
-        if context.standing_at and not context.up:  # the module never heard of it
+            context.downstream.complete(answer)
+        if context.previous_endpoint and not context.established:  # the module never heard of it
             if not context.answered and not self._stand_again(context, result):
                 self._fail(FailRequest(context.id))
         else:
-            wait = micros(self._clock.now() - context.sent)
+            wait = micros(self._clock.now() - context.attempt_started)
             self._post(
                 AttemptEnded(
-                    context.id, context.attempts - 1, context.peer, result, context.answered, wait, report
+                    context.id, context.attempts - 1, context.endpoint, result, context.answered, wait, report
                 )
             )
         self._release(context)
@@ -341,30 +347,30 @@
             return False
         now = self._clock.now()
         left = context.request.expires_us - micros(now + STAND_AGAIN)
-        if left <= 0 or context.attempts >= context.limit:
+        if left <= 0 or context.attempts >= context.max_attempts:
             return False
 
         def again() -> None:
             if not context.answered:
-                self._attempt(context, context.standing_at, micros(self._clock.now()), 0)
+                self._attempt(context, context.previous_endpoint, micros(self._clock.now()), 0)
 
         self._deadlines.at(now + STAND_AGAIN, again)
         return True
 
-    def note(self, context: RequestContext, kind: SessionReportKind, value: float) -> None:
+    def session_report(self, context: RequestContext, kind: SessionReportKind, value: float) -> None:
         """News of a connection that stands."""
-        self._post(SessionReport(context.id, context.attempts - 1, context.peer, kind, value))
+        self._post(SessionReport(context.id, context.attempts - 1, context.endpoint, kind, value))
 
     # Facts from probes and from discovery.
 
-    def probed(
+    def health_check_ended(
         self, peer: str, result: AttemptResult, wait: timedelta, report: tuple[float, ...] = ()
     ) -> None:
         if result != AttemptResult.OK:
             self._counters.probes_failed += 1
         self._post(HealthCheckEnded(peer, result, micros(wait), report))
 
-    def listed(self, form: ListUpdateKind, entries: tuple[Endpoint, ...]) -> None:
+    def endpoint_list_updated(self, form: ListUpdateKind, entries: tuple[Endpoint, ...]) -> None:
         """A list or a change of it, or (`FAILED`) a call that brought none."""
         if form != ListUpdateKind.FAILED:
             now = micros(self._clock.now())
@@ -380,12 +386,12 @@
         """
         self._leaving = True
         for context in self._contexts:
-            if not context.answered and self._policy.harmless(context.id):
+            if not context.answered and self._policy.is_safe_to_reject(context.id):
                 self._refuse(RejectRequest(context.id))
                 if context.attempt is not None:
                     context.attempt.abandon()
 
-    def settle_pending(self) -> None:
+    def answer_pending(self) -> None:
         """Answer everything: there is no time left."""
         self.reject_pending()
         for context in self._contexts:
@@ -394,11 +400,11 @@
                 if context.attempt is not None:
                     context.attempt.abandon()
 
-    def standing(self) -> list[RequestContext]:
+    def established_sessions(self) -> list[RequestContext]:
         """The contexts whose connection stands."""
-        return [context for context in self._contexts if context.up]
+        return [context for context in self._contexts if context.established]
 
-    def move(self, context: RequestContext) -> None:
+    def migrate(self, context: RequestContext) -> None:
         """Move a standing client; one that is gone meanwhile is passed over."""
         if self._contexts.get(context.id) is context:
             self._move(MigrateSession(context.id))
@@ -427,8 +433,8 @@
             log.exception("the decision module failed", on=repr(event))
             id = event.id if isinstance(event, Request) else getattr(event, "request_id", None)
             actions = [FailRequest(id)] if isinstance(id, int) else []
-        if self.tap is not None:
-            self.tap(now, event, actions)
+        if self.recorder is not None:
+            self.recorder(now, event, actions)
         for action in actions:
             self._actions[type(action)](action)
 
@@ -442,18 +448,18 @@
         if context.attempt is not None:
             log.error("a second attempt while one is out", request=context.id)
             return
-        context.front.look()
+        context.downstream.check_disconnected()
         left = context.request.expires_us - now
         wait = min(timeout_us, left) if timeout_us else left
         context.attempts += 1
-        context.peer, context.sent = peer, self._clock.now()
-        spent = context.attempts > context.limit
+        context.endpoint, context.attempt_started = peer, self._clock.now()
+        spent = context.attempts > context.max_attempts
         if spent or wait <= 0 or context.answered:
             self.attempt_ended(context, AttemptResult.NOT_SENT)
             return
         span = timedelta(microseconds=wait)
         self._requests.attempt_begun(context, span)
-        context.attempt = self._uplink.attempt(context, peer, span)
+        context.attempt = self._uplink.start_attempt(context, peer, span)
         if context.attempt is None:
             self.attempt_ended(context, AttemptResult.CONNECT_FAILED)
 
@@ -463,7 +469,7 @@
             context.answered = True
             self._count_rejected(context.request)
             self._requests.answered(context, "BUSY", self._why())
-            context.front.reject(timedelta(microseconds=action.retry_after_us))
+            context.downstream.reject(timedelta(microseconds=action.retry_after_us))
             self._release(context)
 
     def _fail(self, action: FailRequest) -> None:
@@ -473,7 +479,7 @@
             self._counters.failed += 1
             self._requests.answered(context, "ERR", self._why())
             self._counts[context.request.class_index].failed += 1
-            context.front.fail()
+            context.downstream.fail()
             self._release(context)
 
     def _why(self) -> str:
@@ -482,16 +488,16 @@
 
     def _cancel(self, action: CancelAttempt) -> None:
         context = self._contexts.get(action.request_id)
-        if context is None or context.up or context.attempt is None:
+        if context is None or context.established or context.attempt is None:
             return
         if action.attempt == context.attempts - 1:
             context.attempt.abandon()
 
     def _move(self, action: MigrateSession) -> None:
         context = self._contexts.get(action.request_id)
-        if context is not None and context.up:
+        if context is not None and context.established:
             self._counters.moved += 1
-            context.front.move()
+            context.downstream.migrate()
 
     def _set_timer(self, action: SetTimer) -> None:
         timer = TimerFired(action.token)
--- a/stepflow/node/discovery.py
+++ b/stepflow/node/discovery.py
@@ -15,7 +15,7 @@
 from stepflow.logs import get_logger
 from stepflow.node.core import Core
 from stepflow.node.runtime.counters import Counters
-from stepflow.node.runtime.timers import Deadline, Deadlines
+from stepflow.node.runtime.timers import Timer, Timers
 from stepflow.node.runtime.transports import Connector, Reactor, Transport
 from stepflow.upstream import EndpointGroup, EndpointListError, JsonStream, JsonStreamError
 from stepflow.upstream.poll_schedule import ANSWER_US, SILENCE_US
@@ -49,7 +49,7 @@
         self,
         connect: Callable[[Call], Connector],
         request: h11.Request,
-        deadlines: Deadlines,
+        deadlines: Timers,
         answer: timedelta,
         value: Callable[[Call, object], None],
         ended: Callable[[Call, str], None],
@@ -61,7 +61,7 @@
 
     def begin(self) -> None:
         """Connect; whoever owns the call must know of it first, for it may fail at once."""
-        self._deadline: Deadline = self._deadlines.after(self._wait, self._silent)
+        self._deadline: Timer = self._deadlines.after(self._wait, self._silent)
         self._connector = self._connect(self)
 
     @property
@@ -166,7 +166,7 @@
         address: Address,
         group: EndpointGroup,
         core: Core,
-        deadlines: Deadlines,
+        deadlines: Timers,
         counters: Counters,
     ) -> None:
         self._reactor, self._address = reactor, address
@@ -175,7 +175,7 @@
         self._watch: Call | None = None
         self._fetches: dict[Call, None] = {}
         self._asked_ahead = False  # the watch was begun by a move, while the module waits to ask again
-        self._retry: Deadline | None = None
+        self._retry: Timer | None = None
         self._retries = 0  # failures of the watch that are tried again here
         self._kept = False  # the watch is kept here, whatever the module wants
         self._again = AGENT_RETRY[0]  # until a kept watch is begun again
@@ -264,7 +264,7 @@
         if call is self._watch:
             self._retries = 0  # the new address serves; what fails from now on is the module's affair
             self._again = AGENT_RETRY[0]
-        self._core.listed(ListUpdateKind.FULL if whole else ListUpdateKind.DELTA, servers)
+        self._core.endpoint_list_updated(ListUpdateKind.FULL if whole else ListUpdateKind.DELTA, servers)
         if call is self._watch:
             self._hear()
 
@@ -288,4 +288,4 @@
             if ahead:
                 return  # the module waits to ask again as it is
         # Never from within the module's own call: it hears of the failure as of any other event.
-        self._core.listed(ListUpdateKind.FAILED, ())
+        self._core.endpoint_list_updated(ListUpdateKind.FAILED, ())
--- a/stepflow/node/member_port.py
+++ b/stepflow/node/member_port.py
@@ -12,13 +12,13 @@
 from stepflow.budgets.shares import Shares
 from stepflow.members import BadMessage, Message, read, written
 from stepflow.node.runtime.clock import Clock, micros
-from stepflow.node.runtime.timers import Deadlines
+from stepflow.node.runtime.timers import Timers
 from stepflow.node.runtime.transports import DatagramTransport
 
 POLL = timedelta(milliseconds=25)  # between two looks for what is to be sent
 
 
-class NeighbourPort(DatagramProtocol):
+class MemberPort(DatagramProtocol):
     """Owns the socket; whoever is not among the addresses, or speaks for another place, is nobody.
 
     `addresses` holds each place's, in order; that of this place is never used.
@@ -27,7 +27,7 @@
     def __init__(
         self,
         clock: Clock,
-        deadlines: Deadlines,
+        deadlines: Timers,
         shares: Shares,
         addresses: Sequence[Address],
         spend: Callable[[], None] = lambda: None,
--- a/stepflow/node/process/config.py
+++ b/stepflow/node/process/config.py
@@ -10,11 +10,11 @@
 import msgspec
 
 from stepflow.address import Address
-from stepflow.errors import BadInput, read_fault
-from stepflow.settings import NodeSettings, SettingsError, node_settings
+from stepflow.errors import InputError, mark_read_error
+from stepflow.settings import NodeSettings, SettingsError, parse_node_settings
 
 
-class ConfigError(BadInput):
+class ConfigError(InputError):
     """What is wrong with the configuration, in one line."""
 
 
@@ -89,7 +89,7 @@
         with open(path, "rb") as source:
             tree = json.load(source)
     except OSError as fault:
-        raise read_fault(ConfigError(f"{path}: {fault.strerror}"), fault) from None
+        raise mark_read_error(ConfigError(f"{path}: {fault.strerror}"), fault) from None
     except (ValueError, RecursionError) as fault:
         raise ConfigError(f"{path}: not JSON: {fault}") from None
     if not isinstance(tree, dict):
@@ -124,7 +124,7 @@
         raise ConfigError(f"{path}: seed: {file.seed!r} is not hexadecimal") from None
     listen, discovery = endpoint("listen"), endpoint("discovery")
     try:
-        settings = node_settings(file.settings)
+        settings = parse_node_settings(file.settings)
     except (SettingsError, ValueError) as fault:
         raise ConfigError(f"{path}: {fault}") from None
     if not file.settings.get("classes"):
--- a/stepflow/node/process/handover.py
+++ b/stepflow/node/process/handover.py
@@ -18,9 +18,9 @@
 from zope.interface import implementer  # type: ignore[import-untyped]
 
 from stepflow.logs import get_logger
-from stepflow.node.runtime.timers import Deadline, Deadlines
+from stepflow.node.runtime.timers import Timer, Timers
 from stepflow.node.runtime.transports import Port, Reactor, UnixTransport
-from stepflow.os_errors import OF_THE_DISK, OF_THIS_MACHINE, errno_of
+from stepflow.os_errors import LOCAL_CONNECT_ERRORS, TRANSIENT_FILE_ERRORS, errno_of
 
 log = get_logger()
 
@@ -95,7 +95,7 @@
     and the younger begins when the channel ends, so neither removes the other's socket.
     """
 
-    def __init__(self, reactor: Reactor, deadlines: Deadlines, process: Process, path: str) -> None:
+    def __init__(self, reactor: Reactor, deadlines: Timers, process: Process, path: str) -> None:
         self._reactor, self._deadlines, self._process = reactor, deadlines, process
         if len(path) > MOST_PATH:
             log.warning("no successor will find a path as long as this", path=path)
@@ -105,7 +105,7 @@
         self._passed: deque[int] = deque()
         self._channel: _Channel | None = None
         self._port: Port | None = None
-        self._deadline: Deadline | None = None
+        self._deadline: Timer | None = None
         self._closed = self._inherited = False  # the process ends; it is the younger one of the channel's two
         self.has_successor = False  # a younger process is at the other end
         self.successor_serves = False  # and has said so
@@ -151,7 +151,7 @@
             log.info("waits for a successor")
         except (CannotListenError, OSError) as fault:
             log.warning("no successor can be told anything", fault=fault)
-            if errno_of(fault) in OF_THIS_MACHINE | OF_THE_DISK:
+            if errno_of(fault) in LOCAL_CONNECT_ERRORS | TRANSIENT_FILE_ERRORS:
                 self._deadlines.after(AWAIT_AGAIN, self._await_successor)
 
     # What the channel tells.
--- a/stepflow/node/process/service.py
+++ b/stepflow/node/process/service.py
@@ -13,7 +13,7 @@
 
 from stepflow.address import Address
 from stepflow.daemon import OperatorFile
-from stepflow.errors import BadInput
+from stepflow.errors import InputError
 from stepflow.interface import RequestClass, Settings
 from stepflow.logs import close as close_logs
 from stepflow.logs import get_logger, print_plainly, set_up, take_twisted
@@ -27,21 +27,21 @@
 from stepflow.node.process.config import NodeConfig
 from stepflow.node.process.handover import Handover
 from stepflow.node.process.shutdown import Shutdown
-from stepflow.node.process.snapshot import learned, recall
+from stepflow.node.process.snapshot import restore_snapshot, take_snapshot
 from stepflow.node.recording import DISK_WAIT, Recording
 from stepflow.node.runtime.clock import ZERO, Clock, micros
 from stepflow.node.runtime.counters import Counters
 from stepflow.node.runtime.garbage import GarbageCollection
 from stepflow.node.runtime.reactor import serving_reactor
-from stepflow.node.runtime.timers import Deadlines
+from stepflow.node.runtime.timers import Timers
 from stepflow.node.runtime.transports import Reactor
 from stepflow.node.runtime.wall_clock import WallClockMonitor
-from stepflow.node.upstreams.attempt import Peers
-from stepflow.node.upstreams.liveness import Pulses
-from stepflow.node.upstreams.load_reports import NoteReader
-from stepflow.os_errors import LISTEN_AGAIN, LISTEN_FOR, SHORTAGE, errno_of
+from stepflow.node.upstreams.attempt import UpstreamConnections
+from stepflow.node.upstreams.liveness import LivenessMonitor
+from stepflow.node.upstreams.load_reports import LoadReportClassifier
+from stepflow.os_errors import LISTEN_RETRY_DELAY, LISTEN_RETRY_LIMIT, RESOURCE_SHORTAGE, errno_of
 from stepflow.policy import Policy
-from stepflow.settings import NodeSettings, follow
+from stepflow.settings import NodeSettings, merge_settings
 from stepflow.upstream import EndpointGroup, EndpointListError
 
 log = get_logger()
@@ -70,20 +70,22 @@
 
     def __init__(self, config: NodeConfig, operators: OperatorFile, reactor: Reactor, reread: Reread) -> None:
         self._config, self._operators, self._reactor, self._reread = config, operators, reactor, reread
-        self._settings = settings = config.settings.module  # with the classes of all settings so far
+        self._settings = settings = config.settings.policy  # with the classes of all settings so far
         self.counters = Counters()
         self._clock = clock = Clock()
-        self._deadlines = Deadlines(clock, reactor, self.counters)
+        self._deadlines = Timers(clock, reactor, self.counters)
         self._wall_clock = WallClockMonitor(self._deadlines, self.counters)
         slots = max(1, (config.sockets - OTHERS_KEPT - PROBES_KEPT) // 2)  # a client's socket and a peer's
         self._policy = Policy(settings, config.seed)
         self._core = Core(self._policy, settings, clock, self._deadlines, self.counters, slots)
         self._group = EndpointGroup(settings.zones, settings.kinds)
-        self._peers = Peers(
+        self._peers = UpstreamConnections(
             reactor, self._core, clock, self._deadlines, self.counters, self._group, config.settings
         )
-        self._notes = NoteReader(config.settings)
-        self._pulses = Pulses(clock, self._core, self._deadlines, _late(settings.classes), self._notes)
+        self._notes = LoadReportClassifier(config.settings)
+        self._pulses = LivenessMonitor(
+            clock, self._core, self._deadlines, _late(settings.classes), self._notes
+        )
         self._discovery = DiscoveryClient(
             reactor, config.discovery, self._group, self._core, self._deadlines, self.counters
         )
@@ -127,17 +129,19 @@
 
     def _free(self) -> int:
         """Descriptors left, when every request that is open has its peer's."""
-        peers = max(self._peers.attempts, self._core.open) + max(self._peers.links, PROBES_KEPT)
+        peers = max(self._peers.attempts, self._core.open) + max(
+            self._peers.health_check_connections, PROBES_KEPT
+        )
         return self._config.sockets - OTHERS_KEPT - peers - self._factory.open - self._handover.others
 
     def descriptors(self) -> int:
         """Descriptors that are open, or kept for what is not a client's."""
-        return OTHERS_KEPT + self._peers.attempts + self._peers.links + self._factory.open
+        return OTHERS_KEPT + self._peers.attempts + self._peers.health_check_connections + self._factory.open
 
     def handover_state(self) -> tuple[int, dict[str, Any]]:
         return self._port.fileno(), {
             "list": self._group.message(),
-            "learned": learned(self._policy, micros(self.now())),
+            "learned": take_snapshot(self._policy, micros(self.now())),
         }
 
     def start(self) -> None:
@@ -154,13 +158,13 @@
         except (CannotListenError, OSError) as fault:
             if not self._may_try_again(fault):
                 raise
-            self._deadlines.after(LISTEN_AGAIN, lambda: self._listen_for_operators(address))
+            self._deadlines.after(LISTEN_RETRY_DELAY, lambda: self._listen_for_operators(address))
             return
         log.info("hears operators", address=Address(address.host, port))
 
     def _may_try_again(self, fault: Exception) -> bool:
         """Whether what failed at the start may succeed soon, and there is time left."""
-        return errno_of(fault) in SHORTAGE and self.now() - self._started_at < LISTEN_FOR
+        return errno_of(fault) in RESOURCE_SHORTAGE and self.now() - self._started_at < LISTEN_RETRY_LIMIT
 
     def _begin(self, listener: int | None, told: dict[str, Any]) -> None:
         """Begin the module's life with the newest list there is, then take clients."""
@@ -185,7 +189,7 @@
             self._port = listen(self._reactor, self._config.listen, self._factory, self.counters, listener)
         except OSError as fault:
             if self._may_try_again(fault):
-                self._deadlines.after(LISTEN_AGAIN, lambda: self._listen(listener))
+                self._deadlines.after(LISTEN_RETRY_DELAY, lambda: self._listen(listener))
                 return
             print(f"stepflow: {self._config.listen}: {fault.strerror}", file=sys.stderr)
             self.exit_code = 1
@@ -201,7 +205,7 @@
 
     def _recall(self) -> None:
         try:
-            recall(self._policy, self._inherited or {}, micros(self._inherited_at))
+            restore_snapshot(self._policy, self._inherited or {}, micros(self._inherited_at))
         except (KeyError, TypeError, ValueError, AttributeError) as fault:
             log.warning("what the process before has learned can't be read", fault=repr(fault))
 
@@ -210,13 +214,15 @@
         if self._inherited is not None:
             self._recall()
             self._inherited = None
-            log.info("has all sessions", sessions=len(self._core.standing()), node=self._config.name)
+            log.info(
+                "has all sessions", sessions=len(self._core.established_sessions()), node=self._config.name
+            )
 
     def _can_serve(self) -> bool:
         return self._ready and not self._shutdown.begun
 
     def _figures(self) -> bytes:
-        gauges = Gauges(self._core.open, len(self._group), excluded(self._policy.model.servers.values()))
+        gauges = Gauges(self._core.open, len(self._group), excluded(self._policy.model.endpoints.values()))
         return render(self.counters, gauges)
 
     def reload(self) -> None:
@@ -228,8 +234,8 @@
             return
         try:
             told, operators = self._reread(self._config)
-        except BadInput as fault:
-            if fault.passing and self.now() < until:
+        except InputError as fault:
+            if fault.is_transient and self.now() < until:
                 self._deadlines.after(RELOAD_AGAIN, lambda: self._reload(until))
                 return
             self.counters.reloads_failed += 1
@@ -255,14 +261,14 @@
 
     def _retune(self, told: NodeSettings) -> None:
         """Hand new settings to all who hold the old ones, in one step."""
-        self._settings = follow(self._settings, told.module)
-        self._core.retune(self._settings)
-        self._peers.settings = told._replace(module=self._settings)
-        self._pulses.retune(_late(told.module.classes))
-        self._notes.retune(told)
-        self._factory.classes = _numbers(self._settings, told.module)
+        self._settings = merge_settings(self._settings, told.policy)
+        self._core.update_settings(self._settings)
+        self._peers.settings = told._replace(policy=self._settings)
+        self._pulses.update_latency_objective(_late(told.policy.classes))
+        self._notes.update_settings(told)
+        self._factory.classes = _numbers(self._settings, told.policy)
         self._factory.tenants = _tenants(self._settings)
-        log.info("takes settings", classes=",".join(cls.name for cls in told.module.classes))
+        log.info("takes settings", classes=",".join(cls.name for cls in told.policy.classes))
 
     def terminate(self, told: timedelta | None = None) -> None:
         """Leave in order, from the moment that the signal came."""
@@ -278,7 +284,7 @@
         return self._can_serve() and self._factory.adopt(session, client, peer)
 
     def _longest_deadline(self) -> timedelta:
-        longest = max(cls.deadline_us for cls in self._config.settings.module.classes)
+        longest = max(cls.deadline_us for cls in self._config.settings.policy.classes)
         return timedelta(microseconds=longest)
 
     def _stop(self) -> None:
--- a/stepflow/node/process/shutdown.py
+++ b/stepflow/node/process/shutdown.py
@@ -14,9 +14,14 @@
 from stepflow.node.clients.listener import ClientListener
 from stepflow.node.core import Core, RequestContext
 from stepflow.node.process.handover import Handover
-from stepflow.node.process.shutdown_schedule import MOVES_FROM, Leave, leave, move_waits
+from stepflow.node.process.shutdown_schedule import (
+    MIGRATION_START_SHARE,
+    ShutdownSchedule,
+    migration_delays,
+    shutdown_schedule,
+)
 from stepflow.node.runtime.clock import ZERO, Clock
-from stepflow.node.runtime.timers import Deadlines
+from stepflow.node.runtime.timers import Timers
 
 log = get_logger()
 
@@ -34,7 +39,7 @@
         core: Core,
         factory: ClientFactory,
         clock: Clock,
-        deadlines: Deadlines,
+        deadlines: Timers,
         handover: Handover,
         longest_deadline: Callable[[], timedelta],
         stop: Callable[[], None],
@@ -56,7 +61,7 @@
         if self.begun:
             return
         self.begun, self._told = True, told
-        log.info("leaves", connections=len(self._core.standing()), node=self._name)
+        log.info("leaves", connections=len(self._core.established_sessions()), node=self._name)
         if listener is None:
             self._stop()
             return
@@ -69,8 +74,8 @@
         """Until the process has to be gone; below zero once that is past."""
         return self._told + self._plan().stop - self._clock.now()
 
-    def _plan(self) -> Leave:
-        return leave(self._longest_deadline())
+    def _plan(self) -> ShutdownSchedule:
+        return shutdown_schedule(self._longest_deadline())
 
     # With a successor.
 
@@ -98,15 +103,15 @@
             self._take_back()
             self._leave()
             return
-        for context in self._core.standing():
+        for context in self._core.established_sessions():
             if len(self._offered) >= MOST_OFFERED:
                 break
-            session = cast(ClientConnection, context.front).offer()
+            session = cast(ClientConnection, context.downstream).offer()
             if session is not None:
                 self._offers += 1
                 self._offered[self._offers] = context
                 self._handover.pass_on(self._offers, session, session["client"], session["peer"])
-        if not self._told_all and not self._core.standing():
+        if not self._told_all and not self._core.established_sessions():
             self._told_all = True
             self._handover.passed_all()
         self._deadlines.after(PASS_EVERY, self._pass_on)
@@ -120,9 +125,9 @@
         """What the successor made of the session that was offered under this number."""
         context = self._offered.pop(number, None)
         if context is not None:
-            cast(ClientConnection, context.front).taken(by_other)
+            cast(ClientConnection, context.downstream).taken(by_other)
             if not by_other:
-                self._core.move(context)
+                self._core.migrate(context)
 
     # Without one.
 
@@ -135,10 +140,10 @@
         # A session is served here until it is moved, and its client may find no other node: those of a fleet
         # that restarts in turn are back before this one's end. So the moves take all the time there is.
         left = self._told + self._plan().end - self._clock.now()
-        standing = self._core.standing()
-        waits = move_waits(left, len(standing), MOVES_FROM)
+        standing = self._core.established_sessions()
+        waits = migration_delays(left, len(standing), MIGRATION_START_SHARE)
         for wait, context in zip(waits, standing, strict=True):
-            self._deadlines.after(wait, lambda context=context: self._core.move(context))  # type: ignore[misc]
+            self._deadlines.after(wait, lambda context=context: self._core.migrate(context))  # type: ignore[misc]
 
     def _close_listener(self) -> None:
         """Take all that the kernel has accepted, unless a successor does, and nothing from then on."""
@@ -156,11 +161,11 @@
         """Answer and move whoever is left; stop once the last clients have read that."""
         self._ending = True
         self._take_back()
-        self._core.settle_pending()
+        self._core.answer_pending()
         self._close_listener()
         self._factory.turn_away()
-        for context in self._core.standing():
-            self._core.move(context)
+        for context in self._core.established_sessions():
+            self._core.migrate(context)
         self._deadlines.at(self._told + self._plan().stop, self._stop)
         self._look()
 
--- a/stepflow/node/process/snapshot.py
+++ b/stepflow/node/process/snapshot.py
@@ -4,7 +4,7 @@
 
 from typing import Any
 
-from stepflow.policy import Policy, ServerState
+from stepflow.policy import EndpointState, Policy
 
 NEVER = -1  # the age of a report that has not come
 
@@ -15,7 +15,7 @@
 # The name "cost_in_means" tells the unit of all costs: a process that counts in another can't read these.
 
 
-def learned(policy: Policy, now_us: int) -> dict[str, Any]:
+def take_snapshot(policy: Policy, now_us: int) -> dict[str, Any]:
     """All of it, as JSON can hold it; classes go by name, for the two processes may number them apart."""
     model = policy.model
     names = [cls.name for cls in policy.settings.classes]
@@ -24,17 +24,17 @@
         "mean_load": model.loads.mean,
         "class_load": {names[cls]: load for cls, load in model.loads.by_class.items()},
         "cost_in_means": {str(kind): cost for kind, cost in model.kind_cost.items()},
-        "servers": {str(server.id): _row(server, now_us) for server in model.servers.values()},
+        "servers": {str(server.id): _row(server, now_us) for server in model.endpoints.values()},
         **{name: getattr(policy, name) for name in _POLICY},
     }
 
 
-def _row(server: ServerState, now_us: int) -> dict[str, float]:
+def _row(server: EndpointState, now_us: int) -> dict[str, float]:
     age = now_us - server.seen_us if server.seen_us else NEVER
     return {**{name: getattr(server, name) for name in _SERVER}, _AGE: age}
 
 
-def recall(policy: Policy, told: dict[str, Any], now_us: int) -> None:
+def restore_snapshot(policy: Policy, told: dict[str, Any], now_us: int) -> None:
     """Take it over, once the list is there; raises before anything is changed where it can't be read."""
     model = policy.model
     numbers = {cls.name: i for i, cls in enumerate(policy.settings.classes)}
@@ -48,7 +48,7 @@
     model.loads.count, model.loads.mean = int(told["loads_told"]), float(told["mean_load"])
     model.loads.by_class.update(loads)
     model.kind_cost.update(kinds)
-    for server in model.servers.values():
+    for server in model.endpoints.values():
         if (row := rows.get(str(server.id))) is None:
             continue
         values, age = row
@@ -58,5 +58,5 @@
     for name, value in plain.items():
         setattr(policy, name, value)
     # What follows from these changes at once: a cost in one unit times a load in another refuses everybody.
-    model.predict(list(model.servers.values()), 0.0)
+    model.predict(list(model.endpoints.values()), 0.0)
     policy.controller.tabulate(policy.now)
--- a/stepflow/node/process/start.py
+++ b/stepflow/node/process/start.py
@@ -8,7 +8,7 @@
 
 from stepflow import logs
 from stepflow.daemon import OperatorFile, read
-from stepflow.errors import BadInput, read_patiently
+from stepflow.errors import InputError, read_with_retries
 from stepflow.node.process.config import load
 
 CONF = os.path.join("deploy", "stepflow.conf")
@@ -32,9 +32,9 @@
     reloads: list[int] = []  # signals that came before the node could heed them, perhaps after it had read
     signal.signal(signal.SIGHUP, lambda number, frame: reloads.append(number))
     try:
-        operators = read_patiently(operator_file)
-        config = read_patiently(lambda: load(os.environ))
-    except BadInput as fault:
+        operators = read_with_retries(operator_file)
+        config = read_with_retries(lambda: load(os.environ))
+    except InputError as fault:
         print(f"stepflow: {fault}", file=sys.stderr)
         return 2
     logs.set_up(operators.log.form, operators.log.level)
--- a/stepflow/node/recording.py
+++ b/stepflow/node/recording.py
@@ -9,7 +9,7 @@
 from stepflow.logs import get_logger
 from stepflow.node.core import Core
 from stepflow.node.runtime.clock import Clock, micros
-from stepflow.node.runtime.timers import Deadline, Deadlines
+from stepflow.node.runtime.timers import Timer, Timers
 from stepflow.traffic import Recorder, Writer
 from stepflow.traffic.writer import JOIN_S
 
@@ -22,12 +22,12 @@
 class Recording:
     """Begins, follows and ends the recording that the operator's file asks for."""
 
-    def __init__(self, core: Core, clock: Clock, deadlines: Deadlines, name: str) -> None:
+    def __init__(self, core: Core, clock: Clock, deadlines: Timers, name: str) -> None:
         self._core, self._clock, self._deadlines, self._name = core, clock, deadlines, name
         self._told: Record | None = None
         self._writer: Writer | None = None
         self._recorder: Recorder | None = None
-        self._deadline: Deadline | None = None
+        self._deadline: Timer | None = None
 
     def follow(self, told: Record | None, settings: Settings) -> None:
         """Record as this says from now on; None ends it. What goes on as it was goes on in its file."""
@@ -41,17 +41,17 @@
             return
         self._writer = Writer(told.folder, told.segments, lambda: self._now() // 1000)
         self._recorder = Recorder(self._writer, told.key, self._name, self._now(), settings, told.segment)
-        for entry in self._core.entries():
+        for entry in self._core.endpoints():
             self._recorder.known(entry)
         for request, peer, load in self._core.sessions():
             self._recorder.stands(self._now(), request, peer, load)
-        self._core.tap = self._take
+        self._core.recorder = self._take
         self._deadline = self._deadlines.after(FLUSH_EVERY, self._flush)
         log.info("records traffic", folder=told.folder)
 
     def end(self, wait: timedelta = DISK_WAIT) -> None:
         """The one place that ends a recording; what is pending is written, as far as the disk takes it."""
-        self._core.tap = None
+        self._core.recorder = None
         if self._deadline is not None:
             self._deadline.cancel()
         recorder, self._recorder = self._recorder, None
--- a/stepflow/node/relay.py
+++ b/stepflow/node/relay.py
@@ -14,9 +14,9 @@
 from stepflow.node.runtime.clock import Clock
 from stepflow.node.runtime.counters import Counters
 from stepflow.node.runtime.lines import LineScanner
-from stepflow.node.runtime.timers import Deadline, Deadlines
+from stepflow.node.runtime.timers import Timer, Timers
 from stepflow.node.runtime.transports import Transport, finish, let_go, unsent
-from stepflow.node.upstreams.liveness import Pulses
+from stepflow.node.upstreams.liveness import LivenessMonitor
 
 # A connection that brings nothing back for so long is broken. It is owed an end within 7 s of its peer's last
 # line, and up to 2 s of them pass before the client's next line shows anything.
@@ -78,9 +78,9 @@
         peer: Joinable,
         core: Core,
         clock: Clock,
-        deadlines: Deadlines,
+        deadlines: Timers,
         counters: Counters,
-        pulses: Pulses,
+        pulses: LivenessMonitor,
         ended: Callable[[], None],
     ) -> None:
         self.context, self._client, self._peer = context, client.wire, peer.wire
@@ -88,9 +88,9 @@
         self._counters, self._ended = counters, ended
         self._from_client, self._from_peer = LineScanner(), LineScanner()
         self._asked: deque[timedelta] = deque(maxlen=ECHOES_KEPT)  # when lines went out that had no echo yet
-        self._silence: Deadline | None = None
-        self._linger: Deadline | None = None
-        self._deaf: Deadline | None = None
+        self._silence: Timer | None = None
+        self._linger: Timer | None = None
+        self._deaf: Timer | None = None
         self._moving = self._over = self._passing = False
         self.result = AttemptResult.RESET  # unless the peer says what its end means
         self._pulse = pulses.join(self)
@@ -295,7 +295,7 @@
         self._client.unregisterProducer()
         self._linger = self._end_sending(self._client)
 
-    def _end_sending(self, side: Transport) -> Deadline:
+    def _end_sending(self, side: Transport) -> Timer:
         """Send what is left and a FIN, then wait a little for the other's.
 
         Closing at once, with something of its unread, would send a reset, and that might overtake what it
@@ -306,6 +306,6 @@
         return self._deadlines.after(LINGER, lambda: finish(side))
 
     @staticmethod
-    def _cancel(deadline: Deadline | None) -> None:
+    def _cancel(deadline: Timer | None) -> None:
         if deadline is not None:
             deadline.cancel()
--- a/stepflow/node/runtime/garbage.py
+++ b/stepflow/node/runtime/garbage.py
@@ -9,7 +9,7 @@
 import gc
 from datetime import timedelta
 
-from stepflow.node.runtime.timers import Deadlines
+from stepflow.node.runtime.timers import Timers
 
 YOUNG = 20_000  # new objects until the youngest generation is collected
 MIDDLE = 5  # times of that until the middle one is
@@ -20,7 +20,7 @@
 class GarbageCollection:
     """Collects the oldest generation now and then: its pause grows with what stands."""
 
-    def __init__(self, deadlines: Deadlines) -> None:
+    def __init__(self, deadlines: Timers) -> None:
         self._deadlines = deadlines
 
     def begin(self) -> None:
--- a/stepflow/node/runtime/request_log.py
+++ b/stepflow/node/runtime/request_log.py
@@ -23,8 +23,8 @@
     """What the log tells of a request."""
 
     request: Request
-    name: str
-    peer: str
+    client_request_id: str
+    endpoint: str
     attempts: int
 
 
@@ -38,7 +38,12 @@
         """A request is owed an answer from now on."""
         if debugging():
             wait = millis(self._left(context))
-            log.debug("request taken", request=context.name, waits_ms=wait, retried=context.request.is_retry)
+            log.debug(
+                "request taken",
+                request=context.client_request_id,
+                waits_ms=wait,
+                retried=context.request.is_retry,
+            )
 
     def turned_away(self, name: str, why: str) -> None:
         """A request was refused without being taken."""
@@ -49,14 +54,14 @@
         """An attempt goes to a peer."""
         self._counters.retries += context.attempts > 1
         if debugging():
-            told = {"peer": context.peer, "attempt": context.attempts, "waits_ms": millis(wait)}
-            log.debug("attempt begun", request=context.name, **told)
+            told = {"peer": context.endpoint, "attempt": context.attempts, "waits_ms": millis(wait)}
+            log.debug("attempt begun", request=context.client_request_id, **told)
 
     def attempt_ended(self, context: LoggedRequest, result: AttemptResult) -> None:
         """An attempt is over, before or after it came up."""
         if debugging():
-            told = {"peer": context.peer, "attempt": context.attempts, "result": result.name.lower()}
-            log.debug("attempt ended", request=context.name, **told)
+            told = {"peer": context.endpoint, "attempt": context.attempts, "result": result.name.lower()}
+            log.debug("attempt ended", request=context.client_request_id, **told)
 
     def answered(self, context: LoggedRequest, answer: str, why: str) -> None:
         """A request has its final answer, or its client has left; `why` names what decided it."""
@@ -73,5 +78,5 @@
 
     @staticmethod
     def _tell(level: str, event: str, context: LoggedRequest, answer: str, why: str, left: timedelta) -> None:
-        told = {"answer": answer, "why": why, "peer": context.peer, "attempts": context.attempts}
-        getattr(log, level)(event, request=context.name, left_ms=millis(left), **told)
+        told = {"answer": answer, "why": why, "peer": context.endpoint, "attempts": context.attempts}
+        getattr(log, level)(event, request=context.client_request_id, left_ms=millis(left), **told)
--- a/stepflow/node/runtime/timers.py
+++ b/stepflow/node/runtime/timers.py
@@ -17,12 +17,12 @@
 COMPACT_FROM = 256  # cancelled entries that may stay in the heap
 
 
-class Deadline:
+class Timer:
     """Something to be done at a time, unless it is called off before."""
 
     __slots__ = ("_call", "_heap")
 
-    def __init__(self, heap: Deadlines, call: Callable[[], None]) -> None:
+    def __init__(self, heap: Timers, call: Callable[[], None]) -> None:
         self._heap, self._call = heap, call
 
     def cancel(self) -> None:
@@ -45,27 +45,27 @@
     """What a deadline does that was called off."""
 
 
-class Deadlines:
+class Timers:
     """The heap; its head alone is known to the reactor."""
 
     def __init__(self, clock: Clock, reactor: Reactor, counters: Counters) -> None:
         self._clock, self._reactor, self._counters = clock, reactor, counters
-        self._heap: list[tuple[timedelta, int, Deadline]] = []
+        self._heap: list[tuple[timedelta, int, Timer]] = []
         self._count = self._dead = 0
         self._armed: DelayedCall | None = None
         self._armed_for = timedelta.max
         self._firing = False
 
-    def at(self, due: timedelta, call: Callable[[], None]) -> Deadline:
+    def at(self, due: timedelta, call: Callable[[], None]) -> Timer:
         """Have this called at a time of the node's clock."""
-        deadline = Deadline(self, call)
+        deadline = Timer(self, call)
         self._count += 1
         heappush(self._heap, (due, self._count, deadline))
         if due < self._armed_for and not self._firing:
             self._arm()
         return deadline
 
-    def after(self, span: timedelta, call: Callable[[], None]) -> Deadline:
+    def after(self, span: timedelta, call: Callable[[], None]) -> Timer:
         """Have this called after a span from now."""
         return self.at(self._clock.now() + span, call)
 
--- a/stepflow/node/runtime/wall_clock.py
+++ b/stepflow/node/runtime/wall_clock.py
@@ -7,7 +7,7 @@
 
 from stepflow.logs import get_logger
 from stepflow.node.runtime.counters import Counters
-from stepflow.node.runtime.timers import Deadlines
+from stepflow.node.runtime.timers import Timers
 
 log = get_logger()
 
@@ -20,7 +20,7 @@
 class WallClockMonitor:
     """Compares the wall clock with the monotonic one now and then."""
 
-    def __init__(self, deadlines: Deadlines, counters: Counters) -> None:
+    def __init__(self, deadlines: Timers, counters: Counters) -> None:
         self._deadlines, self._counters = deadlines, counters
         self._ahead = _wall_ahead()
 
--- a/stepflow/node/upstreams/attempt.py
+++ b/stepflow/node/upstreams/attempt.py
@@ -17,7 +17,7 @@
 from stepflow.node.runtime.clock import Clock
 from stepflow.node.runtime.counters import Counters
 from stepflow.node.runtime.lines import LineProtocol, was_reset
-from stepflow.node.runtime.timers import Deadline, Deadlines
+from stepflow.node.runtime.timers import Timer, Timers
 from stepflow.node.runtime.transports import Reactor, family, flush
 from stepflow.node.upstreams.connection import adopt, network_failed
 from stepflow.node.upstreams.dialer import Dial
@@ -65,7 +65,7 @@
     def opening_line(self, wait: timedelta) -> bytes: ...
 
 
-class Peers:
+class UpstreamConnections:
     """The node's uplink: makes attempts and keeps the probes' connections."""
 
     def __init__(
@@ -73,46 +73,46 @@
         reactor: Reactor,
         core: Core,
         clock: Clock,
-        deadlines: Deadlines,
+        deadlines: Timers,
         counters: Counters,
         directory: AddressBook,
         settings: NodeSettings,
     ) -> None:
         self.reactor, self.core, self.clock, self.deadlines = reactor, core, clock, deadlines
         self.counters, self.directory, self.settings = counters, directory, settings
-        self._links: dict[str, ProbeLink] = {}
+        self._links: dict[str, HealthCheckConnection] = {}
         self.attempts = 0  # sockets of attempts, from the first SYN until they are closed
 
     @property
-    def links(self) -> int:
+    def health_check_connections(self) -> int:
         """Sockets of probes."""
         return len(self._links)
 
-    def attempt(self, context: RequestContext, peer: str, wait: timedelta) -> PeerAttempt | None:
+    def start_attempt(self, context: RequestContext, peer: str, wait: timedelta) -> UpstreamAttempt | None:
         endpoint = self.directory.address_of(peer)
         if endpoint is None:
             return None
-        attempt = PeerAttempt(self, context, wait)
+        attempt = UpstreamAttempt(self, context, wait)
         attempt.dial(endpoint)
         return attempt
 
-    def standing(self, context: RequestContext, descriptor: int) -> PeerAttempt:
+    def adopt_session(self, context: RequestContext, descriptor: int) -> UpstreamAttempt:
         """An attempt that came up in the process before this one."""
-        attempt = PeerAttempt(self, context, timedelta(0))
+        attempt = UpstreamAttempt(self, context, timedelta(0))
         attempt.stand()
         adopt(self.reactor, descriptor, family(descriptor), Dial(attempt, _nothing))
         return attempt
 
-    def probe(self, peer: str) -> None:
+    def start_health_check(self, peer: str) -> None:
         endpoint = self.directory.address_of(peer)
         if endpoint is None:
-            self.core.probed(peer, AttemptResult.CONNECT_FAILED, timedelta(0))
+            self.core.health_check_ended(peer, AttemptResult.CONNECT_FAILED, timedelta(0))
             return
         link = self._links.get(peer)
         if link is None or link.endpoint != endpoint:
             if link is not None:
                 link.close()
-            link = self._links[peer] = ProbeLink(self, peer, endpoint)
+            link = self._links[peer] = HealthCheckConnection(self, peer, endpoint)
         if not link.busy:  # else the answer to the one that is out will do
             self.counters.probes += 1
             link.probe()
@@ -122,7 +122,7 @@
         if link is not None and not link.busy:
             link.close()
 
-    def dropped(self, link: ProbeLink) -> None:
+    def dropped(self, link: HealthCheckConnection) -> None:
         """A probes' connection is closed."""
         if self._links.get(link.peer) is link:
             del self._links[link.peer]
@@ -132,14 +132,14 @@
             link.close()
 
 
-class PeerAttempt(LineProtocol):
+class UpstreamAttempt(LineProtocol):
     """One attempt of a request, on a connection of its own.
 
     It owns the socket; `attempt_ended` is told when that is closed, so that the next attempt can't
     begin before.
     """
 
-    def __init__(self, peers: Peers, context: RequestContext, wait: timedelta) -> None:
+    def __init__(self, peers: UpstreamConnections, context: RequestContext, wait: timedelta) -> None:
         super().__init__()
         self._peers, self._context = peers, context
         self._expires = peers.clock.now() + wait
@@ -183,7 +183,7 @@
             return
         self._deadline.cancel()
         # To come up took its time: what was allowed when this was decided may not be any more.
-        if not self._peers.core.may_begin(self._context):
+        if not self._peers.core.may_send_attempt(self._context):
             self._give_up(AttemptResult.NOT_SENT)
             return
         self._deadline = self._peers.deadlines.at(self._expires, self._late)
@@ -201,14 +201,14 @@
             self.wire.unregisterProducer()
         else:
             self._written = True
-            front = cast(OpeningFront, self._context.front)
+            front = cast(OpeningFront, self._context.downstream)
             self.wire.write(front.opening_line(self._expires - self._peers.clock.now()))
 
     def _mark_sent(self) -> None:
         """The line is out; an answer that is read before the news of that shows it as well."""
         if not self._sent:
             self._sent = True
-            self._peers.core.attempt_written(self._context)
+            self._peers.core.attempt_sent(self._context)
 
     def stopProducing(self) -> None:
         """The connection broke before the line was written."""
@@ -242,12 +242,12 @@
             # Whatever came behind the line in the same buffer goes along.
             self.receipt = bytes(line) + b"\r\n"
             self._early = self.setRawMode()
-            self._peers.core.attempt_up(self._context, self)
+            self._peers.core.attempt_established(self._context, self)
             return
         results = {b"BYE": AttemptResult.OK, b"MOVE": AttemptResult.CANCELLED, b"BUSY": AttemptResult.FULL}
         self._result = results.get(word, AttemptResult.ERROR)  # ERR, or a line that no peer sends
         self._answer = bytes(line) + b"\r\n"
-        self._report = parse_report(rest, self._peers.settings.module.load_report_fields) if rest else ()
+        self._report = parse_report(rest, self._peers.settings.policy.load_report_fields) if rest else ()
         self.wire.abortConnection()
 
     def lineLengthExceeded(self) -> None:
@@ -284,15 +284,15 @@
             self._peers.core.attempt_ended(self._context, self._relay.result)
 
 
-class ProbeLink(LineProtocol):
+class HealthCheckConnection(LineProtocol):
     """A kept connection to a peer for its probes, one at a time; closes after a while without any."""
 
-    def __init__(self, peers: Peers, peer: str, endpoint: Address) -> None:
+    def __init__(self, peers: UpstreamConnections, peer: str, endpoint: Address) -> None:
         super().__init__()
         self._peers, self.peer, self.endpoint = peers, peer, endpoint
         self._made = self._closed = self.busy = False
         self._asked = peers.clock.now()
-        self._deadline: Deadline | None = None
+        self._deadline: Timer | None = None
         self._dial = Dial(self, self._connect_failed)
         self._dial.begin(peers.reactor, endpoint)
 
@@ -314,7 +314,7 @@
         if not self.busy:
             self.close()  # an answer to nothing: the stream is out of step
         elif word == b"PONG":
-            self._settle(AttemptResult.OK, parse_report(rest, self._peers.settings.module.load_report_fields))
+            self._settle(AttemptResult.OK, parse_report(rest, self._peers.settings.policy.load_report_fields))
             self._set_deadline(self._peers.settings.idle_close, self.close)
         else:
             self._settle(AttemptResult.FULL if word == b"BUSY" else AttemptResult.ERROR)
@@ -354,7 +354,9 @@
         """The one place that ends a probe."""
         if self.busy:
             self.busy = False
-            self._peers.core.probed(self.peer, result, self._peers.clock.now() - self._asked, report)
+            self._peers.core.health_check_ended(
+                self.peer, result, self._peers.clock.now() - self._asked, report
+            )
 
     def _set_deadline(self, span: timedelta, call: Callable[[], None]) -> None:
         if self._deadline is not None:
--- a/stepflow/node/upstreams/dialer.py
+++ b/stepflow/node/upstreams/dialer.py
@@ -11,7 +11,7 @@
 from stepflow.address import Address
 from stepflow.node.runtime.transports import Connector, DelayedCall, Reactor
 from stepflow.node.upstreams.connection import connect
-from stepflow.os_errors import DIAL_AGAIN, OF_THIS_MACHINE, errno_of
+from stepflow.os_errors import CONNECT_RETRY_DELAY, LOCAL_CONNECT_ERRORS, errno_of
 
 
 class Dial(ClientFactory):
@@ -48,8 +48,8 @@
         return protocol
 
     def clientConnectionFailed(self, connector: Connector, reason: Failure) -> None:
-        if self._connector is not None and errno_of(reason.value) in OF_THIS_MACHINE:
-            self._again = self._reactor.callLater(DIAL_AGAIN.total_seconds(), self._dial_again)
+        if self._connector is not None and errno_of(reason.value) in LOCAL_CONNECT_ERRORS:
+            self._again = self._reactor.callLater(CONNECT_RETRY_DELAY.total_seconds(), self._dial_again)
         else:
             self._end()
 
--- a/stepflow/node/upstreams/liveness.py
+++ b/stepflow/node/upstreams/liveness.py
@@ -10,8 +10,8 @@
 from stepflow.logs import get_logger
 from stepflow.node.core import Core, RequestContext
 from stepflow.node.runtime.clock import ZERO, Clock
-from stepflow.node.runtime.timers import Deadline, Deadlines
-from stepflow.node.upstreams.load_reports import NoteReader
+from stepflow.node.runtime.timers import Timer, Timers
+from stepflow.node.upstreams.load_reports import LoadReportClassifier
 
 log = get_logger()
 
@@ -29,7 +29,7 @@
         """The peer answers nobody: end this connection."""
 
 
-class Pulse:
+class EndpointLiveness:
     """What the connections that stand at one peer show together.
 
     A peer that hangs sends no FIN, and one connection alone tells little: a line goes out every 2 s
@@ -42,9 +42,9 @@
         peer: str,
         clock: Clock,
         core: Core,
-        deadlines: Deadlines,
+        deadlines: Timers,
         late: timedelta,
-        notes: NoteReader,
+        notes: LoadReportClassifier,
         emptied: Callable[[], None],
     ) -> None:
         self._peer, self._clock, self._core, self._deadlines = peer, clock, core, deadlines
@@ -55,7 +55,7 @@
         self._summed, self._count, self._slow = ZERO, 0, False
         self._waiting: timedelta | None = None  # when the first line went out since an echo
         self._waiter: Joined | None = None  # and for which connection
-        self._deadline: Deadline | None = None
+        self._deadline: Timer | None = None
 
     def join(self, connection: Joined) -> None:
         self._joined[connection] = None
@@ -73,7 +73,7 @@
     def told(self, connection: Joined, value: float) -> None:
         """The peer sent a `LOAD X` to this connection."""
         kind = self._notes.kind(self._peer, self._clock.now(), value)
-        self._core.note(connection.context, kind, value)
+        self._core.session_report(connection.context, kind, value)
 
     def asked(self, connection: Joined, now: timedelta) -> None:
         """A client's line went to the peer."""
@@ -99,7 +99,9 @@
             self._since, self._summed, self._count, self._slow = now, ZERO, 0, slow
 
     def _note(self, connection: Joined, took: timedelta) -> None:
-        self._core.note(connection.context, SessionReportKind.DELAY, took / timedelta(milliseconds=1))
+        self._core.session_report(
+            connection.context, SessionReportKind.DELAY, took / timedelta(milliseconds=1)
+        )
 
     def _check(self) -> None:
         """Look whether the peer still owes what it owed when this was set."""
@@ -121,32 +123,34 @@
         self._deadline = self._deadlines.at(due, self._check)
 
 
-class Pulses:
+class LivenessMonitor:
     """The pulses of all peers at which connections stand."""
 
     def __init__(
-        self, clock: Clock, core: Core, deadlines: Deadlines, late: timedelta, notes: NoteReader
+        self, clock: Clock, core: Core, deadlines: Timers, late: timedelta, notes: LoadReportClassifier
     ) -> None:
         self._clock, self._core, self._deadlines, self._late = clock, core, deadlines, late
         self._notes = notes
-        self._pulses: dict[str, Pulse] = {}
+        self._pulses: dict[str, EndpointLiveness] = {}
 
-    def retune(self, late: timedelta) -> None:
+    def update_latency_objective(self, late: timedelta) -> None:
         """Note messages that take longer than this."""
         self._late = late
         for pulse in self._pulses.values():
             pulse.late = late
 
-    def join(self, connection: Joined) -> Pulse:
+    def join(self, connection: Joined) -> EndpointLiveness:
         """Count a connection in with its peer's others."""
-        peer = connection.context.peer
+        peer = connection.context.endpoint
         pulse = self._pulses.get(peer)
         if pulse is None:
 
             def emptied() -> None:
                 self._pulses.pop(peer, None)
 
-            pulse = Pulse(peer, self._clock, self._core, self._deadlines, self._late, self._notes, emptied)
+            pulse = EndpointLiveness(
+                peer, self._clock, self._core, self._deadlines, self._late, self._notes, emptied
+            )
             self._pulses[peer] = pulse
         pulse.join(connection)
         return pulse
--- a/stepflow/node/upstreams/load_reports.py
+++ b/stepflow/node/upstreams/load_reports.py
@@ -25,17 +25,17 @@
 LEARN = 0.01  # share of a told load in the usual one (in the mean of logarithms)
 
 
-class NoteReader:
+class LoadReportClassifier:
     """Reads the notes of all peers, by their size and their beat. Touches no I/O."""
 
     def __init__(self, settings: NodeSettings) -> None:
         self._usual, self._loads = math.log(UNSEEN), 0
         self._beats: dict[str, timedelta] = {}  # when a peer last told a delay
-        self.retune(settings)
+        self.update_settings(settings)
 
-    def retune(self, settings: NodeSettings) -> None:
+    def update_settings(self, settings: NodeSettings) -> None:
         """Take settings, at the start or later."""
-        self._tells_load, self._tells_delay = settings.tells_load, settings.tells_delay
+        self._tells_load, self._tells_delay = settings.reports_load, settings.reports_delay
 
     def kind(self, peer: str, now: timedelta, value: float) -> SessionReportKind:
         """What the value of a `LOAD X` from this peer tells."""
--- a/stepflow/os_errors.py
+++ b/stepflow/os_errors.py
@@ -9,7 +9,7 @@
 from datetime import timedelta
 
 # accept(2) passes on what has gone wrong with the one connection that it was to return.
-OF_ONE_CONNECTION = frozenset(
+SINGLE_CONNECTION_ERRORS = frozenset(
     {
         errno.ECONNABORTED,
         errno.EPROTO,
@@ -25,16 +25,18 @@
     }
 )
 # The machine lacks descriptors, memory or ports: the same call may succeed a moment later.
-SHORTAGE = frozenset({errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EAGAIN, errno.EINTR})
+RESOURCE_SHORTAGE = frozenset(
+    {errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EAGAIN, errno.EINTR}
+)
 # connect(2) and socket(2) on this machine's own account: no word from the other side.
-OF_THIS_MACHINE = SHORTAGE | {errno.EADDRNOTAVAIL, errno.ENETUNREACH, errno.ENETDOWN}
+LOCAL_CONNECT_ERRORS = RESOURCE_SHORTAGE | {errno.EADDRNOTAVAIL, errno.ENETUNREACH, errno.ENETDOWN}
 # open(2), read(2), bind(2) and write(2) in a folder that is there.
-OF_THE_DISK = SHORTAGE | {errno.EIO, errno.ESTALE, errno.ENOSPC, errno.EDQUOT}
+TRANSIENT_FILE_ERRORS = RESOURCE_SHORTAGE | {errno.EIO, errno.ESTALE, errno.ENOSPC, errno.EDQUOT}
 
-ACCEPT_AGAIN = timedelta(milliseconds=5)  # after a shortage: the reactor would ask without a pause
-DIAL_AGAIN = timedelta(milliseconds=20)
-LISTEN_AGAIN = timedelta(milliseconds=100)
-LISTEN_FOR = timedelta(seconds=20)  # a process is owed to be ready within 30 s
+ACCEPT_RETRY_DELAY = timedelta(milliseconds=5)  # after a shortage: the reactor would ask without a pause
+CONNECT_RETRY_DELAY = timedelta(milliseconds=20)
+LISTEN_RETRY_DELAY = timedelta(milliseconds=100)
+LISTEN_RETRY_LIMIT = timedelta(seconds=20)  # a process is owed to be ready within 30 s
 
 
 def errno_of(fault: BaseException | None) -> int:
--- a/stepflow/policy/controller.py
+++ b/stepflow/policy/controller.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable
 
 from stepflow.interface import Availability, Settings
-from stepflow.policy.model import UNSEEN_LOAD, Model, ServerState, clamp
+from stepflow.policy.model import UNSEEN_LOAD, EndpointState, LoadModel, clamp
 
 KP, KI, KD = 0.6, 0.5, 0.125
 ERROR_SPAN = (-1.0, 2.0)  # relative error that one step takes into account
@@ -25,22 +25,22 @@
     return clamp((load - COMFORT) / (JAM - COMFORT), 0.0, 1.0)
 
 
-class Controller:
+class WeightController:
     """Moves the weights toward equal predicted load and keeps the table for the draw."""
 
-    def __init__(self, settings: Settings, model: Model, rng: random.Random) -> None:
+    def __init__(self, settings: Settings, model: LoadModel, rng: random.Random) -> None:
         self.settings, self.model, self.rng = settings, model, rng
         self.table: list[float] = []
-        self.listed: list[ServerState] = []
+        self.listed: list[EndpointState] = []
         self.zone_load: dict[int, float] = {}
         self.average, self.stepped_us = UNSEEN_LOAD, 0
 
     def step(self, now: int, seconds: float) -> None:
         """One step of the PID controller over the eligible servers."""
         self.stepped_us = now
-        eligible = [s for s in self.model.servers.values() if s.availability == Availability.READY]
+        eligible = [s for s in self.model.endpoints.values() if s.availability == Availability.READY]
         self.model.predict(eligible, seconds)
-        zones: dict[int, list[ServerState]] = {}
+        zones: dict[int, list[EndpointState]] = {}
         for server in eligible:
             zones.setdefault(server.zone if self.settings.prices.cross_zone > 0 else 0, []).append(server)
         self.zone_load = {}  # a zone whose servers are all gone has no load to compare with
@@ -53,7 +53,7 @@
             self.average = sum(s.predicted for s in eligible) / len(eligible)
         self.tabulate(now)
 
-    def trim(self, members: list[ServerState], average: float, cost: float, seconds: float) -> None:
+    def trim(self, members: list[EndpointState], average: float, cost: float, seconds: float) -> None:
         """Move each member's weight by its error against the average."""
         floor, cap = WEIGHT_SPAN
         leak = min(1.0, seconds / WEIGHT_LEAK_S)
@@ -74,7 +74,7 @@
         gain = harm(self.zone_load[here]) - harm(self.zone_load.get(zone, UNSEEN_LOAD))
         return clamp((gain - price) / SPILL_RAMP, 0.0, 1.0)
 
-    def warmth(self, server: ServerState, now: int) -> float:
+    def warmth(self, server: EndpointState, now: int) -> float:
         """Share of its capacity that a server has at the least."""
         rules, age = self.settings.rules, max(0, now - server.started_us)  # it may start a moment from now
         if server.started_us <= 0 or age >= rules.slow_start_us:
@@ -85,7 +85,7 @@
         """Lay out the eligible servers' weights for the draw."""
         crossing = {zone: self.crossing(zone) for zone in self.zone_load}
         self.listed, self.table, total = [], [], 0.0
-        for s in self.model.servers.values():
+        for s in self.model.endpoints.values():
             if s.availability == Availability.READY:
                 share = crossing.get(s.zone, 1.0) * s.weight * s.health * self.warmth(s, now)
                 if share > 0:
@@ -93,12 +93,12 @@
                     self.table.append(total)
                     self.listed.append(s)
 
-    def draw(self, allowed: Callable[[ServerState], bool]) -> ServerState | None:
+    def draw(self, allowed: Callable[[EndpointState], bool]) -> EndpointState | None:
         """Draw an allowed server by weight."""
         for _ in range(DRAWS if self.table else 0):
             spot = bisect(self.table, self.rng.random() * self.table[-1])
             server = self.listed[min(spot, len(self.listed) - 1)]
             if allowed(server):
                 return server
-        rest = [s for s in self.model.servers.values() if allowed(s)]
+        rest = [s for s in self.model.endpoints.values() if allowed(s)]
         return self.rng.choices(rest, [s.weight * s.health for s in rest])[0] if rest else None
--- a/stepflow/policy/decide.py
+++ b/stepflow/policy/decide.py
@@ -7,9 +7,9 @@
 from collections.abc import Callable
 from functools import partial
 
-from stepflow.budgets.attempt_throttle import THROTTLE_S, Throttle
-from stepflow.budgets.slow_start import Ramp
-from stepflow.estimates.arrivals import Arrivals
+from stepflow.budgets.attempt_throttle import THROTTLE_S, AttemptThrottle
+from stepflow.budgets.slow_start import SlowStartBudget
+from stepflow.estimates.arrivals import ArrivalEstimate
 from stepflow.interface import (
     Action,
     AttemptEnded,
@@ -41,10 +41,10 @@
     TimerFired,
     WatchEndpointList,
 )
-from stepflow.policy.controller import JAM, Controller, harm
-from stepflow.policy.model import HEALTH_FLOOR, Flight, Model, ServerState, clamp
-from stepflow.rendezvous import homes
-from stepflow.upstream.poll_schedule import Asking
+from stepflow.policy.controller import JAM, WeightController, harm
+from stepflow.policy.model import HEALTH_FLOOR, EndpointState, LoadModel, RequestState, clamp
+from stepflow.rendezvous import preferred_endpoints
+from stepflow.upstream.poll_schedule import PollSchedule
 
 SECOND = 1_000_000
 
@@ -87,22 +87,22 @@
     """The decisions of one instance: handle(now, event) returns the actions."""
 
     def __init__(self, settings: Settings, seed: int) -> None:
-        self.rng, self.model = random.Random(seed), Model(settings)
-        self.controller = Controller(settings, self.model, self.rng)
-        self.throttle = Throttle()
-        self.cold: list[ServerState] = []
-        self.flights: dict[int, Flight] = {}
-        self.holders: dict[int, dict[EndpointId, ServerState]] = {}  # where a group has own connections
+        self.rng, self.model = random.Random(seed), LoadModel(settings)
+        self.controller = WeightController(settings, self.model, self.rng)
+        self.throttle = AttemptThrottle()
+        self.cold: list[EndpointState] = []
+        self.requests: dict[int, RequestState] = {}
+        self.holders: dict[int, dict[EndpointId, EndpointState]] = {}  # where a group has own connections
         self.held: dict[int, None] = {}  # requests that wait for the throttle to open, in order
         self.actions: list[Action] = []
         self.now = self.stepped_us = 0
-        self.arrivals, self.asking, self.ramp = Arrivals(), Asking(self.rng), Ramp()
+        self.arrivals, self.asking, self.ramp = ArrivalEstimate(), PollSchedule(self.rng), SlowStartBudget()
         self.unshown = 0.0  # load that all instances put on a server before its reports tell
         self.wait_us = float(FIRST_WAIT_US)
         self.probe_budget = self.drawn_budget = self.move_budget = self.probe_wait_us = 0.0
         self.probing: dict[EndpointId, None] = {}  # probes that are out
-        self.slow: dict[EndpointId, ServerState] = {}  # servers that are jammed
-        self.retune(settings)
+        self.slow: dict[EndpointId, EndpointState] = {}  # servers that are jammed
+        self.update_settings(settings)
         self.handlers: dict[type, Callable[..., None]] = {
             Started: self.on_started,
             EndpointListUpdate: self.on_endpoint_list_update,
@@ -117,10 +117,10 @@
             PeerMessageReceived: self.on_peer_message_received,
         }
 
-    def retune(self, settings: Settings) -> None:
+    def update_settings(self, settings: Settings) -> None:
         """Take settings, at the start or later; classes keep their numbers, and what is open its limit."""
         self.settings = self.controller.settings = settings
-        self.model.retune(settings)
+        self.model.update_settings(settings)
         aims = [
             c.message_latency_objective_us / 1000
             for c in settings.classes
@@ -143,15 +143,15 @@
         # Instances that step in time swing together: each takes a phase of its own.
         self.actions.append(SetTimer(self.rng.randrange(1, TICK_US), TICK_TOKEN))
         if self.settings.polls_endpoint_list:
-            self.actions.append(SetTimer(self.asking.first(), ASK_TOKEN))
+            self.actions.append(SetTimer(self.asking.first_delay(), ASK_TOKEN))
 
     def on_endpoint_list_update(self, event: EndpointListUpdate) -> None:
         if event.kind == ListUpdateKind.FAILED:
-            wait = self.asking.again(self.now, self.settings.rules.list_refresh_us)
+            wait = self.asking.retry_delay(self.now, self.settings.rules.list_refresh_us)
             self.actions.append(SetTimer(wait, ASK_TOKEN))
             return
-        self.asking.heard()
-        servers = self.model.servers
+        self.asking.poll_succeeded()
+        servers = self.model.endpoints
         known, restarted = len(servers), False
         if event.kind != ListUpdateKind.DELTA:
             named = {entry.id for entry in event.endpoints}
@@ -161,7 +161,7 @@
             server = servers.get(entry.id)
             if server is None:
                 if entry.availability != Availability.GONE:
-                    servers[entry.id] = ServerState(entry, self.rng.random())
+                    servers[entry.id] = EndpointState(entry, self.rng.random())
             elif entry.started_us != server.started_us:
                 server.follow(entry)
                 server.seen_us, server.health, server.budget = 0, 1.0, self.rng.random()
@@ -177,9 +177,9 @@
             self.controller.tabulate(self.now)
 
     def on_request(self, request: Request) -> None:
-        flight = Flight(request, self.model.told(request.load, request.class_index))
+        flight = RequestState(request, self.model.resolve_load(request.load, request.class_index))
         flight.limit = self.settings.limits.max_attempts
-        self.flights[request.id] = flight
+        self.requests[request.id] = flight
         known = request.is_retry or request.is_migrated
         self.arrivals.fresh += not known
         self.drawn_budget = min(self.drawn_budget + (1 if known else CANDIDATES), PROBES_SAVED)
@@ -188,15 +188,17 @@
         self.place(flight)
 
     def on_session_adopted(self, event: SessionAdopted) -> None:
-        flight = Flight(event.request, self.model.told(event.request.load, event.request.class_index))
+        flight = RequestState(
+            event.request, self.model.resolve_load(event.request.load, event.request.class_index)
+        )
         flight.attempts, flight.up, flight.out = 1, True, True
-        self.flights[event.request.id] = flight
+        self.requests[event.request.id] = flight
         self.arrivals.open += 1
         self.arrivals.adopted += 1
-        if event.endpoint in self.model.servers:
-            self.settle(flight, self.model.servers[event.endpoint])
+        if event.endpoint in self.model.endpoints:
+            self.settle(flight, self.model.endpoints[event.endpoint])
 
-    def settle(self, flight: Flight, server: ServerState) -> None:
+    def settle(self, flight: RequestState, server: EndpointState) -> None:
         """Count the flight's load at a server."""
         flight.server = server
         server.flights[flight.request.id] = flight
@@ -206,7 +208,7 @@
         server.load += flight.load
         self.model.own += flight.load
 
-    def unsettle(self, flight: Flight) -> None:
+    def unsettle(self, flight: RequestState) -> None:
         """Take the flight's load off its server."""
         server = flight.server
         if server is not None:
@@ -221,13 +223,13 @@
             self.model.own = max(0.0, self.model.own - flight.load)
             flight.server = None
 
-    def allowed(self, flight: Flight) -> Callable[[ServerState], bool]:
+    def allowed(self, flight: RequestState) -> Callable[[EndpointState], bool]:
         """The test that a server must pass for this flight's next attempt."""
         scope = self.settings.class_of(flight.request).deduplication_scope
         bound, tried = flight.bound, flight.tried
         weight = self.cold_weight(flight)
 
-        def test(server: ServerState) -> bool:
+        def test(server: EndpointState) -> bool:
             if server.availability != Availability.READY or server.id in tried:
                 return False
             if bound is not None:  # a repeat is dropped only within the group of the first
@@ -239,48 +241,48 @@
 
         return test
 
-    def cold_weight(self, flight: Flight) -> float:
+    def cold_weight(self, flight: RequestState) -> float:
         """What an attempt takes off a cold server's budget: more where it is heavy."""
         return max(1.0, self.model.loads.units(flight.load))
 
-    def warm(self, server: ServerState) -> bool:
+    def warm(self, server: EndpointState) -> bool:
         return self.controller.warmth(server, self.now) >= 1
 
-    def may_repeat(self, flight: Flight) -> bool:
+    def may_repeat(self, flight: RequestState) -> bool:
         """Whether another attempt can't cause an effect twice."""
         if flight.out or flight.attempts >= flight.limit:
             return False
         return flight.bound is None or self.in_window(flight, self.now)
 
-    def in_window(self, flight: Flight, now: int) -> bool:
+    def in_window(self, flight: RequestState, now: int) -> bool:
         """Whether servers still drop a repeat."""
         cls = self.settings.class_of(flight.request)
         return cls.idempotency == Idempotency.BY_KEY and now - flight.bound_us < cls.deduplication_window_us
 
-    def may_begin(self, now: int, id: int) -> bool:
+    def may_send_attempt(self, now: int, id: int) -> bool:
         """Asked once more when the line is to go out: since the attempt was decided, dialling took time."""
-        flight = self.flights.get(id)
+        flight = self.requests.get(id)
         if flight is None or flight.answered or flight.server is None:
             return False
         first = flight.bound is None or flight.bound_by == flight.attempts
         return flight.server.availability == Availability.READY and (first or self.in_window(flight, now))
 
-    def harmless(self, id: int) -> bool:
+    def is_safe_to_reject(self, id: int) -> bool:
         """Whether the client's trying again can't cause the effect twice, so that it may be refused."""
-        flight = self.flights.get(id)
+        flight = self.requests.get(id)
         if flight is None or flight.bound is None:
             return True
         cls = self.settings.class_of(flight.request)
         return cls.idempotency == Idempotency.BY_KEY and cls.deduplication_scope == DeduplicationScope.ALL
 
-    def place(self, flight: Flight) -> None:
+    def place(self, flight: RequestState) -> None:
         """Send the next attempt, or hold the request until something can take it."""
         request, left = flight.request, flight.request.expires_us - self.now
         least = max(2 * self.settings.tick_us, self.wait_us if flight.attempts else 0)
         if left <= least or not self.may_repeat(flight):
             self.give_up(flight)
             return
-        if self.throttle.closed():
+        if self.throttle.is_closed():
             self.held[request.id] = None
             self.wake(flight, self.rng.randint(*HOLD_US))
             return
@@ -312,7 +314,7 @@
         server.placed += self.settings.balancers * server.cost * self.model.loads.units(flight.load)
         self.actions.append(StartAttempt(request.id, server.id, timeout))
 
-    def choose(self, flight: Flight) -> ServerState | None:
+    def choose(self, flight: RequestState) -> EndpointState | None:
         """Draw some servers by weight and take the one predicted best.
 
         They are probed first: few requests can't keep the reports of a large fleet fresh.
@@ -330,7 +332,7 @@
         # A budget that few requests seldom draw would never be spent: a cold server that has one stands by.
         cold = [s for s in self.cold if allowed(s)]
         drawn = [self.rng.choice(cold)] if cold else []
-        drawn += [s for s in self.homes(flight) if allowed(s) and s not in drawn][:HOMES]
+        drawn += [s for s in self.affinity_candidates(flight) if allowed(s) and s not in drawn][:HOMES]
         for other in (first, *(self.controller.draw(allowed) for _ in range(count - 1 - len(drawn)))):
             if other is not None and other not in drawn:
                 drawn.append(other)
@@ -344,18 +346,18 @@
         self.wake(flight, PROBE_WAIT_US + int(2 * self.probe_wait_us))
         return None
 
-    def fresh(self, server: ServerState) -> bool:
+    def fresh(self, server: EndpointState) -> bool:
         return self.now - server.seen_us <= REPORT_FRESH_US
 
-    def homes(self, flight: Flight) -> list[ServerState]:
+    def affinity_candidates(self, flight: RequestState) -> list[EndpointState]:
         """Where its group is held, the least loaded first, then where all instances look for it."""
         group = flight.request.affinity_group
         held = sorted(self.holders.get(group, {}).values(), key=lambda s: s.predicted)[:1]
-        found = homes(group, self.controller.listed, HOMES) if group else []
+        found = preferred_endpoints(group, self.controller.listed, HOMES) if group else []
         flight.home = found[0] if found else None
         return held + [s for s in found if s not in held]
 
-    def rank(self, flight: Flight, server: ServerState) -> float:
+    def rank(self, flight: RequestState, server: EndpointState) -> float:
         """What placing at this server is held to cost: service lost, the group's share, and the crossing.
 
         Chance keeps instances that read one old report from all filling the server empty a second ago.
@@ -371,7 +373,7 @@
         full = self.overloaded(server, flight)  # it would be refused: such a server comes last
         return harm(load) + crossing + 0.1 * load + (GROUP_PRICE if lacks else 0.0) + full
 
-    def overloaded(self, server: ServerState, flight: Flight) -> bool:
+    def overloaded(self, server: EndpointState, flight: RequestState) -> bool:
         """Whether the request is worth too little for a server as loaded as this."""
         if not self.model.absolute or not self.model.kind_cost:
             return False
@@ -380,28 +382,30 @@
         load = server.predicted + server.placed + self.unshown  # many may come between two reports
         return load > REFUSE_AT[0] + rank * (REFUSE_AT[1] - REFUSE_AT[0])
 
-    def wake(self, flight: Flight, wait_us: int) -> None:
+    def wake(self, flight: RequestState, wait_us: int) -> None:
         """Come back to a request after a while."""
         self.actions.append(SetTimer(max(1, wait_us), FIRST_REQUEST_TOKEN + flight.request.id))
 
-    def give_up(self, flight: Flight, retry_after_us: int = 0) -> None:
+    def give_up(self, flight: RequestState, retry_after_us: int = 0) -> None:
         """The final answer of a request that can't be served."""
         id, flight.answered = flight.request.id, True
-        self.actions.append(RejectRequest(id, retry_after_us) if self.harmless(id) else FailRequest(id))
+        self.actions.append(
+            RejectRequest(id, retry_after_us) if self.is_safe_to_reject(id) else FailRequest(id)
+        )
         if not flight.out:
             self.drop(flight)
         elif self.settings.limits.cancellation:
             self.actions.append(CancelAttempt(flight.request.id, flight.attempts - 1))
 
-    def drop(self, flight: Flight) -> None:
+    def drop(self, flight: RequestState) -> None:
         """Forget a request that has its final answer and no attempt out."""
         flight.candidates = []
         self.held.pop(flight.request.id, None)
         self.unsettle(flight)
-        self.flights.pop(flight.request.id, None)
+        self.requests.pop(flight.request.id, None)
 
     def on_session_established(self, event: SessionEstablished) -> None:
-        flight = self.flights.get(event.request_id)
+        flight = self.requests.get(event.request_id)
         if flight is None or flight.up or not flight.out or event.attempt != flight.attempts - 1:
             return
         flight.up, flight.up_us = True, self.now
@@ -411,12 +415,12 @@
         if flight.server is not None:
             flight.server.health = min(1.0, flight.server.health + 0.2)
             flight.server.up += 1
-        while self.held and not self.throttle.closed():  # those held longest go on at once
-            first = self.flights[next(iter(self.held))]
+        while self.held and not self.throttle.is_closed():  # those held longest go on at once
+            first = self.requests[next(iter(self.held))]
             del self.held[first.request.id]
             self.place(first)
 
-    def alone(self, server: ServerState) -> bool:
+    def alone(self, server: EndpointState) -> bool:
         """Whether a server's failures are its own: at the others, connections come up.
 
         One that answers errors at once draws what it fails, and would close the throttle for all.
@@ -425,10 +429,10 @@
         return up > 1 + failed
 
     def on_attempt_ended(self, event: AttemptEnded) -> None:
-        server = self.model.servers.get(event.endpoint)
+        server = self.model.endpoints.get(event.endpoint)
         if server is not None and event.load_report:
             self.model.report(self.now, server, event.load_report)
-        flight = self.flights.get(event.request_id)
+        flight = self.requests.get(event.request_id)
         if flight is None or event.attempt != flight.attempts - 1 or not flight.out:
             return
         flight.out = False
@@ -449,7 +453,7 @@
             self.throttle.failed += 1
         alone = unclear and server is not None and self.alone(server)
         # While the throttle is closed the fault lies with what all servers share, unless others serve on.
-        if failed and server is not None and not (unclear and not alone and self.throttle.closed()):
+        if failed and server is not None and not (unclear and not alone and self.throttle.is_closed()):
             server.fail()
         shed = event.result == AttemptResult.RESET and flight.up and self.now - flight.up_us < SHED_US
         if shed and server is not None:
@@ -468,19 +472,19 @@
             self.place(flight)
 
     def on_client_disconnected(self, event: ClientDisconnected) -> None:
-        if flight := self.flights.get(event.request_id):
+        if flight := self.requests.get(event.request_id):
             flight.answered = True
             if not flight.out:
                 self.drop(flight)
 
     def on_session_report(self, event: SessionReport) -> None:
-        flight, value = self.flights.get(event.request_id), event.value
+        flight, value = self.requests.get(event.request_id), event.value
         if flight is None or not flight.up or not math.isfinite(value) or value < 0:
             return
         server = flight.server
         if event.kind == SessionReportKind.LOAD:
             self.unsettle(flight)
-            flight.load = self.model.told(value, flight.request.class_index)
+            flight.load = self.model.resolve_load(value, flight.request.class_index)
             if server is not None:
                 self.settle(flight, server)
         elif event.kind == SessionReportKind.DELAY and server is not None and value >= self.late_ms:
@@ -491,10 +495,10 @@
         if event.token == TICK_TOKEN:
             self.step()
         elif event.token == ASK_TOKEN:
-            self.asking.asked(self.now)
+            self.asking.poll_started(self.now)
             self.actions.append(WatchEndpointList(True))
         else:
-            flight = self.flights.get(event.token - FIRST_REQUEST_TOKEN)
+            flight = self.requests.get(event.token - FIRST_REQUEST_TOKEN)
             if flight is None or flight.up or flight.answered:
                 return
             if flight.request.expires_us - self.now <= 2 * self.settings.tick_us:
@@ -510,17 +514,19 @@
         self.arrivals.fade(seconds)
         self.throttle.fade(seconds, self.arrivals.rate())
         kept = math.exp(-seconds / THROTTLE_S)
-        for server in self.model.servers.values():
+        for server in self.model.endpoints.values():
             server.up, server.failed = server.up * kept, server.failed * kept
             server.past = [*server.past[1 - SHOWN_STEPS :], server.load]
         self.refill(seconds)
         # What was placed takes about a second to show in reports.
-        placed = self.settings.balancers * self.throttle.tried / THROTTLE_S / max(1, len(self.model.servers))
+        placed = (
+            self.settings.balancers * self.throttle.tried / THROTTLE_S / max(1, len(self.model.endpoints))
+        )
         self.unshown = placed * self.model.plain_cost
         # A step costs work for every server: few requests to a large fleet take few steps.
         since = self.now - self.controller.stepped_us
         if since >= min(
-            STEP_WORK * len(self.model.servers) / clamp(self.arrivals.rate(), 0.1, 2.0), STEP_MOST_US
+            STEP_WORK * len(self.model.endpoints) / clamp(self.arrivals.rate(), 0.1, 2.0), STEP_MOST_US
         ):
             self.controller.step(self.now, since / SECOND)
             if self.model.absolute and self.arrivals.mostly_standing():
@@ -534,8 +540,8 @@
 
     def refill(self, seconds: float) -> None:
         """Cold servers may be sent a share of what warm ones take, as if all others did likewise."""
-        self.cold = [s for s in self.model.servers.values() if s.started_us > 0 and not self.warm(s)]
-        servers, load = len(self.model.servers), self.controller.average
+        self.cold = [s for s in self.model.endpoints.values() if s.started_us > 0 and not self.warm(s)]
+        servers, load = len(self.model.endpoints), self.controller.average
         warm = servers - len(self.cold)
         self.ramp.learn(self.arrivals, warm, servers, load, seconds)
         if not self.cold:
@@ -550,13 +556,13 @@
         if not self.settings.load_report_fields:
             return
         most = PROBE_SPEND / max(self.settings.prices.probe, 1e-9) * self.arrivals.turnover()
-        pace = min(len(self.model.servers) / PROBE_EVERY_S, most)
+        pace = min(len(self.model.endpoints) / PROBE_EVERY_S, most)
         self.probe_budget = clamp(self.probe_budget + pace * seconds, -pace, 1.0 + pace)
         while self.probe_budget >= 1 and self.controller.listed:
             self.probe_budget -= 1
             self.ask(min(self.controller.listed, key=lambda s: s.asked_us))  # by chance, some wait for long
 
-    def ask(self, server: ServerState) -> bool:
+    def ask(self, server: EndpointState) -> bool:
         """Probe a server unless a probe of it is out, or none may be sent."""
         if server.id in self.probing or not self.settings.limits.health_checks:
             return False
@@ -566,7 +572,7 @@
 
     def on_health_check_ended(self, event: HealthCheckEnded) -> None:
         self.probing.pop(event.endpoint, None)
-        server = self.model.servers.get(event.endpoint)
+        server = self.model.endpoints.get(event.endpoint)
         if server is None:
             return
         waiting, server.waiting = server.waiting, []
@@ -585,7 +591,7 @@
         """Move connections off jammed servers, worth least first: all nodes the same share, to MOVE_TO."""
         # A draining server keeps its own: moved by all at the news, they filled the rest before others came.
         gain = MOVE_GAIN_S * max(rate, 0.1)
-        pays = self.settings.prices.moves * self.arrivals.open < gain and not self.throttle.closed()
+        pays = self.settings.prices.moves * self.arrivals.open < gain and not self.throttle.is_closed()
         for server in tuple(self.slow.values()):
             over = self.now - server.delay_us > DELAY_FRESH_US and server.predicted < MOVE_FROM
             if over or not server.flights:  # relieved, or nothing of this instance's to move
@@ -596,7 +602,7 @@
             elif max(server.asked_us, server.moved_us) + JAMMED_ASK_US < self.now:
                 self.ask(server)
 
-    def shed(self, server: ServerState, share: float) -> None:
+    def shed(self, server: EndpointState, share: float) -> None:
         """Move about this share of the own load on a server."""
         flights = [f for f in server.flights.values() if f.up and not f.answered]
         left = share * server.load
--- a/stepflow/policy/model.py
+++ b/stepflow/policy/model.py
@@ -4,9 +4,9 @@
 
 import math
 
-from stepflow.estimates.loads import Loads
+from stepflow.estimates.loads import LoadEstimate
 from stepflow.interface import Endpoint, EndpointId, Request, Settings
-from stepflow.rendezvous import key_of
+from stepflow.rendezvous import hash_key
 
 LEARN = 0.4  # share of a new report in the learned cost, at the least
 LEARN_US = 2_000_000  # a report that follows after this counts for two thirds more
@@ -22,7 +22,7 @@
     return low if value < low else high if value > high else value
 
 
-class ServerState:
+class EndpointState:
     """What this instance knows of one server."""
 
     load = cost = predicted = error_sum = last_error = 0.0
@@ -32,11 +32,11 @@
     seen_us = delay_us = moved_us = asked_us = 0  # of the last report, note of late messages, moves and probe
 
     def __init__(self, entry: Endpoint, budget: float) -> None:
-        self.id, self.key, self.budget = entry.id, key_of(entry.id), budget
-        self.flights: dict[int, Flight] = {}
+        self.id, self.key, self.budget = entry.id, hash_key(entry.id), budget
+        self.flights: dict[int, RequestState] = {}
         self.groups: dict[int, int] = {}  # own connections of each group
         self.past: list[float] = []  # the own load at the last ticks, the oldest first
-        self.waiting: list[Flight] = []  # requests that wait for a probe of this server
+        self.waiting: list[RequestState] = []  # requests that wait for a probe of this server
         self.follow(entry)
 
     def follow(self, entry: Endpoint) -> None:
@@ -50,46 +50,46 @@
         self.health = max(HEALTH_FLOOR, self.health * HEALTH_FALL)
 
 
-class Flight:
+class RequestState:
     """One request from its arrival to the end of its last attempt."""
 
     attempts = bound_us = bound_by = up_us = 0  # bound_by: the attempt that bound it
     limit = 1  # of attempts: the settings' when it came
     up = out = answered = False  # the connection stands; an attempt has no outcome; nothing more is owed
-    server: ServerState | None = None
-    bound: ServerState | None = None  # where a keyed or unsafe request may have run
-    home: ServerState | None = None  # where all instances look for its group first
+    server: EndpointState | None = None
+    bound: EndpointState | None = None  # where a keyed or unsafe request may have run
+    home: EndpointState | None = None  # where all instances look for its group first
 
     def __init__(self, request: Request, load: float) -> None:
         self.request, self.load = request, load
         self.tried: list[EndpointId] = []
-        self.candidates: list[ServerState] = []  # drawn, and being probed
+        self.candidates: list[EndpointState] = []  # drawn, and being probed
 
 
-class Model:
+class LoadModel:
     """Told load and learned cost of every server."""
 
     def __init__(self, settings: Settings) -> None:
-        self.servers: dict[EndpointId, ServerState] = {}
+        self.endpoints: dict[EndpointId, EndpointState] = {}
         self.kind_cost: dict[int, float] = {}
         self.kind_size: dict[int, float] = {}  # where weights are live
-        self.loads = Loads()
+        self.loads = LoadEstimate()
         self.own = self.plain_cost = 0.0  # summed load of all own connections; mean cost of the kinds
-        self.retune(settings)
+        self.update_settings(settings)
 
-    def retune(self, settings: Settings) -> None:
+    def update_settings(self, settings: Settings) -> None:
         """Take settings, at the start or later."""
         self.settings, fields = settings, settings.load_report_fields
         known = [fields.index(name) for name in ("x0", "util", "inflight", "queue") if name in fields]
         self.field = known[0] if known else -1
         self.absolute = "x0" in fields or "util" in fields
 
-    def told(self, load: float | None, cls: int) -> float:
+    def resolve_load(self, load: float | None, cls: int) -> float:
         """The load of a connection; the first that is told shows the unit of what was counted in another."""
-        load, scale = self.loads.told(load, cls)
+        load, scale = self.loads.resolve(load, cls)
         if scale != 1.0:
             self.own *= scale
-            for server in self.servers.values():
+            for server in self.endpoints.values():
                 server.load *= scale
                 server.past = [load * scale for load in server.past]
                 for flight in server.flights.values():
@@ -98,9 +98,9 @@
 
     def pseudo_load(self) -> float:
         """Load added to every own one: where that is next to nothing, a cost learned from it explodes."""
-        return max(self.loads.units(self.own) / max(1, len(self.servers)), PSEUDO_CONNECTIONS)
+        return max(self.loads.units(self.own) / max(1, len(self.endpoints)), PSEUDO_CONNECTIONS)
 
-    def report(self, now: int, server: ServerState, report: tuple[float, ...]) -> None:
+    def report(self, now: int, server: EndpointState, report: tuple[float, ...]) -> None:
         """Learn the cost from one report, in full after a long gap; values without sense are dropped."""
         value = report[self.field] if 0 <= self.field < len(report) else -1.0
         if not math.isfinite(value) or value < 0:
@@ -115,7 +115,7 @@
         kind = self.kind_cost.setdefault(server.kind, cost)
         self.kind_cost[server.kind] = kind + KIND_LEARN * (cost - kind)
 
-    def predict(self, servers: list[ServerState], seconds: float) -> None:
+    def predict(self, servers: list[EndpointState], seconds: float) -> None:
         """Predict the load of every server; a cost goes back to its kind's as its report ages."""
         pseudo, balancers = self.pseudo_load(), self.settings.balancers
         if self.settings.live_weights:  # they fall with what a server holds: the most of a kind is its size
--- a/stepflow/rendezvous.py
+++ b/stepflow/rendezvous.py
@@ -21,7 +21,7 @@
 _WORD = (1 << 64) - 1
 
 
-def key_of(id: object) -> int:
+def hash_key(id: object) -> int:
     """The number that stands for a server in the hash: the same at every node that knows it by this id."""
     return crc32(repr(id).encode())
 
@@ -36,6 +36,6 @@
     return mixed ^ mixed >> 32
 
 
-def homes(name: int, servers: Iterable[S], count: int) -> list[S]:
+def preferred_endpoints(name: int, servers: Iterable[S], count: int) -> list[S]:
     """The servers at which a name is looked for, in order: the first, and where to look once that is full."""
     return heapq.nlargest(count, servers, key=lambda server: mix(name, server.key))
--- a/stepflow/settings.py
+++ b/stepflow/settings.py
@@ -102,14 +102,14 @@
 class NodeSettings(NamedTuple):
     """What the settings tell a real node: those of the module, and what the sockets need beside."""
 
-    module: Settings
+    policy: Settings
     connect_timeout: timedelta
     idle_close: timedelta
-    tells_load: bool = True  # whether peers tell loads, as `LOAD X`
-    tells_delay: bool = False  # and how long messages take, in the same form
+    reports_load: bool = True  # whether peers tell loads, as `LOAD X`
+    reports_delay: bool = False  # and how long messages take, in the same form
 
 
-def node_settings(tree: object) -> NodeSettings:
+def parse_node_settings(tree: object) -> NodeSettings:
     """Turn the nested JSON of a node's configuration into its settings."""
     if not isinstance(tree, dict):
         raise SettingsError("the settings are not an object")
@@ -118,15 +118,15 @@
     if len({cls.name for cls in module.classes}) < len(module.classes):
         raise SettingsError("two classes have one name")
     return NodeSettings(
-        module=module,
+        policy=module,
         connect_timeout=read.span("policy_limits.connect_timeout_us", CONNECT_TIMEOUT),
         idle_close=read.span("policy_limits.idle_close_us", IDLE_CLOSE),
-        tells_load=read.flag("domain.tells_load", True),
-        tells_delay=read.flag("domain.tells_delay", False),
+        reports_load=read.flag("domain.tells_load", True),
+        reports_delay=read.flag("domain.tells_delay", False),
     )
 
 
-def follow(before: Settings, told: Settings) -> Settings:
+def merge_settings(before: Settings, told: Settings) -> Settings:
     """Settings told while requests are open: classes keep their numbers, and new or altered ones go behind.
 
     So do tenants, with the shares that are told now: one that is told no more has none. Zones and kinds stay,
--- a/stepflow/traffic/journal.py
+++ b/stepflow/traffic/journal.py
@@ -20,7 +20,7 @@
 
 import msgspec
 
-from stepflow.errors import BadInput
+from stepflow.errors import InputError
 
 MAGIC = struct.Struct("<6sH")
 NAME = b"SFTRAF"
@@ -76,7 +76,7 @@
 """Items of a row of each kind, its kind included; later versions may append some."""
 
 
-class JournalError(BadInput):
+class JournalError(InputError):
     """Why a file can't be read as a journal at all, in one line that names it."""
 
 
--- a/stepflow/traffic/writer.py
+++ b/stepflow/traffic/writer.py
@@ -13,7 +13,7 @@
 from functools import partial
 from typing import Final, TypeVar
 
-from stepflow.os_errors import OF_THE_DISK
+from stepflow.os_errors import TRANSIENT_FILE_ERRORS
 
 T = TypeVar("T")
 
@@ -90,7 +90,7 @@
             try:
                 return call()
             except OSError as fault:
-                if fault.errno not in OF_THE_DISK or time.monotonic() >= self._close_by:
+                if fault.errno not in TRANSIENT_FILE_ERRORS or time.monotonic() >= self._close_by:
                     raise
             self.refused += 1
             if self._closing.is_set():
--- a/stepflow/upstream/poll_schedule.py
+++ b/stepflow/upstream/poll_schedule.py
@@ -18,26 +18,26 @@
 SOON_US = 300_000  # all nodes lose a watch at once: even a call that is overdue is made within this
 
 
-class Asking:
+class PollSchedule:
     """The calls of one instance."""
 
     def __init__(self, rng: random.Random) -> None:
         self._rng = rng
         self._failed = self._asked_us = 0
 
-    def first(self) -> int:
+    def first_delay(self) -> int:
         """Until the first call."""
         return self._rng.randrange(1, SPREAD_US)
 
-    def asked(self, now: int) -> None:
+    def poll_started(self, now: int) -> None:
         """A call begins."""
         self._asked_us = now
 
-    def heard(self) -> None:
+    def poll_succeeded(self) -> None:
         """A list has come."""
         self._failed = 0
 
-    def again(self, now: int, within_us: int) -> int:
+    def retry_delay(self, now: int, within_us: int) -> int:
         """Until the next call, when one has failed; within the time that the settings give for asking."""
         most = min(AGAIN_US << min(self._failed, 8), MOST_US, max(1, within_us // 2))
         self._failed += 1
--- a/tests/test_any_settings.py
+++ b/tests/test_any_settings.py
@@ -30,7 +30,7 @@
     TimerFired,
 )
 from stepflow.policy import Policy
-from stepflow.settings import follow, node_settings
+from stepflow.settings import merge_settings, parse_node_settings
 
 FIELDS = ("x0", "x1", "utilization", "inflight", "qps", "latency_ms", "queue")
 VALUES = (0.0, 0.2, 4.0, -1.0, float("nan"), float("inf"))
@@ -93,7 +93,7 @@
 
     def __init__(self, seed: int) -> None:
         self.rng = rng = random.Random(seed)
-        self.settings = node_settings(tree(rng)).module
+        self.settings = parse_node_settings(tree(rng)).policy
         self.policy, self.now, self.ids = Policy(self.settings, seed), 1_000_000_000, 0
         self.out: dict[int, EndpointId] = {}
         self.up: dict[int, tuple[int, EndpointId]] = {}
@@ -154,7 +154,7 @@
         if not self.out:
             return
         id = self.rng.choice(list(self.out))
-        server, flight = self.out.pop(id), self.policy.flights[id]
+        server, flight = self.out.pop(id), self.policy.requests[id]
         number = flight.attempts - 1
         if self.rng.random() < 0.5:
             self.feed(SessionEstablished(id, number, server, self.rng.choice([0, 900_000])))
@@ -184,8 +184,8 @@
         if self.rng.random() < 0.5:
             self.feed(ClientDisconnected(self.rng.randint(1, max(1, self.ids))))
         else:
-            self.settings = follow(self.settings, node_settings(tree(self.rng)).module)
-            self.policy.retune(self.settings)
+            self.settings = merge_settings(self.settings, parse_node_settings(tree(self.rng)).policy)
+            self.policy.update_settings(self.settings)
 
 
 @pytest.mark.parametrize("seed", range(8))
--- a/tests/test_asking.py
+++ b/tests/test_asking.py
@@ -14,11 +14,11 @@
 from twisted.python.failure import Failure
 
 from stepflow.address import Address
-from stepflow.node.core import Core, Uplink
+from stepflow.node.core import Core, Upstream
 from stepflow.node.discovery import DiscoveryClient
 from stepflow.node.runtime.clock import Clock
 from stepflow.node.runtime.counters import Counters
-from stepflow.node.runtime.timers import Deadlines
+from stepflow.node.runtime.timers import Timers
 from stepflow.node.runtime.transports import Reactor
 from stepflow.policy import Policy
 from stepflow.upstream import EndpointGroup
@@ -172,7 +172,7 @@
         time = VirtualTime(self.clock)
         for number in range(count):
             reactor = cast(Reactor, Virtual(self.clock, self.source))
-            deadlines = Deadlines(time, reactor, Counters())
+            deadlines = Timers(time, reactor, Counters())
             settings = plain_settings(polls_endpoint_list=True)
             policy = Policy(settings, seed * 1000 + number)
             counters = Counters()
@@ -180,7 +180,7 @@
             client = DiscoveryClient(
                 reactor, Address("h", 1), EndpointGroup((), ()), core, deadlines, counters
             )
-            core.start(cast(Uplink, None), client, ())
+            core.start(cast(Upstream, None), client, ())
             self.clients.append(client)
 
     def run(self, seconds: float) -> None:
--- a/tests/test_cold_sum.py
+++ b/tests/test_cold_sum.py
@@ -134,7 +134,7 @@
     def end_some(self, share: float) -> None:
         """So many of the connections end, wherever they stand."""
         for node, policy in enumerate(self.policies if share else ()):
-            for flight in [f for f in policy.flights.values() if f.up and self.rng.random() < share]:
+            for flight in [f for f in policy.requests.values() if f.up and self.rng.random() < share]:
                 assert flight.server is not None
                 self.open[flight.server.id] -= 1
                 id = flight.request.id
@@ -148,7 +148,7 @@
             self.sent.pop(server, None)
         news = tuple(entry(id, started=self.now) for id in servers)
         for node, policy in enumerate(self.policies):
-            for flight in [f for f in policy.flights.values() if f.server and f.server.id in servers]:
+            for flight in [f for f in policy.requests.values() if f.server and f.server.id in servers]:
                 assert flight.server is not None
                 end = AttemptEnded(
                     flight.request.id, flight.attempts - 1, flight.server.id, AttemptResult.RESET, True, 0
@@ -160,7 +160,7 @@
         """So many nodes are killed and begin anew; tells how many connections they held."""
         lost = 0
         for node in range(nodes):
-            for flight in self.policies[node].flights.values():
+            for flight in self.policies[node].requests.values():
                 assert flight.server is not None
                 self.open[flight.server.id] -= 1
                 lost += 1
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -20,7 +20,7 @@
 
 import pytest
 
-from stepflow.node.process.shutdown_schedule import STILL_COMING
+from stepflow.node.process.shutdown_schedule import CLIENT_LINGER
 from stepflow.node.relay import DEAF, DEAF_LOOK
 from tests.node_kit import PATIENCE, Discovery, Line, Listener, Node, Peer, opening
 
@@ -113,7 +113,7 @@
         node.wait_log("event=leaves")
         node.freeze()
         waiting = [node.client(opening(number)) for number in range(60)]
-        let_pass(STILL_COMING.total_seconds() + 0.05, *waiting)  # the listener's end is due
+        let_pass(CLIENT_LINGER.total_seconds() + 0.05, *waiting)  # the listener's end is due
         node.thaw()
         assert [(line.read(), line.read()) for line in waiting] == [("BUSY", "")] * 60
         assert node.process.wait(PATIENCE) == 0
--- a/tests/test_effects.py
+++ b/tests/test_effects.py
@@ -53,44 +53,44 @@
 @pytest.mark.parametrize("cls", [ONCE, KEYED])
 def test_what_may_have_run_is_not_harmless_to_refuse(cls: RequestClass) -> None:
     drive = driver(cls)
-    assert drive.policy.harmless(1)  # it was never sent
+    assert drive.policy.is_safe_to_reject(1)  # it was never sent
     [send] = only(StartAttempt, drive.request(1))
-    assert not drive.policy.harmless(1)
+    assert not drive.policy.is_safe_to_reject(1)
     drive.end(send, AttemptResult.CONNECT_FAILED)
     drive.feed(ClientDisconnected(1))
     anywhere = driver(replace(KEYED, deduplication_scope=DeduplicationScope.ALL))
     anywhere.request(1)
-    assert anywhere.policy.harmless(1)
+    assert anywhere.policy.is_safe_to_reject(1)
 
 
 def test_a_line_is_not_begun_at_a_server_that_began_to_drain_while_it_was_dialled() -> None:
     drive = driver(RequestClass())
     [send] = only(StartAttempt, drive.request(1))
-    assert drive.policy.may_begin(drive.now, 1)
+    assert drive.policy.may_send_attempt(drive.now, 1)
     drive.news(entry(send.endpoint, cell=int(str(send.endpoint)), state=1))
-    assert not drive.policy.may_begin(drive.now, 1)
+    assert not drive.policy.may_send_attempt(drive.now, 1)
 
 
 def test_a_line_is_not_begun_at_a_server_that_is_gone_nor_for_a_client_that_left() -> None:
     drive = driver(RequestClass())
     [send] = only(StartAttempt, drive.request(1))
     drive.news(entry(send.endpoint, state=2))
-    assert not drive.policy.may_begin(drive.now, 1)
+    assert not drive.policy.may_send_attempt(drive.now, 1)
     [other] = only(StartAttempt, drive.request(2))
-    assert drive.policy.may_begin(drive.now, 2)
+    assert drive.policy.may_send_attempt(drive.now, 2)
     drive.feed(ClientDisconnected(2))
-    assert not drive.policy.may_begin(drive.now, 2)
+    assert not drive.policy.may_send_attempt(drive.now, 2)
 
 
 def test_a_repeat_is_not_begun_once_the_window_of_the_first_attempt_is_over() -> None:
     """Decided within the window and dialled for longer than was left of it, it would have run twice."""
     drive = driver(KEYED)
     [first] = only(StartAttempt, drive.request(1, wait_us=5 * SECOND))
-    assert drive.policy.may_begin(drive.now + SECOND, 1)  # the first attempt opens the window
+    assert drive.policy.may_send_attempt(drive.now + SECOND, 1)  # the first attempt opens the window
     drive.now += 250_000
     drive.end(first, AttemptResult.RESET)
     drive.feed(TimerFired(16 + 1))
     [_, again] = only(StartAttempt, drive.done)
     assert again.endpoint == first.endpoint
-    assert drive.policy.may_begin(drive.now, 1)
-    assert not drive.policy.may_begin(drive.now + 50_000, 1)
+    assert drive.policy.may_send_attempt(drive.now, 1)
+    assert not drive.policy.may_send_attempt(drive.now + 50_000, 1)
--- a/tests/test_failing_calls.py
+++ b/tests/test_failing_calls.py
@@ -18,7 +18,7 @@
 
 from standins.preload import Call, Machine
 from stepflow.node.process import service, start
-from stepflow.node.process.shutdown_schedule import STILL_COMING
+from stepflow.node.process.shutdown_schedule import CLIENT_LINGER
 from tests.node_kit import PATIENCE, Discovery, Node, Peer, opening
 from tests.test_crossings import let_pass
 from tests.test_wall_clock import on
@@ -68,7 +68,7 @@
         node.wait_log("event=leaves")
         machine.fail(Call.ACCEPT, 1.0, [errno.ENFILE])
         waiting = [node.client(opening(number)) for number in range(20)]
-        let_pass(STILL_COMING.total_seconds() + 0.6, *waiting)
+        let_pass(CLIENT_LINGER.total_seconds() + 0.6, *waiting)
         machine.heal()
         assert [(line.read(), line.read()) for line in waiting] == [("BUSY", "")] * 20
         assert node.process.wait(PATIENCE) == 0
--- a/tests/test_format_files.py
+++ b/tests/test_format_files.py
@@ -19,7 +19,7 @@
 from stepflow.daemon import read_text
 from stepflow.interface import Settings
 from stepflow.node.process.config import ConfigError, load
-from stepflow.settings import node_settings, parse_settings
+from stepflow.settings import parse_node_settings, parse_settings
 from tests.test_simhost import batch, boot, host
 
 KEY = "0123456789abcdef"
@@ -87,13 +87,13 @@
     """Settings, read: the simulator's text, or a node's JSON with what the sockets need beside."""
     if isinstance(told, str):
         return by_key(parse_settings(told))
-    read = node_settings(told)
+    read = parse_node_settings(told)
     return {
-        **by_key(read.module),
+        **by_key(read.policy),
         "policy_limits.connect_timeout_us": read.connect_timeout.total_seconds() * 1e6,
         "policy_limits.idle_close_us": read.idle_close.total_seconds() * 1e6,
-        "domain.tells_load": read.tells_load,
-        "domain.tells_delay": read.tells_delay,
+        "domain.tells_load": read.reports_load,
+        "domain.tells_delay": read.reports_delay,
     }
 
 
@@ -111,7 +111,7 @@
         "seed": found.seed,
         "limits.sockets": found.sockets,
         "known": found.known,
-        "settings.group_size": found.settings.module.balancers,
+        "settings.group_size": found.settings.policy.balancers,
     }
 
 
--- a/tests/test_learned_form.py
+++ b/tests/test_learned_form.py
@@ -21,9 +21,9 @@
     Started,
     TimerFired,
 )
-from stepflow.node.process.snapshot import learned, recall
+from stepflow.node.process.snapshot import restore_snapshot, take_snapshot
 from stepflow.policy import Policy
-from stepflow.settings import node_settings
+from stepflow.settings import parse_node_settings
 from tests.handover_kit import load_recording
 from tests.node_kit import SETTINGS
 
@@ -74,7 +74,7 @@
         settings = json.loads(json.dumps(SETTINGS))
         settings["kinds"] = ["k", "fast"]
         settings["classes"] = [{**settings["classes"][0], "name": name} for name in classes]
-        self._policy = Policy(node_settings(settings).module, 1)
+        self._policy = Policy(parse_node_settings(settings).policy, 1)
 
     def list_servers(self, at_us: int, **kinds: int) -> None:
         """Servers s-1 and so on, each with the number of its kind."""
@@ -102,10 +102,10 @@
 
     def store(self, now_us: int) -> Any:
         """What it has learned, as the other process reads it."""
-        return json.loads(json.dumps(learned(self._policy, now_us)))
+        return json.loads(json.dumps(take_snapshot(self._policy, now_us)))
 
     def take_over(self, stored: dict[str, Any], now_us: int) -> None:
-        recall(self._policy, stored, now_us)
+        restore_snapshot(self._policy, stored, now_us)
 
 
 def flat(value: Any, path: str = "") -> dict[str, Any]:
--- a/tests/test_long.py
+++ b/tests/test_long.py
@@ -67,7 +67,7 @@
     churn(driver, range(1000))
     before = reachable(driver.policy)
     churn(driver, range(1000, 9000))
-    assert not driver.policy.flights
+    assert not driver.policy.requests
     assert reachable(driver.policy) <= before + 20
 
 
@@ -86,7 +86,7 @@
         driver.done.clear()
     shares = {}
     for id in range(4):
-        server = policy.model.servers[id]
+        server = policy.model.endpoints[id]
         assert math.isfinite(server.predicted) and math.isfinite(server.error_sum)
         shares[id] = server.weight * server.health
     assert shares[0] == pytest.approx(sum(shares.values()) / 4, rel=0.1)
@@ -94,7 +94,7 @@
 
 def test_a_fleet_wholly_ejected_still_places() -> None:
     driver = Driver(Settings(), map(entry, range(5)))
-    for server in driver.policy.model.servers.values():
+    for server in driver.policy.model.endpoints.values():
         for _ in range(50):
             server.fail()
     driver.tick(5)
@@ -130,7 +130,7 @@
         looked = 0
         plain = module.Policy.warm
 
-        def warm(self: module.Policy, server: module.ServerState) -> bool:
+        def warm(self: module.Policy, server: module.EndpointState) -> bool:
             nonlocal looked
             looked += 1
             return plain(self, server)  # noqa: B023
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -13,19 +13,19 @@
 from twisted.internet.task import Clock as TwistedClock
 
 from stepflow.interface import Request, SessionReportKind
-from stepflow.node.clients.connection import MalformedLine, parse_opening
-from stepflow.node.core import Core, Front, RequestContext
-from stepflow.node.process.shutdown_schedule import MOVES_FROM, leave, move_waits
+from stepflow.node.clients.connection import MalformedRequestError, parse_open_request
+from stepflow.node.core import Core, Downstream, RequestContext
+from stepflow.node.process.shutdown_schedule import MIGRATION_START_SHARE, migration_delays, shutdown_schedule
 from stepflow.node.runtime.clock import Clock
 from stepflow.node.runtime.counters import Counters
 from stepflow.node.runtime.lines import LineScanner
 from stepflow.node.runtime.slots import SlotTable
-from stepflow.node.runtime.timers import COMPACT_FROM, Deadlines
+from stepflow.node.runtime.timers import COMPACT_FROM, Timers
 from stepflow.node.runtime.transports import Reactor
 from stepflow.node.upstreams.attempt import parse_report
-from stepflow.node.upstreams.liveness import Pulses
-from stepflow.node.upstreams.load_reports import NoteReader
-from stepflow.settings import node_settings, parse_settings
+from stepflow.node.upstreams.liveness import LivenessMonitor
+from stepflow.node.upstreams.load_reports import LoadReportClassifier
+from stepflow.settings import parse_node_settings, parse_settings
 from stepflow.upstream import EndpointGroup, EndpointListError
 from tests.node_kit import SETTINGS
 
@@ -52,7 +52,7 @@
 
 def test_deadlines_come_in_order_through_one_call_of_the_reactor() -> None:
     reactor = TwistedClock()
-    deadlines = Deadlines(HandClock(reactor), cast(Reactor, reactor), Counters())
+    deadlines = Timers(HandClock(reactor), cast(Reactor, reactor), Counters())
     came: list[int] = []
 
     def fail() -> None:
@@ -96,7 +96,7 @@
 
 def test_an_opening_changes_in_d_alone() -> None:
     line = b"OPEN 0a 0b c=view,h=12.5,d=700,g=0c,r=1,again=1,z=?"
-    opening = parse_opening(line, timedelta(seconds=10), {b"view": 4})
+    opening = parse_open_request(line, timedelta(seconds=10), {b"view": 4})
     assert opening.line(timedelta(milliseconds=300)) == line.replace(b"d=700", b"d=300") + b"\r\n"
     request = opening.request
     assert (request.class_index, request.expires_us, request.load) == (4, 10_700_000, 12.5)
@@ -112,8 +112,8 @@
     "line", [b"", b"OPEN 1 2 c=view", b"OPEN 1 2 c=view,d=-5", b"OPEN 1 2 c=view,d=5,h=x"]
 )
 def test_an_opening_that_lacks_something_is_malformed(line: bytes) -> None:
-    with pytest.raises(MalformedLine):
-        parse_opening(line, timedelta(0), {b"view": 0})
+    with pytest.raises(MalformedRequestError):
+        parse_open_request(line, timedelta(0), {b"view": 0})
 
 
 @pytest.mark.parametrize(
@@ -135,7 +135,7 @@
     """`t` was left on the line: all clients were of the first tenant."""
     line = b"OPEN 1 2 c=view,d=9" + told
     tenants = {b"zeta": 0, b"acme": 1}
-    assert parse_opening(line, timedelta(0), {b"view": 0}, tenants).request.tenant == number
+    assert parse_open_request(line, timedelta(0), {b"view": 0}, tenants).request.tenant == number
 
 
 def test_both_forms_of_the_settings_say_the_same() -> None:
@@ -146,8 +146,8 @@
         "policy_limits.most_tries=6\npolicy_limits.probing=true\npolicy_limits.cancel=true\n"
         "report.fields=x0,x1,utilization\nreport.via=probe\n"
     )
-    told = node_settings(SETTINGS)
-    assert told.module == parse_settings(text)
+    told = parse_node_settings(SETTINGS)
+    assert told.policy == parse_settings(text)
     assert told.connect_timeout == timedelta(milliseconds=200)
 
 
@@ -159,19 +159,19 @@
     """
     longest = timedelta(milliseconds=milliseconds)
     until_kill = min(longest, timedelta(seconds=3)) + timedelta(milliseconds=700)
-    plan = leave(longest)
+    plan = shutdown_schedule(longest)
     assert timedelta(milliseconds=400) < plan.shut <= plan.end < plan.stop
     assert plan.stop <= until_kill - timedelta(milliseconds=150)
     assert plan.stop - plan.end >= timedelta(milliseconds=100)
-    waits = move_waits(plan.end - plan.shut, 50, MOVES_FROM)
+    waits = migration_delays(plan.end - plan.shut, 50, MIGRATION_START_SHARE)
     assert len(waits) == 50 and waits == sorted(waits) and plan.shut + waits[-1] == plan.end
     assert waits[0] >= (min(longest, timedelta(seconds=3)) - plan.shut) / 2
 
 
-def reader(load: bool = True, delay: bool = True) -> NoteReader:
+def reader(load: bool = True, delay: bool = True) -> LoadReportClassifier:
     tree = json.loads(json.dumps(SETTINGS))
     tree["domain"].update(tells_load=load, tells_delay=delay)
-    return NoteReader(node_settings(tree))
+    return LoadReportClassifier(parse_node_settings(tree))
 
 
 LOADS = [8000.0, 30000.0, 11000.0, 4000.0, 20000.0, 9000.0, 900.0, 60000.0]
@@ -209,7 +209,7 @@
     """A standing connection, as its peer's pulse sees it."""
 
     def __init__(self) -> None:
-        self.context = RequestContext(Request(1, 0, 0), cast(Front, None), peer="s-1")
+        self.context = RequestContext(Request(1, 0, 0), cast(Downstream, None), endpoint="s-1")
         self.hung = 0
 
     def peer_hangs(self) -> None:
@@ -222,9 +222,9 @@
     reactor = TwistedClock()
     clock = HandClock(reactor)
     notes: list[object] = []
-    core = cast(Core, SimpleNamespace(note=lambda *told: notes.append(told)))
+    core = cast(Core, SimpleNamespace(session_report=lambda *told: notes.append(told)))
     late = timedelta(milliseconds=16)
-    pulses = Pulses(clock, core, Deadlines(clock, cast(Reactor, reactor), Counters()), late, reader())
+    pulses = LivenessMonitor(clock, core, Timers(clock, cast(Reactor, reactor), Counters()), late, reader())
     bad, quiet = Session(), Session()
     pulse = pulses.join(bad)
     assert pulses.join(quiet) is pulse
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -39,10 +39,10 @@
     TimerFired,
     WatchEndpointList,
 )
-from stepflow.policy import Controller, Model, Policy, ServerState, decide
+from stepflow.policy import EndpointState, LoadModel, Policy, WeightController, decide
 from stepflow.policy import controller as trimming
 from stepflow.policy import model as knowing
-from stepflow.rendezvous import homes
+from stepflow.rendezvous import preferred_endpoints
 from tests.bench import SECOND, START, Driver, entry, only, plain_settings
 
 REPORTING = {"load_report_fields": ("x0", "eps")}
@@ -63,9 +63,9 @@
     # One step of 1 s, average 1: errors 0.6 * +-0.5 = +-0.3, integrals 0.5 * +-0.3 = +-0.15,
     # derivatives 0.125 * (0 - +-0.3) = -+0.0375; changes +-0.4125, from equal weights and costs.
     settings = plain_settings()
-    model = Model(settings)
-    controller = Controller(settings, model, random.Random(1))
-    members = [ServerState(entry(i), 0.0) for i in (1, 2)]
+    model = LoadModel(settings)
+    controller = WeightController(settings, model, random.Random(1))
+    members = [EndpointState(entry(i), 0.0) for i in (1, 2)]
     for server, predicted in zip(members, (1.5, 0.5), strict=True):
         server.cost, server.predicted = 1.0, predicted
     controller.trim(members, 1.0, 1.0, 1.0)
@@ -75,8 +75,8 @@
 
 def test_integral_and_weights_are_bounded() -> None:
     settings = plain_settings()
-    controller = Controller(settings, Model(settings), random.Random(1))
-    server = ServerState(entry(1), 0.0)
+    controller = WeightController(settings, LoadModel(settings), random.Random(1))
+    server = EndpointState(entry(1), 0.0)
     server.cost, server.predicted = 1.0, 50.0
     for _ in range(1000):
         controller.trim([server], 1.0, 1.0, 1.0)
@@ -90,8 +90,8 @@
 
 def test_cost_learning() -> None:
     # 4 balancers, own load 50, as much pseudo-load: cost = 0.8 / (4 * (50 + 50)).
-    model = Model(plain_settings(balancers=4, load_report_fields=("eps", "x0")))
-    server = model.servers[1] = ServerState(entry(1), 0.0)
+    model = LoadModel(plain_settings(balancers=4, load_report_fields=("eps", "x0")))
+    server = model.endpoints[1] = EndpointState(entry(1), 0.0)
     server.load = model.own = 50.0
     share = model.pseudo_load()
     assert share == pytest.approx(50.0)  # mean own load of the one server is above twenty connections
@@ -105,8 +105,8 @@
 
 @pytest.mark.parametrize("report", [(), (float("nan"),), (float("inf"),), (-1.0,)])
 def test_reports_that_make_no_sense_are_dropped(report: tuple[float, ...]) -> None:
-    model = Model(plain_settings(load_report_fields=("x0",)))
-    server = model.servers[1] = ServerState(entry(1), 0.0)
+    model = LoadModel(plain_settings(load_report_fields=("x0",)))
+    server = model.endpoints[1] = EndpointState(entry(1), 0.0)
     model.report(0, server, report)
     assert not server.seen_us
 
@@ -114,7 +114,7 @@
 def test_told_load_is_usual_then_present_then_gone() -> None:
     drive = Driver(plain_settings(), [entry(1)])
     [send] = only(StartAttempt, drive.request(1, load=8.0))
-    server = drive.policy.model.servers[1]
+    server = drive.policy.model.endpoints[1]
     assert server.load == 8.0
     drive.up(send)
     drive.feed(SessionReport(1, 0, 1, SessionReportKind.LOAD, 12.0))
@@ -123,20 +123,20 @@
     assert server.load == 12.0
     drive.end(send, AttemptResult.OK, complete=True)
     assert server.load == 0.0
-    assert not drive.policy.flights
+    assert not drive.policy.requests
 
 
 def test_connections_open_at_the_start_count() -> None:
     drive = Driver(plain_settings(), [entry(1), entry(2)])
     drive.feed(SessionAdopted(Request(5, 0, 0, 3.0), 2))
-    assert drive.policy.model.servers[2].load == 3.0
+    assert drive.policy.model.endpoints[2].load == 3.0
     drive.feed(AttemptEnded(5, 0, 2, AttemptResult.OK, True, 0))
-    assert drive.policy.model.servers[2].load == 0.0
+    assert drive.policy.model.endpoints[2].load == 0.0
 
 
 def test_the_draw_follows_the_weights() -> None:
     drive = Driver(plain_settings(), [entry(1), entry(2)])
-    drive.policy.model.servers[1].weight = 3.0
+    drive.policy.model.endpoints[1].weight = 3.0
     drive.policy.controller.tabulate(drive.now)
     counts: dict[EndpointId, int] = {1: 0, 2: 0}
     for id in range(400):
@@ -166,7 +166,7 @@
     assert SECOND < max(t.delay_us for t in timers) < 2 * SECOND
     drive.now += max(t.delay_us for t in timers)
     assert final(drive.feed(TimerFired(timers[0].token))) == [RejectRequest(1)]
-    assert not drive.policy.flights
+    assert not drive.policy.requests
 
 
 def test_no_reply_still_answers_in_time_and_only_once() -> None:
@@ -177,7 +177,7 @@
     assert not final(drive.feed(TimerFired(decide.FIRST_REQUEST_TOKEN + 1)))
     actions = drive.end(send, AttemptResult.TIMEOUT)
     assert not final(actions) and not only(StartAttempt, actions)
-    assert not drive.policy.flights
+    assert not drive.policy.requests
 
 
 def test_a_time_out_at_the_deadline_is_answered() -> None:
@@ -330,7 +330,7 @@
     warm = [entry(i) for i in range(1, 10)]
     drive = Driver(plain_settings(), [*warm, entry(99, started=START)])
     sent = 0
-    server = drive.policy.model.servers[99]
+    server = drive.policy.model.endpoints[99]
     server.budget = 0.0
     for step in range(80):  # 8 s of 20 requests a second, each soon over
         for id in range(step * 10, step * 10 + 10):
@@ -347,14 +347,14 @@
 
 def test_retries_spend_the_cold_budget_as_well() -> None:
     drive = Driver(plain_settings(limits=Limits(max_attempts=9)), [entry(9, started=START)])
-    drive.policy.model.servers[9].budget = 1.0
+    drive.policy.model.endpoints[9].budget = 1.0
     [send] = only(StartAttempt, drive.request(1))
     assert not only(StartAttempt, drive.end(send, AttemptResult.FULL))
 
 
 def test_a_lone_cold_server_gets_the_held_request_once_it_is_warm() -> None:
     drive = Driver(plain_settings(), [entry(9, started=START)])
-    drive.policy.model.servers[9].budget = 0.0
+    drive.policy.model.endpoints[9].budget = 0.0
     assert not only(StartAttempt, drive.request(1, wait_us=30 * SECOND))
     drive.now += 10 * SECOND
     assert len(only(StartAttempt, drive.feed(TimerFired(decide.FIRST_REQUEST_TOKEN + 1)))) == 1
@@ -469,7 +469,7 @@
     drive = standing_driver(0.5, 20)
     [send] = only(StartAttempt, drive.request(100, load=1.0))
     drive.up(send)
-    server = drive.policy.model.servers[1]
+    server = drive.policy.model.endpoints[1]
     placed = server.placed
     drive.feed(SessionAdopted(Request(101, 0, 0, 1.0), 1))
     drive.feed(SessionReport(100, 0, 1, SessionReportKind.LOAD, 1.1))
@@ -484,7 +484,7 @@
         drive.feed(SessionAdopted(Request(id, 0, 0, 1.0), 1))
     for _ in range(8):
         drive.feed(HealthCheckEnded(1, 0, 500, (0.3, 0.0)))  # it does not hold the ten yet
-    assert drive.policy.model.servers[1].predicted > 0.38
+    assert drive.policy.model.endpoints[1].predicted > 0.38
 
 
 def test_a_live_weight_is_no_size() -> None:
@@ -497,7 +497,7 @@
         drive.tick()
         drive.feed(HealthCheckEnded(1, 0, 500, (0.6, 0.0)))
     drive.tick(4.0)
-    empty = drive.policy.model.servers[2]
+    empty = drive.policy.model.endpoints[2]
     assert empty.share == 1.0 and empty.predicted < 0.6
 
 
@@ -572,7 +572,7 @@
 
 def test_a_failing_server_loses_its_share_and_regains_it() -> None:
     drive = Driver(plain_settings(), [entry(1), entry(2)])
-    server = drive.policy.model.servers[1]
+    server = drive.policy.model.endpoints[1]
     for _ in range(5):
         server.fail()
     assert server.health == knowing.HEALTH_FLOOR
@@ -586,7 +586,7 @@
     warm = [entry(i) for i in range(100)]
     drive = Driver(plain_settings(balancers=200, **REPORTING), [*warm, entry(999, started=START)])
     drive.tick()
-    drive.policy.model.servers[999].budget = 1.0
+    drive.policy.model.endpoints[999].budget = 1.0
     assert 999 in [probe.endpoint for probe in only(StartHealthCheck, drive.request(1))]
 
 
@@ -765,13 +765,13 @@
     for id in range(200):
         sends = only(StartAttempt, drive.request(id))
         while sends and sends[0].endpoint == 0:
-            attempt = drive.policy.flights[id].attempts - 1
+            attempt = drive.policy.requests[id].attempts - 1
             sends = only(StartAttempt, drive.end(sends[0], AttemptResult.ERROR, attempt))
         if sends:
-            drive.up(sends[0], drive.policy.flights[id].attempts - 1)
+            drive.up(sends[0], drive.policy.requests[id].attempts - 1)
             came_up += 1
     assert came_up > 190  # all but those before the others were known to serve
-    assert drive.policy.model.servers[0].health == knowing.HEALTH_FLOOR
+    assert drive.policy.model.endpoints[0].health == knowing.HEALTH_FLOOR
 
 
 def test_the_first_load_told_changes_the_unit_of_all() -> None:
@@ -783,10 +783,10 @@
     for send in sends:
         drive.up(send)
     drive.tick()
-    before = {id: server.predicted for id, server in drive.policy.model.servers.items()}
+    before = {id: server.predicted for id, server in drive.policy.model.endpoints.items()}
     drive.feed(SessionReport(0, 0, sends[0].endpoint, SessionReportKind.LOAD, 25_000.0))
     drive.tick()
-    servers = drive.policy.model.servers
+    servers = drive.policy.model.endpoints
     assert {id: server.predicted for id, server in servers.items()} == pytest.approx(before, rel=0.2)
     assert sum(server.load for server in servers.values()) == pytest.approx(100_000.0)
 
@@ -795,7 +795,7 @@
     """A restarted node's first second went to one server: without a cost nothing placed there counted."""
     drive = Driver(plain_settings(), [entry(1), entry(2)])
     [send] = only(StartAttempt, drive.request(1))
-    assert drive.policy.model.servers[send.endpoint].placed > 0
+    assert drive.policy.model.endpoints[send.endpoint].placed > 0
 
 
 def test_an_untold_load_is_the_usual_one_of_its_class() -> None:
@@ -804,7 +804,7 @@
     drive.request(2, cls=1, load=60.0)
     drive.request(3, cls=0)
     drive.request(4, cls=1)
-    assert drive.policy.model.servers[1].load == pytest.approx(140.0)
+    assert drive.policy.model.endpoints[1].load == pytest.approx(140.0)
 
 
 # Groups: 200 instances that share nothing look for them at the same servers
@@ -824,7 +824,7 @@
     drive.feed(SessionReport(1, 0, sends[1].endpoint, SessionReportKind.LOAD, 60_000.0))
     for _ in range(4):
         drive.tick()
-    assert all(server.predicted < 1.0 for server in drive.policy.model.servers.values())
+    assert all(server.predicted < 1.0 for server in drive.policy.model.endpoints.values())
 
 
 def test_instances_that_share_nothing_place_a_group_together() -> None:
@@ -852,7 +852,7 @@
         drive = Driver(settings, servers, seed=seed)
         for server in servers:
             drive.feed(HealthCheckEnded(server.id, AttemptResult.OK, 900, (0.5,)))
-        [home, second] = homes(77, list(drive.policy.model.servers.values()), 2)
+        [home, second] = preferred_endpoints(77, list(drive.policy.model.endpoints.values()), 2)
         drive.feed(HealthCheckEnded(home.id, AttemptResult.OK, 900, (3.0,)))
         [send] = only(StartAttempt, drive.request(1, affinity_group=77))
         found.add(send.endpoint)
--- a/tests/test_retune.py
+++ b/tests/test_retune.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from stepflow.settings import follow, node_settings
+from stepflow.settings import merge_settings, parse_node_settings
 from tests.node_kit import PATIENCE, SETTINGS, Discovery, Node, Peer, opening
 
 
@@ -112,8 +112,8 @@
 
 
 def test_an_altered_class_gets_a_new_number_and_an_old_one_its_own_again() -> None:
-    first = node_settings(SETTINGS).module
-    altered = node_settings(changed(put(9_000_000, "classes", "give_up_us"))).module
-    table = follow(first, altered)
+    first = parse_node_settings(SETTINGS).policy
+    altered = parse_node_settings(changed(put(9_000_000, "classes", "give_up_us"))).policy
+    table = merge_settings(first, altered)
     assert [cls.deadline_us for cls in table.classes] == [1_200_000, 9_000_000]
-    assert follow(table, first).classes == table.classes
+    assert merge_settings(table, first).classes == table.classes
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -9,7 +9,7 @@
 
 from stepflow import settings as module
 from stepflow.interface import Settings, Tenant
-from stepflow.settings import follow, node_settings
+from stepflow.settings import merge_settings, parse_node_settings
 
 ROOT = Path(__file__).resolve().parent.parent
 PAGE = (ROOT / "docs" / "settings.md").read_text()
@@ -42,7 +42,7 @@
         self.pairs = Pairs(self.pairs)
 
     monkeypatch.setattr(module._Pairs, "__init__", watched)
-    node_settings(
+    parse_node_settings(
         {
             "classes": [{"name": "a"}],
             "tenants": [{"name": "t"}],
@@ -73,9 +73,9 @@
     def told(*tenants: tuple[str, float]) -> Settings:
         return Settings(tenants=tuple(Tenant(name, share) for name, share in tenants))
 
-    after = follow(told(("a", 0.6), ("b", 0.4)), told(("b", 0.7), ("c", 0.3)))
+    after = merge_settings(told(("a", 0.6), ("b", 0.4)), told(("b", 0.7), ("c", 0.3)))
     assert [(t.name, t.share) for t in after.tenants] == [("a", 0.0), ("b", 0.7), ("c", 0.3)]
 
 
 def test_who_keeps_the_watch_does_not_change_while_the_node_runs() -> None:
-    assert follow(Settings(polls_endpoint_list=True), Settings()).polls_endpoint_list
+    assert merge_settings(Settings(polls_endpoint_list=True), Settings()).polls_endpoint_list
--- a/tests/test_terms.py
+++ b/tests/test_terms.py
@@ -107,7 +107,7 @@
 
 
 LEAN = (
-    "from stepflow import lazy_imports; lazy_imports.begin(); "
+    "from stepflow import lazy_imports; lazy_imports.install(); "
     "import stepflow.node.process.start, stepflow.node.process.service"
 )
 
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -24,9 +24,9 @@
     ListUpdateKind,
     Request,
 )
-from stepflow.node.process.snapshot import learned, recall
+from stepflow.node.process.snapshot import restore_snapshot, take_snapshot
 from stepflow.policy import Policy
-from stepflow.settings import node_settings
+from stepflow.settings import parse_node_settings
 from tests.node_kit import PATIENCE, SETTINGS, Discovery, Line, Node, Peer, opening
 from tests.test_crossings import Listening
 
@@ -203,7 +203,7 @@
 
 @pytest.mark.parametrize("broken", ["cost_in_means", "mean_load", "class_load", "servers"])
 def test_what_was_learned_goes_on_and_what_cannot_be_read_changes_nothing(broken: str) -> None:
-    settings = node_settings(SETTINGS).module
+    settings = parse_node_settings(SETTINGS).policy
     old, new, other = (Policy(settings, seed) for seed in (1, 2, 3))
     for policy in (old, new, other):
         entry = Endpoint("s-1", 0, 0, 0, Availability.READY, 1.0, 0)
@@ -211,36 +211,36 @@
     old.handle(2_000_000, Request(64, 0, 9_000_000, load=7000.0))
     old.handle(3_000_000, HealthCheckEnded("s-1", AttemptResult.OK, 1000, (0.4, 0.0, 0.4)))
     now = 3_000_000
-    told = json.loads(json.dumps(learned(old, now)))
-    recall(new, told, now)
-    assert learned(new, now) == told != learned(other, now)
+    told = json.loads(json.dumps(take_snapshot(old, now)))
+    restore_snapshot(new, told, now)
+    assert take_snapshot(new, now) == told != take_snapshot(other, now)
     # Predictions were at 2 where the process before had 0.8: reports came before its sessions had.
     new.handle(3_500_000, HealthCheckEnded("s-1", AttemptResult.OK, 1000, (0.8, 0.0, 0.8)))
-    assert learned(new, now) != told
-    recall(new, told, now)
-    assert learned(new, now)["servers"] == told["servers"]
+    assert take_snapshot(new, now) != told
+    restore_snapshot(new, told, now)
+    assert take_snapshot(new, now)["servers"] == told["servers"]
     # Its first requests were refused: the plain cost was in the unit of a process that knows no load.
-    assert new.model.plain_cost < 1 > new.model.servers["s-1"].predicted > 0
-    before = learned(other, now)
+    assert new.model.plain_cost < 1 > new.model.endpoints["s-1"].predicted > 0
+    before = take_snapshot(other, now)
     with pytest.raises((TypeError, ValueError, AttributeError)):
-        recall(other, {**told, broken: "x"}, now)
-    assert learned(other, now) == before
+        restore_snapshot(other, {**told, broken: "x"}, now)
+    assert take_snapshot(other, now) == before
 
 
 @pytest.mark.parametrize("apart_s", [-3600, 0, 3600])
 def test_what_was_learned_is_as_old_to_a_process_whose_clock_began_at_another_time(apart_s: int) -> None:
     """The wall clock was stepped between two starts: each further report failed the decision module."""
-    settings = node_settings(SETTINGS).module
+    settings = parse_node_settings(SETTINGS).policy
     old, new = Policy(settings, 1), Policy(settings, 2)
     entry = Endpoint("s-1", 0, 0, 0, Availability.READY, 1.0, 0)
     then, now = 5_000_000_000, 5_000_000_000 + apart_s * 1_000_000
     old.handle(then, EndpointListUpdate(ListUpdateKind.FULL, (entry,)))
     new.handle(now, EndpointListUpdate(ListUpdateKind.FULL, (entry,)))
     old.handle(then + 100_000, HealthCheckEnded("s-1", AttemptResult.OK, 1000, (0.4, 0.0, 0.4)))
-    told = json.loads(json.dumps(learned(old, then + 600_000)))
-    recall(new, told, now + 600_000)
-    assert new.model.servers["s-1"].seen_us == now + 100_000
+    told = json.loads(json.dumps(take_snapshot(old, then + 600_000)))
+    restore_snapshot(new, told, now + 600_000)
+    assert new.model.endpoints["s-1"].seen_us == now + 100_000
     new.handle(now + 700_000, HealthCheckEnded("s-1", AttemptResult.OK, 1000, (0.8, 0.0, 0.8)))
-    cost = new.model.servers["s-1"].cost
+    cost = new.model.endpoints["s-1"].cost
     old.handle(then + 700_000, HealthCheckEnded("s-1", AttemptResult.OK, 1000, (0.8, 0.0, 0.8)))
-    assert cost == old.model.servers["s-1"].cost
+    assert cost == old.model.endpoints["s-1"].cost
