--- a/standins/soak/fault_injector.py
+++ b/standins/soak/fault_injector.py
@@ -39,7 +39,10 @@
 
 
 class FaultInjector:
-    """Injects faults into one process and its machine, from `start` to `stop`."""
+    """Injects faults into a node's machine and the process that serves, from `start` to `stop`.
+
+    It goes on while the process shuts down, so it is to be stopped once that has exited.
+    """
 
     def __init__(self, process: NodeProcess, machine: Machine, plan: FaultPlan, rng: random.Random) -> None:
         self._process, self._machine, self._plan, self._rng = process, machine, plan, rng
@@ -49,6 +52,10 @@
         """Begin; the first fault comes after a pause."""
         self._task = asyncio.create_task(self._run())
 
+    def switch_to(self, process: NodeProcess) -> None:
+        """Send the signals from now on to the process that replaces the one so far."""
+        self._process = process
+
     async def stop(self) -> None:
         """End the fault that is in effect, and inject no more; raise what went wrong in the injector."""
         if self._task is None:
@@ -87,12 +94,16 @@
         await self._sleep_and_heal(BREAKING_S)
 
     async def _halt(self) -> None:
-        """Stop the process for a moment; it continues also where the injector is stopped amid that."""
-        self._process.send_signal(signal.SIGSTOP)
+        """Stop the process for a moment.
+
+        The same process continues, also where it is replaced or the injector is stopped amid that.
+        """
+        process = self._process
+        process.send_signal(signal.SIGSTOP)
         try:
             await self._sleep(HALT_S)
         finally:
-            self._process.send_signal(signal.SIGCONT)
+            process.send_signal(signal.SIGCONT)
 
     async def _reload(self) -> None:
         """Signal new configurations in a row; the file may be half written at the first signal."""
--- a/standins/soak/run.py
+++ b/standins/soak/run.py
@@ -44,7 +44,6 @@
     door: Door
     config: Path
     process: NodeProcess | None = None  # the one that serves
-    fault_rng: random.Random | None = None
     fault_injector: FaultInjector | None = None
     log: list[bytes] = field(default_factory=list)  # of all its processes
 
@@ -94,7 +93,6 @@
             for node in self._nodes:
                 self._begin_clients(node)
             for node in self._nodes:
-                node.fault_rng = random.Random(self._rng.random())
                 self._begin_faults(node)
             self._begin(self._inject_server_faults())
             self._begin(self._drain_one())
@@ -161,6 +159,8 @@
         node.machine.heal()
         node.process = NodeProcess(node.name, process, self.records)
         self._processes.append(node.process)
+        if node.fault_injector is not None:
+            node.fault_injector.switch_to(node.process)
         assert process.stderr is not None
         self._begin(self._read_log(node, process.stderr))
 
@@ -209,11 +209,10 @@
     # What goes wrong.
 
     def _begin_faults(self, node: Node) -> None:
-        """Inject faults into the process that serves, until it is told to end."""
-        assert node.process is not None and node.fault_rng is not None
-        node.fault_injector = FaultInjector(
-            node.process, node.machine, self._fault_plan(node), node.fault_rng
-        )
+        """Inject faults until the last process of the node has exited."""
+        assert node.process is not None
+        rng = random.Random(self._rng.random())
+        node.fault_injector = FaultInjector(node.process, node.machine, self._fault_plan(node), rng)
         node.fault_injector.start()
 
     @staticmethod
@@ -273,18 +272,15 @@
         before = node.process
         assert before is not None
         await self._start(node)
-        await self._stop_faults(node)
-        if node.process is not before:
-            self._begin_faults(node)
         await self._tell_to_end(node, before)
         await asyncio.sleep(1.0)
 
     async def _end(self, node: Node) -> None:
         """Signals in series; then the kill, as early as the protocol allows."""
         assert node.process is not None
-        await self._stop_faults(node)
         node.door.told_to_end = time.monotonic()
         await self._tell_to_end(node, node.process)
+        await self._stop_faults(node)
         await asyncio.sleep(0.05)  # for clients to read what was sent
         node.door.killed = True
         self._check_log(node)
