--- a/benchmarks/__init__.py
+++ b/benchmarks/__init__.py
@@ -0,0 +1,1 @@
+"""Benchmarks: `python -m benchmarks.NAME` prints one table, each with a ratio against a baseline."""
--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -34,6 +34,7 @@
 
 
 def speed(seconds: float) -> None:
+    """Print how many simulated seconds a second of one core plays, by the size of the fleet."""
     heads = (("servers", 8), ("nodes", 6), ("standing", 9), ("1/s", 6), ("sim s/s", 8), ("ratio", 7))
     print(*(f"{name:>{width}}" for name, width in heads), "us a connection and second")
     first = 0.0
@@ -56,6 +57,7 @@
 
 
 def coverage(repeats: int, runs: int) -> None:
+    """Print how often the interval of a difference between equal policies holds nothing."""
     seeds = range(repeats * runs)
     with ProcessPoolExecutor() as pool:
         sides = [list(pool.map(_net, seeds, [luck] * len(seeds), chunksize=10)) for luck in "AB"]
@@ -69,6 +71,7 @@
 
 
 def main() -> int:
+    """Run the measurement that the command line names."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("what", choices=("speed", "coverage"))
     parser.add_argument("--seconds", type=float, default=10)
--- a/benchmarks/footprint.py
+++ b/benchmarks/footprint.py
@@ -101,6 +101,7 @@
 
 
 def main() -> int:
+    """Print the private memory of a node, then that of the packages that it loads."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--servers", type=int, default=90)
     parser.add_argument("--sessions", type=int, default=300)
--- a/benchmarks/memory.py
+++ b/benchmarks/memory.py
@@ -74,6 +74,7 @@
 
 
 async def measure(root: Path, sessions: int, standing: int, steps: int) -> int:
+    """Print the memory of a node as sessions are served; 1 if it grew over the bound."""
     fleet = Fleet([MapServer("s-1"), MapServer("s-2")])
     await fleet.begin()
     with tempfile.TemporaryDirectory() as folder:
@@ -112,6 +113,7 @@
 
 
 def main() -> int:
+    """Read the command line and measure."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--sessions", type=int, default=100_000)
     parser.add_argument("--steps", type=int, default=10)
--- a/benchmarks/opens.py
+++ b/benchmarks/opens.py
@@ -49,6 +49,7 @@
 
 
 async def measure(sessions: int, runs: int, against: Path) -> None:
+    """Print the CPU time of a session in both checkouts, run by run, and the median ratio."""
     fleet = Fleet([MapServer(f"s-{n}") for n in range(4)])
     await fleet.begin()
     ratios = []
@@ -66,6 +67,7 @@
 
 
 def main() -> int:
+    """Read the command line and measure."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--sessions", type=int, default=2000)
     parser.add_argument("--runs", type=int, default=5)
--- a/benchmarks/ready.py
+++ b/benchmarks/ready.py
@@ -38,6 +38,7 @@
 
 
 async def measure(nodes: int, rounds: int) -> None:
+    """Print how long nodes that start together take until they are ready."""
     servers = [MapServer(f"s-{n}") for n in range(90)]
     fleet = Fleet(servers)
     await fleet.begin()
@@ -56,6 +57,7 @@
 
 
 def main() -> int:
+    """Read the command line and measure."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--nodes", type=int, default=20)
     parser.add_argument("--rounds", type=int, default=3)
--- a/benchmarks/relay.py
+++ b/benchmarks/relay.py
@@ -33,6 +33,7 @@
     lines = 0
 
     def answer(self, line: bytes, writer: asyncio.StreamWriter) -> bytes:
+        """Echo the line, with a load report before each twentieth."""
         self.lines += 1
         told = b"LOAD %d.5\r\n" % (self.lines % 50) if self.lines % LOAD_EVERY == 0 else b""
         return told + super().answer(line, writer)
@@ -45,11 +46,13 @@
         self.number, self.counts = number, counts
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Ask for a session."""
         assert isinstance(transport, asyncio.Transport)
         self.transport = transport
         transport.write(b"OPEN %016x 7f3a9c21e0b4d655 c=view,d=1200\r\n" % self.number)
 
     def data_received(self, data: bytes) -> None:
+        """Send the next line for each that came back."""
         echoes = data.count(b"M 1\r\n")
         self.counts[0] += echoes
         if echoes or data.startswith(b"UP"):
@@ -88,6 +91,7 @@
 
 
 async def measure(seconds: float, runs: int, record: bool, against: Path) -> int:
+    """Print the CPU time of a line in both nodes, run by run, and the ratio."""
     fleet = Fleet([LoadTelling("s-1"), LoadTelling("s-2")])
     await fleet.begin()
     ratios, best = [], [math.inf, math.inf]
@@ -110,6 +114,7 @@
 
 
 def main() -> int:
+    """Read the command line and measure."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--seconds", type=float, default=5)
     parser.add_argument("--runs", type=int, default=7)
--- a/benchmarks/start.py
+++ b/benchmarks/start.py
@@ -36,6 +36,7 @@
 
 
 def main() -> int:
+    """Print how long a node takes to start, beside another one."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--runs", type=int, default=15)
     parser.add_argument("--against", type=Path, help="another checkout")
--- a/benchmarks/terms.py
+++ b/benchmarks/terms.py
@@ -24,6 +24,7 @@
 
 
 def cases(settings: dict[str, Any], nodes: int) -> dict[str, Callable[[Path], Coroutine[Any, Any, float]]]:
+    """The measurements, by the name that the table shows."""
     part = round(0.7 * nodes)
     return {
         "3 of 10 cold": lambda folder: ramp(folder, nodes, SERVERS, 3, 0, settings),
@@ -36,6 +37,7 @@
 
 
 def main() -> int:
+    """Play each case with fleets of each size, and print what it found."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--nodes", type=int, nargs="+", default=[6, 20, 30])
     parser.add_argument("--rounds", type=int, default=3)
--- a/example/toy.py
+++ b/example/toy.py
@@ -60,6 +60,7 @@
 
 
 async def main() -> None:
+    """Serve the toy endpoints and the toy discovery until the process is ended."""
     for uid, port in SERVERS.items():
         await asyncio.start_server(partial(serve_map, uid), "127.0.0.1", port)
     await asyncio.start_server(serve_list, "127.0.0.1", 8500)
--- a/standins/crowd.py
+++ b/standins/crowd.py
@@ -28,6 +28,7 @@
     late: list[tuple[str, float]] = field(default_factory=list)  # what they got all the same, after so long
 
     def begins(self, uid: str, request: bytes) -> None:
+        """Count a request at a server, and whether it overlaps or comes after the end of the drain."""
         self.opened[uid] += 1
         self.out[request] += 1
         self.overlaps += self.out[request] > 1
@@ -35,6 +36,7 @@
             self.late.append((uid, time.monotonic() - self.shut[uid]))
 
     def ends(self, request: bytes) -> None:
+        """A request has ended at its server."""
         self.out[request] -= 1
 
 
@@ -46,6 +48,7 @@
     reset: Callable[[], bool] = lambda: False
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        """Serve one connection, and keep the ledger of its requests."""
         request = b""
         try:
             while line := await reader.readline():
--- a/standins/live.py
+++ b/standins/live.py
@@ -46,10 +46,12 @@
 
     @property
     def now(self) -> int:
+        """Microseconds since the scenario began."""
         assert self.live is not None
         return self.live.now
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        """Serve one connection as the model of this server does."""
         swings: asyncio.Task[None] | None = None
         live = self.live
         assert live is not None
@@ -169,6 +171,7 @@
         return int((time.monotonic() - self._began) * SECOND) if self._began else 0
 
     async def until(self, true: Any) -> None:
+        """Wait until a condition holds, looked at every 20 ms."""
         while not true():
             await asyncio.sleep(0.02)
 
--- a/standins/soak/clients.py
+++ b/standins/soak/clients.py
@@ -15,6 +15,9 @@
 LINE_EVERY_S = 0.15
 ECHO_S = 5.0  # a session that brings nothing back is owed its end sooner than this
 BAD_CLIENT_S = 3.0
+SPLIT_LINE_SHARE = 0.2  # of first lines that come in two pieces
+PING_SHARE = 0.5  # of resting clients that ask first whether the node lives
+HALF_CLOSE_SHARE = 0.5  # of early leavers that end only their sending
 PAUSE_S = (0.02, 0.3)
 STILL_COMING_S = 0.4  # after SIGTERM
 IDS: Iterator[int] = count(1)
@@ -42,9 +45,9 @@
     """One client, which comes again and again."""
 
     def __init__(
-        self, door: Door, records: Records, luck: random.Random, stopped: Callable[[str], bool]
+        self, door: Door, records: Records, rng: random.Random, stopped: Callable[[str], bool]
     ) -> None:
-        self._door, self._records, self._luck = door, records, luck
+        self._door, self._records, self._rng = door, records, rng
         self._stopped = stopped  # whether a server has cut its sessions by itself
 
     async def live(self) -> None:
@@ -54,10 +57,10 @@
             stream = await self._connect()
             if stream is not None:
                 try:
-                    await self._luck.choice(ways)(*stream)
+                    await self._rng.choice(ways)(*stream)
                 finally:
                     stream[1].transport.abort()
-            await asyncio.sleep(self._luck.uniform(*PAUSE_S))
+            await asyncio.sleep(self._rng.uniform(*PAUSE_S))
 
     async def _connect(self) -> Stream | None:
         if not self._door.open:
@@ -69,14 +72,14 @@
 
     async def _open(self, writer: asyncio.StreamWriter) -> Request:
         """Send a first line, in one piece or two."""
-        kind, number = self._luck.choice(KINDS), next(IDS)
+        kind, number = self._rng.choice(KINDS), next(IDS)
         request = Request(f"{number:016x}", kind, self._door.number)
         self._records.requests[request.id] = request
         text = f"OPEN {request.id} {number:016x} c={kind.name},d={int(kind.wait_s * 1000)}\r\n".encode()
-        cut = self._luck.randrange(1, len(text)) if self._luck.random() < 0.2 else len(text)
+        cut = self._rng.randrange(1, len(text)) if self._rng.random() < SPLIT_LINE_SHARE else len(text)
         writer.write(text[:cut])
         if cut < len(text):
-            await asyncio.sleep(self._luck.uniform(0.0, 0.1))
+            await asyncio.sleep(self._rng.uniform(0.0, 0.1))
             writer.write(text[cut:])
         request.sent = time.monotonic()
         return request
@@ -106,11 +109,11 @@
 
     async def _rest(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         """Ask whether the node lives, then say nothing for a while; answers may come without a question."""
-        if self._luck.random() < 0.5:
+        if self._rng.random() < PING_SHARE:
             writer.write(b"PING\r\n")
             if (await self._line(reader)) != b"PONG\r\n":
                 return
-        rest = self._luck.uniform(0.1, 2.2)
+        rest = self._rng.uniform(0.1, 2.2)
         until = time.monotonic() + rest
         while time.monotonic() < until and not reader.at_eof():
             await asyncio.sleep(0.02)
@@ -119,13 +122,13 @@
     async def _leave_early(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         request = await self._open(writer)
         try:
-            async with asyncio.timeout(self._luck.uniform(0.0, 0.5)):
+            async with asyncio.timeout(self._rng.uniform(0.0, 0.5)):
                 line = await reader.readline()
             request.answer = line.split()[0].decode() if line.strip() else ""
             request.answered = time.monotonic()
         except TimeoutError:
             request.left = time.monotonic()
-            if self._luck.random() < 0.5:
+            if self._rng.random() < HALF_CLOSE_SHARE:
                 writer.write_eof()
                 await self._line(reader)
         except ConnectionError:
@@ -149,7 +152,7 @@
         self, request: Request, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
         """Lines and echoes, until the client has enough or is moved."""
-        until = time.monotonic() + self._luck.uniform(0.3, 6.0)
+        until = time.monotonic() + self._rng.uniform(0.3, 6.0)
         while time.monotonic() < until:
             writer.write(b"M\r\n")
             line = await self._line(reader)
--- a/standins/soak/fault_injector.py
+++ b/standins/soak/fault_injector.py
@@ -20,6 +20,7 @@
 HALF_WRITTEN_S = (0.0, 0.1)
 FAILURE_SHARES = (0.05, 0.3, 0.8)
 BREAKING_SHARE = 0.02
+HALF_WRITTEN_SHARE = 0.5  # of reloads whose file is half written at the first signal
 
 # Upper bounds of one draw from [0, 1) that chooses the fault; a reload has the rest.
 CLOCK_STEP_BELOW = 0.25
@@ -108,7 +109,7 @@
     async def _reload(self) -> None:
         """Signal new configurations in a row; the file may be half written at the first signal."""
         text = self._plan.new_configuration(self._rng)
-        if self._rng.random() < 0.5:
+        if self._rng.random() < HALF_WRITTEN_SHARE:
             self._plan.config.write_text(text[: len(text) // 2])
             self._process.send_signal(signal.SIGHUP)
             await self._sleep(HALF_WRITTEN_S)
--- a/standins/soak/run.py
+++ b/standins/soak/run.py
@@ -25,6 +25,8 @@
 LASTS_S = 5.0  # until the first node is told to end
 KILL_AFTER_S = LONGEST_S + 0.7  # from SIGTERM
 READY_S = 25.0
+CLOCK_OFF_SHARE = 0.4  # of starts on a machine whose wall clock is off
+FAILING_START_SHARE = 0.3  # of starts on a machine whose calls fail
 SERVERS, CLIENTS, CROWD = 6, 30, 150
 SOCKETS = 256  # descriptors that a node may hold
 BREAKING = (Call.RECV_ACCEPTED, Call.SEND_ACCEPTED)  # these cost a client its connection
@@ -65,7 +67,7 @@
         self._rng = random.Random(seed)
         self._folder, self.records = folder, Records()
         self.servers = [
-            FaultyServer(f"s-{n}", records=self.records, luck=random.Random(seed * 100 + n))
+            FaultyServer(f"s-{n}", records=self.records, rng=random.Random(seed * 100 + n))
             for n in range(SERVERS)
         ]
         self._fleets = [Fleet(list(self.servers)), Fleet(list(self.servers))]  # discovery's two addresses
@@ -139,9 +141,9 @@
 
     async def _start(self, node: Node) -> None:
         """Start it, or a process that is to replace it, on a machine that may be in trouble already."""
-        if self._rng.random() < 0.4:
+        if self._rng.random() < CLOCK_OFF_SHARE:
             node.machine.step_wall_clock(self._rng.choice(CLOCK_STEPS_S))
-        troubled = self._rng.random() < 0.3
+        troubled = self._rng.random() < FAILING_START_SHARE
         if troubled:
             for call in (Call.SOCKET, Call.OPEN, Call.WAIT):
                 node.machine.fail(call, 0.3)
--- a/standins/soak/servers.py
+++ b/standins/soak/servers.py
@@ -11,17 +11,20 @@
 from standins.fleet import MapServer
 from standins.soak.records import Attempt, Records
 
+RESET_SHARE = 0.5  # of connections that a resetting server resets
+
 
 @dataclass
 class FaultyServer(MapServer):
     """A map server that records each attempt; `mood` says how it takes one."""
 
     records: Records = field(default_factory=Records)
-    luck: random.Random = field(default_factory=random.Random)
+    rng: random.Random = field(default_factory=random.Random)
     mood: str = "sound"  # or hung, full, resetting, late
     stopped: bool = False  # its sessions are cut, and new ones refused
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        """Serve one connection in the mood of the moment."""
         attempt: Attempt | None = None
         if self.stopped:
             writer.transport.abort()
@@ -59,12 +62,12 @@
         if self.mood == "hung":
             await reader.read()
             return False
-        if self.mood == "resetting" and self.luck.random() < 0.5:
+        if self.mood == "resetting" and self.rng.random() < RESET_SHARE:
             writer.transport.abort()
             return False
         if self.mood == "late":
             with suppress(TimeoutError):
-                async with asyncio.timeout(self.luck.uniform(0.05, 0.8)):
+                async with asyncio.timeout(self.rng.uniform(0.05, 0.8)):
                     await reader.read()
                 return False
         if self.mood == "full" or self.state != "Ready":
@@ -72,9 +75,9 @@
             writer.write(b"BUSY\r\n")
             return False
         pieces = b"UP %s\r\n" % self.uid.encode()
-        cut = self.luck.randrange(1, len(pieces))
+        cut = self.rng.randrange(1, len(pieces))
         writer.write(pieces[:cut])
-        await asyncio.sleep(self.luck.choice((0.0, 0.0, 0.02)))
+        await asyncio.sleep(self.rng.choice((0.0, 0.0, 0.02)))
         writer.write(pieces[cut:])
         return True
 
