--- a/stepflow/fleet/makers.py
+++ b/stepflow/fleet/makers.py
@@ -2,10 +2,12 @@
 
 from __future__ import annotations
 
+import re
 import subprocess
 import sys
 from collections.abc import Mapping, Sequence
 from functools import lru_cache
+from graphlib import TopologicalSorter
 from itertools import count
 from pathlib import Path
 from types import ModuleType
@@ -18,9 +20,9 @@
 
 HOME = "stepflow.policy"
 FOLDER, FILE = "stepflow/policy/", "stepflow/policy.py"  # as it stands, and as it was in one file
-ROOMS = ("model", "controller", "decide")  # each imports those before it
+_IMPORT = re.compile(rf"^from {re.escape(HOME)}\.(\w+) import", re.MULTILINE)
 
-Sources = Mapping[str, str]  # the text of each room; that of "" is a module in one file
+Sources = Mapping[str, str]  # the text of each module by its name; that of "" is a policy in one file
 
 _numbers = count(1)
 
@@ -32,7 +34,7 @@
 def sources() -> dict[str, str]:
     """The module of this checkout."""
     folder = Path(str(present.__file__)).parent
-    return {room: (folder / f"{room}.py").read_text() for room in ROOMS}
+    return {path.stem: path.read_text() for path in sorted(folder.glob("*.py")) if path.stem != "__init__"}
 
 
 @lru_cache(maxsize=32)
@@ -61,21 +63,24 @@
 
 
 def _of_revision(revision: str) -> dict[str, str]:
-    rooms = {}
-    for room in ROOMS:
-        text, said = _shown(revision, f"{FOLDER}{room}.py")
-        if text is None:
-            text, said = _shown(revision, FILE)
-            if text is None:
-                raise SpecError(f"rev:{revision}: {said}")
-            return {"": text}
-        rooms[room] = text
-    return rooms
-
-
-def _shown(revision: str, path: str) -> tuple[str | None, str]:
-    """A file as git holds it, or what git said instead."""
-    command = ["git", "show", "--end-of-options", f"{revision}:{path}"]
+    listing, _ = _git(revision, "ls-tree", "--name-only", "--end-of-options", revision, FOLDER)
+    paths = [Path(line) for line in (listing or "").splitlines()]
+    found = {
+        path.stem: _git(revision, "show", "--end-of-options", f"{revision}:{path}")[0] or ""
+        for path in paths
+        if path.suffix == ".py" and path.stem != "__init__"
+    }
+    if found:
+        return found
+    text, said = _git(revision, "show", "--end-of-options", f"{revision}:{FILE}")
+    if text is None:
+        raise SpecError(f"rev:{revision}: {said}")
+    return {"": text}
+
+
+def _git(revision: str, *arguments: str) -> tuple[str | None, str]:
+    """The output of a git command about a revision, or what git said instead."""
+    command = ["git", *arguments]
     try:
         done = subprocess.run(command, capture_output=True, text=True, timeout=30, check=False)
     except OSError as fault:
@@ -84,16 +89,23 @@
     return (None if done.returncode else done.stdout), said[-1] if said else "git knows no such revision"
 
 
+def _import_order(source: Sources) -> list[str]:
+    """The names of the modules, each behind those that it imports."""
+    imported = {name: set(_IMPORT.findall(text)) & source.keys() for name, text in source.items()}
+    return list(TopologicalSorter(imported).static_order())
+
+
 def of_source(source: Sources, spec: str, changes: Sequence[str] = ()) -> Maker:
     """The policy of some texts, as modules of their own, so that their figures are nobody else's."""
     home = f"stepflow_policy_{next(_numbers)}"
     sys.modules[home] = ModuleType(home)
     modules = []
-    for room, text in source.items():
+    for room in _import_order(source):
+        text = source[room]
         module = ModuleType(f"{home}.{room}")
         sys.modules[module.__name__] = module
         modules.append(module)
-        # The rooms find each other under their own names; what they have of others is shared.
+        # The modules find each other under their own names; those of other packages are shared.
         text = text.replace(f"from {HOME}.", f"from {home}.")
         try:
             exec(compile(text, f"{spec}: {room or 'policy'}", "exec"), module.__dict__)
@@ -111,7 +123,7 @@
             raise SpecError(f"{spec}: {name}: {told!r} is not a number") from None
         for module in holders:
             module.__dict__[name] = int(value) if isinstance(before, int) else value
-    made: Any = modules[-1].__dict__["Policy"]
+    made: Any = next(module.__dict__["Policy"] for module in modules if "Policy" in module.__dict__)
 
     def make(settings: Settings, seed: int) -> Any:
         return made(settings, seed)
--- a/stepflow/policy/__init__.py
+++ b/stepflow/policy/__init__.py
@@ -5,8 +5,8 @@
 toward the average, and a new connection is placed once, by a weighted draw. No clock, no I/O.
 """
 
-from stepflow.policy.controller import WeightController
-from stepflow.policy.decide import Policy
-from stepflow.policy.model import EndpointState, LoadModel, RequestState
+from stepflow.policy.load_model import EndpointState, LoadModel, RequestState
+from stepflow.policy.policy import Policy
+from stepflow.policy.weights import WeightController
 
 __all__ = ["EndpointState", "LoadModel", "Policy", "RequestState", "WeightController"]
--- a/stepflow/policy/decide.py
+++ b/stepflow/policy/policy.py
@@ -41,8 +41,8 @@
     TimerFired,
     WatchEndpointList,
 )
-from stepflow.policy.controller import JAM, WeightController, harm
-from stepflow.policy.model import HEALTH_FLOOR, EndpointState, LoadModel, RequestState, clamp
+from stepflow.policy.load_model import HEALTH_FLOOR, EndpointState, LoadModel, RequestState, clamp
+from stepflow.policy.weights import JAM, WeightController, harm
 from stepflow.rendezvous import preferred_endpoints
 from stepflow.upstream.poll_schedule import PollSchedule
 
--- a/stepflow/policy/controller.py
+++ b/stepflow/policy/weights.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable
 
 from stepflow.interface import Availability, Settings
-from stepflow.policy.model import UNSEEN_LOAD, EndpointState, LoadModel, clamp
+from stepflow.policy.load_model import UNSEEN_LOAD, EndpointState, LoadModel, clamp
 
 KP, KI, KD = 0.6, 0.5, 0.125
 ERROR_SPAN = (-1.0, 2.0)  # relative error that one step takes into account
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -30,7 +30,7 @@
     StartAttempt,
     Started,
 )
-from stepflow.policy import Policy, controller
+from stepflow.policy import Policy, weights
 from tests.test_daemon import command
 
 SMALL = Scenario(
@@ -219,7 +219,7 @@
     made: Any = maker(spec)(SMALL.settings(), 1)
     assert made.handle(0, Started())
     if "KP" in spec:
-        assert vars(sys.modules[type(made.controller).__module__])["KP"] == 0.1 != controller.KP
+        assert vars(sys.modules[type(made.controller).__module__])["KP"] == 0.1 != weights.KP
 
 
 @pytest.mark.parametrize(
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -39,9 +39,10 @@
     TimerFired,
     WatchEndpointList,
 )
-from stepflow.policy import EndpointState, LoadModel, Policy, WeightController, decide
-from stepflow.policy import controller as trimming
-from stepflow.policy import model as knowing
+from stepflow.policy import EndpointState, LoadModel, Policy, WeightController
+from stepflow.policy import load_model as knowing
+from stepflow.policy import policy as decide
+from stepflow.policy import weights as trimming
 from stepflow.rendezvous import preferred_endpoints
 from tests.bench import SECOND, START, Driver, entry, only, plain_settings
 
