--- a/stepflow/budgets/attempt_throttle.py
+++ b/stepflow/budgets/attempt_throttle.py
@@ -1,26 +1,47 @@
-"""Set-ups of connections: what all servers share (a store) fails everybody when it is asked too much."""
+"""A throttle for attempts: what all endpoints share (a store) fails everybody when it is asked too much.
+
+Counts decay over time. While too few attempts become established sessions, further ones have to wait. Pure:
+no clock, no I/O.
+"""
 
 from __future__ import annotations
 
 import math
 
-THROTTLE_S = 5.0  # memory of attempts and of those that came up
-THROTTLE_FREE = 4.0  # attempts that need no success
-THROTTLE_RATIO = 1.3  # attempts allowed for each that came up
+MEMORY_S = 5.0  # memory of attempts and of those that were established
+FREE_ATTEMPTS = 4.0  # attempts that need no success
+ATTEMPTS_PER_SUCCESS = 1.3  # attempts allowed for each that was established
+
+
+def decay_factor(seconds: float) -> float:
+    """What is left of a count after so much time."""
+    return math.exp(-seconds / MEMORY_S)
 
 
 class AttemptThrottle:
-    """Holds attempts back while too few of them come up."""
+    """Holds attempts back while too few of them are established."""
+
+    def __init__(self) -> None:
+        self.attempts = 0.0
+        self.established = 0.0
+        self.failed = 0.0
+        self._free_attempts = FREE_ATTEMPTS
+
+    def decay(self, seconds: float, request_rate: float) -> None:
+        """Let time pass; as many attempts as one second brings requests may be active without success."""
+        factor = decay_factor(seconds)
+        self.attempts, self.established = self.attempts * factor, self.established * factor
+        self.failed *= factor
+        self._free_attempts = FREE_ATTEMPTS + request_rate
 
-    tried = up = failed = 0.0
-    free = THROTTLE_FREE
+    def forgive_attempt(self) -> None:
+        """Take back an attempt whose result says nothing about what endpoints share."""
+        self.attempts = max(0.0, self.attempts - 1)
 
-    def fade(self, seconds: float, rate: float) -> None:
-        """Forget with time; a second's requests may be out without success."""
-        kept = math.exp(-seconds / THROTTLE_S)
-        self.tried, self.up, self.failed = self.tried * kept, self.up * kept, self.failed * kept
-        self.free = THROTTLE_FREE + rate
+    def revoke_established(self) -> None:
+        """Take back an established session that was dropped at once."""
+        self.established = max(0.0, self.established - 1)
 
     def is_closed(self) -> bool:
-        """Whether the next attempt is to wait until more have come up."""
-        return self.tried >= THROTTLE_RATIO * self.up + self.free
+        """Whether the next attempt is to wait until more have been established."""
+        return self.attempts >= ATTEMPTS_PER_SUCCESS * self.established + self._free_attempts
--- a/stepflow/budgets/slow_start.py
+++ b/stepflow/budgets/slow_start.py
@@ -1,43 +1,53 @@
-"""What a cold server bears of all nodes together, and the part of it that one node may send."""
+"""What an endpoint that is warming up bears of all nodes together, and the part that one node may send.
+
+An endpoint can take new sessions at the rate that fills it over its slow start, however fast they come and
+go. How many fill one, a node learns from its own sessions at the warm endpoints and their mean load. Where
+few are warm that would tell many times too much, because its sessions are at warming endpoints as well: then
+what it learned before holds. Pure: no clock, no I/O.
+"""
 
 from __future__ import annotations
 
 import math
+from typing import NamedTuple
 
-from stepflow.estimates.arrivals import SECOND, ArrivalEstimate
+from stepflow.estimates.arrivals import SECOND_US, ArrivalEstimate
 from stepflow.interface import SafetyRules
 
-SAFETY = 0.8  # share of the allowed work used, for chance and for what others do
-FULL_FROM = 0.3  # a fleet loaded less than this isn't held to have room for more than that tells
-TOLD_FROM = 0.6  # share of the servers that has to be warm to tell what one bears
-KEPT_S = 10.0  # memory of what they told
+SAFETY_SHARE = 0.8  # share of the allowed work that is used, for chance and for what other nodes do
+MIN_MEAN_LOAD = 0.3  # a group loaded less than this isn't held to have room for more than that tells
+MIN_WARM_SHARE = 0.6  # share of the endpoints that has to be warm to learn from
+MEMORY_S = 10.0  # memory of what was learned
 
 
-class SlowStartBudget:
-    """How fast one node may fill cold servers, as if all others did likewise.
+class FleetLoad(NamedTuple):
+    """The endpoints at one moment."""
+
+    endpoints: int
+    warm_endpoints: int
+    mean_load: float
 
-    A server can take new connections at the rate that fills it over its warm-up, however fast they come and
-    go. Of what fills one, a node has its own connections over the number of warm servers and their mean load.
-    Where few are warm, that would tell many times too much, for what it has stands at cold ones as well: then
-    what was told before holds.
-    """
+
+class SlowStartBudget:
+    """How fast one node may fill warming endpoints, as if all other nodes did likewise."""
 
     def __init__(self) -> None:
-        self._full = 0.0  # own connections that fill a mean server, as the warm ones told
-
-    def learn(self, own: ArrivalEstimate, warm: int, servers: int, load: float, seconds: float) -> None:
-        """Take what so many warm servers tell, as long as they are enough."""
-        if warm and warm >= TOLD_FROM * servers:
-            now = own.open / warm / max(load, FULL_FROM)
-            share = 1 - math.exp(-seconds / KEPT_S) if self._full else 1.0
-            self._full += share * (now - self._full)
-
-    def pace(self, own: ArrivalEstimate, warm: int, servers: int, load: float, rules: SafetyRules) -> float:
-        """Connections a second that the node may send to a mean server at full capacity."""
-        enough = max(1, math.ceil(TOLD_FROM * servers))
-        full = own.open / max(warm, enough) / max(load, FULL_FROM)
-        if warm < enough and self._full:
-            full = self._full
-        # A node that has none yet begins at the pace of what comes: nothing tells it more.
-        pace = full / max(1.0, rules.slow_start_us / SECOND) or own.rate() / max(warm, enough)
-        return pace * SAFETY * rules.overload_multiple
+        self._full_sessions = 0.0  # own sessions that fill a mean endpoint; 0 until learned
+
+    def learn(self, own: ArrivalEstimate, fleet: FleetLoad, seconds: float) -> None:
+        """Learn from the warm endpoints, as long as they are enough."""
+        if fleet.warm_endpoints and fleet.warm_endpoints >= MIN_WARM_SHARE * fleet.endpoints:
+            sessions = own.open_sessions / fleet.warm_endpoints / max(fleet.mean_load, MIN_MEAN_LOAD)
+            share = 1 - math.exp(-seconds / MEMORY_S) if self._full_sessions else 1.0
+            self._full_sessions += share * (sessions - self._full_sessions)
+
+    def attempts_per_s(self, own: ArrivalEstimate, fleet: FleetLoad, rules: SafetyRules) -> float:
+        """Attempts a second that the node may send to a mean endpoint at full capacity."""
+        enough = max(1, math.ceil(MIN_WARM_SHARE * fleet.endpoints))
+        divisor = max(fleet.warm_endpoints, enough)
+        full_sessions = own.open_sessions / divisor / max(fleet.mean_load, MIN_MEAN_LOAD)
+        if fleet.warm_endpoints < enough and self._full_sessions:
+            full_sessions = self._full_sessions
+        # A node that has no sessions yet begins at the rate of its requests: nothing tells it more.
+        rate = full_sessions / max(1.0, rules.slow_start_us / SECOND_US) or own.request_rate() / divisor
+        return rate * SAFETY_SHARE * rules.overload_multiple
--- a/stepflow/estimates/loads.py
+++ b/stepflow/estimates/loads.py
@@ -1,37 +1,40 @@
-"""What connections weigh: the mean of the loads that were told, and the usual one of each class."""
+"""What sessions weigh: the mean of the loads that were reported, and the usual one of each class.
+
+Loads are work a second, in a unit that the first reported one shows; until then each session counts as 1.
+"""
 
 from __future__ import annotations
 
 import math
 
-CLASS_LEARN = 0.02  # share of a told load in the usual one of its class
-MEMORY = 1000  # told loads that the mean is of, at the most
+CLASS_REPORT_WEIGHT = 0.02  # share of a reported load in the usual one of its class
+MAX_MEAN_COUNT = 1000  # reported loads that the mean is of, at the most
 
 
 class LoadEstimate:
-    """Loads are work a second, in a unit that the first told one shows; until then one stands for each."""
+    """The loads seen so far."""
 
     def __init__(self) -> None:
-        self.mean = 1.0  # of a connection
-        self.by_class: dict[int, float] = {}  # the usual one
-        self.count = 0  # of those that were told
+        self.mean = 1.0  # of a session
+        self.by_class: dict[int, float] = {}  # the usual load, by class index
+        self.count = 0  # reported loads
 
-    def resolve(self, load: float | None, cls: int) -> tuple[float, float]:
-        """The load of a connection, and the factor that brings what was counted before into its unit.
+    def resolve(self, load: float | None, class_index: int) -> tuple[float, float]:
+        """The load of a session, and the factor that brings what was counted before into its unit.
 
-        One that is not told, or has no sense, is that of others of its class.
+        One that is not reported, or makes no sense, is the usual one of its class.
         """
         if load is None or not math.isfinite(load) or load < 0:
-            return self.by_class.get(cls, self.mean), 1.0
+            return self.by_class.get(class_index, self.mean), 1.0
         self.count += 1
         scale = 1.0
         if self.count == 1 and load > 0:
             scale, self.mean = load / self.mean, load
-        self.mean += (load - self.mean) / min(self.count, MEMORY)
-        usual = self.by_class.setdefault(cls, load)
-        self.by_class[cls] = usual + CLASS_LEARN * (load - usual)
+        self.mean += (load - self.mean) / min(self.count, MAX_MEAN_COUNT)
+        usual = self.by_class.setdefault(class_index, load)
+        self.by_class[class_index] = usual + CLASS_REPORT_WEIGHT * (load - usual)
         return load, scale
 
-    def units(self, load: float) -> float:
-        """A load in mean connections, the unit of costs: a mean of few told loads moves far."""
+    def in_sessions(self, load: float) -> float:
+        """A load in mean sessions, the unit of costs: a mean of few reported loads moves far."""
         return load / self.mean if self.mean > 0 else 0.0  # hints may all be 0
--- /dev/null
+++ b/stepflow/policy/endpoint_list.py
@@ -0,0 +1,85 @@
+"""The endpoint list: updates from discovery, and the polls for it where it is not pushed."""
+
+from __future__ import annotations
+
+from collections.abc import Iterable
+
+from stepflow.interface import (
+    Availability,
+    Endpoint,
+    EndpointListUpdate,
+    ListUpdateKind,
+    SetTimer,
+    WatchEndpointList,
+)
+from stepflow.policy.context import POLL_TOKEN, PolicyContext
+from stepflow.policy.state import EndpointState
+from stepflow.policy.weights import WeightController
+from stepflow.upstream.poll_schedule import PollSchedule
+
+
+class EndpointList:
+    """Keeps the load model's endpoints as the list has them."""
+
+    def __init__(self, context: PolicyContext, weights: WeightController) -> None:
+        self._context, self._weights = context, weights
+        self._polls = PollSchedule(context.rng)
+
+    def start(self) -> None:
+        """Set the timer of the first poll, where the list has to be polled."""
+        if self._context.settings.polls_endpoint_list:
+            self._context.emit(SetTimer(self._polls.first_delay(), POLL_TOKEN))
+
+    def poll(self) -> None:
+        """Ask for the list."""
+        self._polls.poll_started(self._context.now_us)
+        self._context.emit(WatchEndpointList(True))
+
+    def update(self, event: EndpointListUpdate) -> None:
+        """Take an update of the list, or set the timer of the next poll if one has failed."""
+        context, endpoints = self._context, self._context.model.endpoints
+        if event.kind == ListUpdateKind.FAILED:
+            delay_us = self._polls.retry_delay(context.now_us, context.settings.rules.list_refresh_us)
+            context.emit(SetTimer(delay_us, POLL_TOKEN))
+            return
+        self._polls.poll_succeeded()
+        count_before = len(endpoints)
+        if event.kind != ListUpdateKind.DELTA:
+            self._mark_missing(event.endpoints)
+        any_restarted = self._update_entries(event.endpoints)
+        self._forget_gone()
+        if len(endpoints) != count_before or any_restarted:
+            # Before a first step all costs are 0, and all requests would go to the first endpoint drawn.
+            context.model.predict(list(endpoints.values()), 0.0)
+            self._weights.tabulate(context.now_us)
+
+    def _mark_missing(self, entries: Iterable[Endpoint]) -> None:
+        """Endpoints that a whole list does not name are gone."""
+        named = {entry.id for entry in entries}
+        for endpoint in self._context.model.endpoints.values():
+            if endpoint.id not in named:
+                endpoint.availability = Availability.GONE
+
+    def _update_entries(self, entries: Iterable[Endpoint]) -> bool:
+        """Add or update the endpoints of these entries; returns whether any has restarted."""
+        endpoints, rng = self._context.model.endpoints, self._context.rng
+        any_restarted = False
+        for entry in entries:
+            endpoint = endpoints.get(entry.id)
+            if endpoint is None:
+                if entry.availability != Availability.GONE:
+                    endpoints[entry.id] = EndpointState(entry, rng.random())
+                continue
+            has_restarted = entry.started_us != endpoint.started_us
+            endpoint.update_entry(entry)
+            if has_restarted:
+                endpoint.restart(rng.random())
+                any_restarted = True
+        return any_restarted
+
+    def _forget_gone(self) -> None:
+        """Forget the endpoints that are gone, once they have no requests."""
+        endpoints = self._context.model.endpoints
+        for endpoint in list(endpoints.values()):
+            if endpoint.availability == Availability.GONE and not endpoint.requests:
+                del endpoints[endpoint.id]
--- /dev/null
+++ b/stepflow/policy/health_checks.py
@@ -0,0 +1,70 @@
+"""Health checks: which endpoints are asked for a load report, and when.
+
+A part of the checks goes to the endpoints in rotation, as many as their price and the own traffic allow;
+others are started for endpoints that a request may go to (`selection`) or that seem overloaded (`migration`).
+Owns the endpoints' `checked_us`.
+"""
+
+from __future__ import annotations
+
+from stepflow.interface import AttemptResult, EndpointId, HealthCheckEnded, StartHealthCheck
+from stepflow.policy.context import PolicyContext
+from stepflow.policy.numeric import clamp
+from stepflow.policy.state import EndpointState
+from stepflow.policy.weights import WeightController
+
+ROTATION_PRICE_SHARE = 0.002  # points of the result that checks in rotation may cost
+MIN_ROTATION_S = 1.0  # an endpoint is checked in rotation no more often
+MIN_PRICE = 1e-9  # of one check, where it is free
+FRESH_REPORT_US = 700_000  # a report is asked for anew when older than this
+LATENCY_WEIGHT = 0.1  # share of a new latency in the usual one
+
+
+class HealthChecks:
+    """The health checks of one instance; never two at a time of one endpoint."""
+
+    def __init__(self, context: PolicyContext, weights: WeightController) -> None:
+        self._context, self._weights = context, weights
+        self._running: dict[EndpointId, None] = {}
+        self._rotation_budget = 0.0
+        self.usual_latency_us = 0.0
+
+    def start(self, endpoint: EndpointState) -> bool:
+        """Check an endpoint, unless a check of it is running or none is permitted."""
+        if endpoint.id in self._running or not self._context.settings.limits.health_checks:
+            return False
+        self._running[endpoint.id], endpoint.checked_us = None, self._context.now_us
+        self._context.emit(StartHealthCheck(endpoint.id))
+        return True
+
+    def run_rotation(self, seconds: float) -> None:
+        """Check some endpoints, as many as their price and the own traffic allow for the time passed."""
+        context = self._context
+        if not context.settings.load_report_fields:
+            return
+        price = max(context.settings.prices.probe, MIN_PRICE)
+        affordable = ROTATION_PRICE_SHARE / price * context.arrivals.turnover()
+        rate = min(len(context.model.endpoints) / MIN_ROTATION_S, affordable)
+        self._rotation_budget = clamp(self._rotation_budget + rate * seconds, -rate, 1.0 + rate)
+        while self._rotation_budget >= 1 and self._weights.listed:
+            self._rotation_budget -= 1
+            # The one checked longest ago: drawn by chance, some would wait for long.
+            self.start(min(self._weights.listed, key=lambda endpoint: endpoint.checked_us))
+
+    def finish(self, event: HealthCheckEnded) -> EndpointState | None:
+        """Take the result of a check; returns its endpoint, or None if it is no longer listed."""
+        self._running.pop(event.endpoint, None)
+        context = self._context
+        endpoint = context.model.endpoints.get(event.endpoint)
+        if endpoint is None:
+            return None
+        if event.result == AttemptResult.OK:
+            context.model.learn(context.now_us, endpoint, event.load_report)
+            self.usual_latency_us += LATENCY_WEIGHT * (event.latency_us - self.usual_latency_us)
+        elif event.result != AttemptResult.FULL:
+            endpoint.record_failure()
+        return endpoint
+
+    def is_fresh(self, endpoint: EndpointState) -> bool:
+        """Whether an endpoint's last load report is recent enough to choose by."""
+        return self._context.now_us - endpoint.seen_us <= FRESH_REPORT_US
--- a/stepflow/policy/load_model.py
+++ b/stepflow/policy/load_model.py
@@ -1,137 +1,118 @@
-"""What one instance knows: of each server, of each request, and the model of told load and learned cost."""
+"""The model of load: session loads that are reported or estimated, times a cost learned for each endpoint.
+
+An endpoint's load is predicted as `balancers * cost * (own session load + pseudo load)`: all instances are
+held to have as much there as this one. Costs are learned from load reports, and fall back to the mean of the
+endpoint's machine kind as its last report ages. Session loads are counted in mean sessions, so that a cost
+does not depend on the unit of the hints.
+
+Source: "EdgeBalance", as docs/design.md describes it. Units: predicted loads are those of the load report's
+field; with `x0` and `util` they are shares of capacity.
+"""
 
 from __future__ import annotations
 
 import math
 
 from stepflow.estimates.loads import LoadEstimate
-from stepflow.interface import Endpoint, EndpointId, Request, Settings
-from stepflow.rendezvous import hash_key
-
-LEARN = 0.4  # share of a new report in the learned cost, at the least
-LEARN_US = 2_000_000  # a report that follows after this counts for two thirds more
-KIND_LEARN = 0.15  # the same for the cost of a machine kind
-STALE_S = 10.0  # a cost goes back to its kind's in this time
-PSEUDO_CONNECTIONS = 4.0  # pseudo-load of a server, if the mean of own loads is not more
-UNSEEN_LOAD = 0.5  # predicted load of a server nobody has reported on
-HEALTH_FLOOR = 0.02  # share of its weight that a failing server keeps
-HEALTH_FALL = 0.3  # what a failure leaves of it
-
-
-def clamp(value: float, low: float, high: float) -> float:
-    return low if value < low else high if value > high else value
-
-
-class EndpointState:
-    """What this instance knows of one server."""
-
-    load = cost = predicted = error_sum = last_error = 0.0
-    placed = 0.0  # predicted load of what was placed since the prediction
-    weight = health = size = share = 1.0
-    up = failed = 0.0  # attempts that came up and that failed, fading as the throttle's
-    seen_us = delay_us = moved_us = asked_us = 0  # of the last report, note of late messages, moves and probe
-
-    def __init__(self, entry: Endpoint, budget: float) -> None:
-        self.id, self.key, self.budget = entry.id, hash_key(entry.id), budget
-        self.flights: dict[int, RequestState] = {}
-        self.groups: dict[int, int] = {}  # own connections of each group
-        self.past: list[float] = []  # the own load at the last ticks, the oldest first
-        self.waiting: list[RequestState] = []  # requests that wait for a probe of this server
-        self.follow(entry)
-
-    def follow(self, entry: Endpoint) -> None:
-        """Take over what the list says."""
-        self.zone, self.kind, self.cell = entry.zone, entry.kind, entry.cell
-        self.availability, self.started_us = entry.availability, entry.started_us
-        self.size = entry.size if math.isfinite(entry.size) and entry.size > 0 else 1.0
-
-    def fail(self) -> None:
-        """A failure takes most of the weight; time gives it back."""
-        self.health = max(HEALTH_FLOOR, self.health * HEALTH_FALL)
-
-
-class RequestState:
-    """One request from its arrival to the end of its last attempt."""
-
-    attempts = bound_us = bound_by = up_us = 0  # bound_by: the attempt that bound it
-    limit = 1  # of attempts: the settings' when it came
-    up = out = answered = False  # the connection stands; an attempt has no outcome; nothing more is owed
-    server: EndpointState | None = None
-    bound: EndpointState | None = None  # where a keyed or unsafe request may have run
-    home: EndpointState | None = None  # where all instances look for its group first
+from stepflow.interface import EndpointId, Settings
+from stepflow.policy.state import EndpointState
 
-    def __init__(self, request: Request, load: float) -> None:
-        self.request, self.load = request, load
-        self.tried: list[EndpointId] = []
-        self.candidates: list[EndpointState] = []  # drawn, and being probed
+REPORT_WEIGHT = 0.4  # share of a new report in the learned cost, at the least
+REPORT_MEMORY_US = 2_000_000  # a report that follows after this counts for two thirds more
+KIND_REPORT_WEIGHT = 0.15  # share of a new report in the cost of its machine kind
+REPORT_AGE_TICKS = 2  # so many ticks ago is what a load report speaks of
+COST_MEMORY_S = 10.0  # a cost returns to its kind's in this time
+MIN_PSEUDO_SESSIONS = 4.0  # pseudo load of an endpoint, if the mean of own loads is not more
+UNREPORTED_LOAD = 0.5  # predicted load of an endpoint while there is no report at all
+REPORT_FIELDS = ("x0", "util", "inflight", "queue")  # those that tell load, the best one first
+UTILIZATION_FIELDS = ("x0", "util")  # of them, those that tell it as a share of capacity
 
 
 class LoadModel:
-    """Told load and learned cost of every server."""
+    """Predicted load and learned cost of every endpoint. Owns the endpoints' states."""
 
     def __init__(self, settings: Settings) -> None:
         self.endpoints: dict[EndpointId, EndpointState] = {}
         self.kind_cost: dict[int, float] = {}
-        self.kind_size: dict[int, float] = {}  # where weights are live
+        self.kind_size: dict[int, float] = {}  # the largest seen, where weights are live
         self.loads = LoadEstimate()
-        self.own = self.plain_cost = 0.0  # summed load of all own connections; mean cost of the kinds
+        self.own_load = 0.0  # sum of the loads of all own sessions
+        self.mean_kind_cost = 0.0
         self.update_settings(settings)
 
     def update_settings(self, settings: Settings) -> None:
         """Take settings, at the start or later."""
         self.settings, fields = settings, settings.load_report_fields
-        known = [fields.index(name) for name in ("x0", "util", "inflight", "queue") if name in fields]
-        self.field = known[0] if known else -1
-        self.absolute = "x0" in fields or "util" in fields
+        known = [fields.index(name) for name in REPORT_FIELDS if name in fields]
+        self.report_index = known[0] if known else -1
+        self.reports_utilization = any(name in fields for name in UTILIZATION_FIELDS)
 
-    def resolve_load(self, load: float | None, cls: int) -> float:
-        """The load of a connection; the first that is told shows the unit of what was counted in another."""
-        load, scale = self.loads.resolve(load, cls)
+    def resolve_load(self, load: float | None, class_index: int) -> float:
+        """The load of a session; the first reported one shows the unit of what was counted before."""
+        load, scale = self.loads.resolve(load, class_index)
         if scale != 1.0:
-            self.own *= scale
-            for server in self.endpoints.values():
-                server.load *= scale
-                server.past = [load * scale for load in server.past]
-                for flight in server.flights.values():
-                    flight.load *= scale
+            self.own_load *= scale
+            for endpoint in self.endpoints.values():
+                endpoint.scale_load(scale)
         return load
 
     def pseudo_load(self) -> float:
         """Load added to every own one: where that is next to nothing, a cost learned from it explodes."""
-        return max(self.loads.units(self.own) / max(1, len(self.endpoints)), PSEUDO_CONNECTIONS)
+        return max(self.loads.in_sessions(self.own_load) / max(1, len(self.endpoints)), MIN_PSEUDO_SESSIONS)
 
-    def report(self, now: int, server: EndpointState, report: tuple[float, ...]) -> None:
-        """Learn the cost from one report, in full after a long gap; values without sense are dropped."""
-        value = report[self.field] if 0 <= self.field < len(report) else -1.0
+    def learn(self, now: int, endpoint: EndpointState, report: tuple[float, ...]) -> None:
+        """Learn the cost from one load report, in full after a long gap; impossible values are dropped."""
+        value = report[self.report_index] if 0 <= self.report_index < len(report) else -1.0
         if not math.isfinite(value) or value < 0:
             return
-        pseudo, balancers = self.pseudo_load() * server.share, self.settings.balancers
-        then = server.past[0] if server.past else server.load  # what came since does not show in it
-        cost = value / (balancers * (self.loads.units(then) + pseudo))
-        kept = (1 - LEARN) * math.exp((server.seen_us - now) / LEARN_US) if server.seen_us else 0.0
-        server.cost = kept * server.cost + (1 - kept) * cost
-        server.seen_us, server.placed = now, 0.0
-        server.predicted = server.cost * balancers * (self.loads.units(server.load) + pseudo)
-        kind = self.kind_cost.setdefault(server.kind, cost)
-        self.kind_cost[server.kind] = kind + KIND_LEARN * (cost - kind)
-
-    def predict(self, servers: list[EndpointState], seconds: float) -> None:
-        """Predict the load of every server; a cost goes back to its kind's as its report ages."""
+        pseudo, balancers = self.pseudo_load() * endpoint.relative_size, self.settings.balancers
+        # A report speaks of a moment ago: what came since does not show in it.
+        load_then = endpoint.load_history[0] if endpoint.load_history else endpoint.load
+        cost = value / (balancers * (self.loads.in_sessions(load_then) + pseudo))
+        kept = 0.0
+        if endpoint.seen_us:
+            kept = (1 - REPORT_WEIGHT) * math.exp((endpoint.seen_us - now) / REPORT_MEMORY_US)
+        endpoint.cost = kept * endpoint.cost + (1 - kept) * cost
+        endpoint.seen_us, endpoint.placed_load = now, 0.0
+        endpoint.predicted_load = endpoint.cost * balancers * (self.loads.in_sessions(endpoint.load) + pseudo)
+        kind_cost = self.kind_cost.setdefault(endpoint.kind, cost)
+        self.kind_cost[endpoint.kind] = kind_cost + KIND_REPORT_WEIGHT * (cost - kind_cost)
+
+    def predict(self, endpoints: list[EndpointState], seconds: float) -> None:
+        """Predict the load of some endpoints, after so much time; costs return to their kinds'."""
         pseudo, balancers = self.pseudo_load(), self.settings.balancers
-        if self.settings.live_weights:  # they fall with what a server holds: the most of a kind is its size
-            for s in servers:
-                self.kind_size[s.kind] = max(self.kind_size.get(s.kind, 0.0), s.size)
-            for s in servers:
-                s.size = self.kind_size[s.kind]
-        size = sum(s.size for s in servers) / max(1, len(servers))
-        costs = self.kind_cost.values() or (UNSEEN_LOAD / (balancers * pseudo),)
-        self.plain_cost = sum(costs) / len(costs)
-        age = min(1.0, seconds / STALE_S)
-        for server in servers:
-            server.share = server.size / size  # of what an average instance has there
-            usual = self.kind_cost.get(server.kind, self.plain_cost * size / server.size)
-            server.cost = server.cost + age * (usual - server.cost) if server.seen_us else usual
-            server.predicted = (
-                balancers * server.cost * (self.loads.units(server.load) + pseudo * server.share)
+        if self.settings.live_weights:
+            self._replace_live_sizes(endpoints)
+        mean_size = sum(endpoint.size for endpoint in endpoints) / max(1, len(endpoints))
+        costs = self.kind_cost.values() or (UNREPORTED_LOAD / (balancers * pseudo),)
+        self.mean_kind_cost = sum(costs) / len(costs)
+        aged_share = min(1.0, seconds / COST_MEMORY_S)
+        for endpoint in endpoints:
+            endpoint.relative_size = endpoint.size / mean_size
+            usual = self.kind_cost.get(endpoint.kind, self.mean_kind_cost * mean_size / endpoint.size)
+            if endpoint.seen_us:
+                endpoint.cost += aged_share * (usual - endpoint.cost)
+            else:
+                endpoint.cost = usual
+            endpoint.predicted_load = (
+                balancers
+                * endpoint.cost
+                * (self.loads.in_sessions(endpoint.load) + pseudo * endpoint.relative_size)
             )
-            server.placed = 0.0
+            endpoint.placed_load = 0.0
+
+    def record_load_history(self) -> None:
+        """Keep the own loads of the last ticks, for the reports that come later."""
+        for endpoint in self.endpoints.values():
+            endpoint.load_history = [*endpoint.load_history[1 - REPORT_AGE_TICKS :], endpoint.load]
+
+    def expected_load(self, endpoint: EndpointState, session_load: float) -> float:
+        """The load that a session is held to add, if every instance places one like it."""
+        return self.settings.balancers * endpoint.cost * self.loads.in_sessions(session_load)
+
+    def _replace_live_sizes(self, endpoints: list[EndpointState]) -> None:
+        """Take the largest size of its kind for each: a live one falls with what the endpoint holds."""
+        for endpoint in endpoints:
+            self.kind_size[endpoint.kind] = max(self.kind_size.get(endpoint.kind, 0.0), endpoint.size)
+        for endpoint in endpoints:
+            endpoint.size = self.kind_size[endpoint.kind]
--- /dev/null
+++ b/stepflow/policy/periodic.py
@@ -0,0 +1,68 @@
+"""What is done at regular intervals, in its order: decay, budgets, weights, health checks, migrations."""
+
+from __future__ import annotations
+
+from stepflow.estimates.arrivals import SECOND_US
+from stepflow.interface import SetTimer
+from stepflow.policy.admission import Admission
+from stepflow.policy.context import TICK_TOKEN, PolicyContext
+from stepflow.policy.health_checks import HealthChecks
+from stepflow.policy.migration import Migration
+from stepflow.policy.numeric import clamp
+from stepflow.policy.outliers import OutlierDetector
+from stepflow.policy.weights import WeightController
+
+TICK_US = 500_000  # reports are no fresher than that
+# A step of the controller costs work for every endpoint: few requests to a large group take few steps.
+STEP_US_PER_ENDPOINT = 8_000  # between two steps, at one request a second; at two, half
+MAX_STEP_US = 4_000_000
+REQUEST_RATE_SPAN = (0.1, 2.0)  # a second, that counts for this
+
+
+class PeriodicTasks:
+    """Runs the periodic work of all parts at each tick."""
+
+    def __init__(
+        self,
+        context: PolicyContext,
+        weights: WeightController,
+        outliers: OutlierDetector,
+        admission: Admission,
+        health_checks: HealthChecks,
+        migration: Migration,
+    ) -> None:
+        self._context, self._weights, self._outliers = context, weights, outliers
+        self._admission, self._health_checks, self._migration = admission, health_checks, migration
+        self._ticked_us = 0
+
+    def start(self) -> None:
+        """Set the first tick; instances that step in time oscillate together, so each has its own phase."""
+        self._ticked_us = self._weights.stepped_us = self._context.now_us
+        self._context.emit(SetTimer(self._context.rng.randrange(1, TICK_US), TICK_TOKEN))
+
+    def run(self) -> None:
+        """Do what is due at a tick, and set the next one."""
+        context = self._context
+        seconds = (context.now_us - self._ticked_us) / SECOND_US
+        self._ticked_us = context.now_us
+        context.emit(SetTimer(TICK_US, TICK_TOKEN))
+        context.arrivals.decay(seconds)
+        context.throttle.decay(seconds, context.arrivals.request_rate())
+        self._outliers.decay(seconds)
+        context.model.record_load_history()
+        self._admission.update(seconds, self._weights.mean_load)
+        self._step_weights()
+        self._health_checks.run_rotation(seconds)
+        self._migration.run(seconds)
+
+    def _step_weights(self) -> None:
+        """Make a step of the controller, if one is due."""
+        context = self._context
+        elapsed_us = context.now_us - self._weights.stepped_us
+        rate = clamp(context.arrivals.request_rate(), *REQUEST_RATE_SPAN)
+        if elapsed_us < min(STEP_US_PER_ENDPOINT * len(context.model.endpoints) / rate, MAX_STEP_US):
+            return
+        self._weights.step(context.now_us, elapsed_us / SECOND_US)
+        if context.arrivals.is_mostly_adopted():
+            # With few new requests, checks in rotation come too late to an overload: check these at once.
+            self._migration.watch_overloaded(self._weights.listed)
--- a/tests/test_code_shape.py
+++ b/tests/test_code_shape.py
@@ -22,7 +22,6 @@
     "stepflow/node/core.py",
     "stepflow/node/process/service.py",
     "stepflow/node/upstreams/attempt.py",
-    "stepflow/policy/policy.py",
 }
 # Functions that have not been split yet, and constructors that take more arguments, by file and name.
 LONG_FUNCTIONS = {
@@ -33,7 +32,6 @@
     "stepflow/fleet/world.py:World.__init__",
     "stepflow/node/process/config.py:load",
     "stepflow/node/process/service.py:Node.__init__",
-    "stepflow/policy/policy.py:Policy.on_attempt_ended",
     "stepflow/settings.py:_settings",
 }
 WIDE_CONSTRUCTORS = {
--- a/tests/test_cold_sum.py
+++ b/tests/test_cold_sum.py
@@ -134,11 +134,13 @@
     def end_some(self, share: float) -> None:
         """So many of the connections end, wherever they stand."""
         for node, policy in enumerate(self.policies if share else ()):
-            for flight in [f for f in policy.requests.values() if f.up and self.rng.random() < share]:
-                assert flight.server is not None
-                self.open[flight.server.id] -= 1
+            for flight in [
+                f for f in policy.requests.values() if f.is_established and self.rng.random() < share
+            ]:
+                assert flight.endpoint is not None
+                self.open[flight.endpoint.id] -= 1
                 id = flight.request.id
-                end = AttemptEnded(id, flight.attempts - 1, flight.server.id, AttemptResult.OK, True, 0)
+                end = AttemptEnded(id, flight.attempts - 1, flight.endpoint.id, AttemptResult.OK, True, 0)
                 self.feed(node, end)
 
     def start_cold(self, *servers: int) -> None:
@@ -148,10 +150,10 @@
             self.sent.pop(server, None)
         news = tuple(entry(id, started=self.now) for id in servers)
         for node, policy in enumerate(self.policies):
-            for flight in [f for f in policy.requests.values() if f.server and f.server.id in servers]:
-                assert flight.server is not None
+            for flight in [f for f in policy.requests.values() if f.endpoint and f.endpoint.id in servers]:
+                assert flight.endpoint is not None
                 end = AttemptEnded(
-                    flight.request.id, flight.attempts - 1, flight.server.id, AttemptResult.RESET, True, 0
+                    flight.request.id, flight.attempts - 1, flight.endpoint.id, AttemptResult.RESET, True, 0
                 )
                 self.feed(node, end)
             self.feed(node, EndpointListUpdate(ListUpdateKind.DELTA, news))
@@ -161,8 +163,8 @@
         lost = 0
         for node in range(nodes):
             for flight in self.policies[node].requests.values():
-                assert flight.server is not None
-                self.open[flight.server.id] -= 1
+                assert flight.endpoint is not None
+                self.open[flight.endpoint.id] -= 1
                 lost += 1
             self.policies[node] = self.begin(node)
         return lost
--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -48,51 +48,56 @@
     assert found.score.whole > 0.5  # a policy that refused everybody would keep the rules as well
 
 
-READY = "server.availability != Availability.READY or server.id in tried"
-OUT = "if flight.out or flight.attempts >= flight.limit:"
-TIMER = "            if flight is None or flight.up{}:\n                return\n            if flight.request"
-GUARD = "self.wake(flight, request.expires_us - self.now"
+IS_WARM = "_slow_start.is_warm(endpoint)"
+COST = "return service_loss(load) + crossing + LOAD_FACTOR * load"
+REMOVE = "        if not request.is_attempt_active:\n            self._remove(request)\n        elif"
+READY = "endpoint.availability != Availability.READY or endpoint.id in tried"
+OUT = "if request.is_attempt_active or request.attempts >= request.max_attempts:"
+TIMER = (
+    "        if request is None or request.is_established{}:\n            return\n        if request.request"
+)
+GUARD = "context.set_request_timer(request, event.expires_us - context.now_us"
 JAMMED = (Fault("slow", 4, 20, part=1.0, share=0.3),)
 EMPTY = (Fault("zone", 6, 1, part=0.2), Fault("restart", 8, 1, part=0.7, at_once=0.7))
 CHANGED: list[tuple[str, str, tuple[Fault, ...], dict[str, str]]] = [
-    ("sent after a drain was told, s", "join", (), {READY: "server.id in tried"}),
+    ("sent after a drain was told, s", "join", (), {READY: "endpoint.id in tried"}),
     (
         "work sent to a cold server, of what makes it fall",
         "join",
         EMPTY,
         {
-            "return self.warm(server) or server.budget >= min(1.0, weight)": "return True",
-            "return harm(load) + crossing + 0.1 * load": "return self.warm(server) + 0.0",
+            f"return self.{IS_WARM} or endpoint.slow_start_budget >= min(1.0, cost)": "return True",
+            COST: f"return self._admission.{IS_WARM} + 0.0",
         },
     ),
     (
         "attempts of one request over its limit",
         "calm",
         (Fault("errors", 5, 20, part=1.0, share=1.0),),
-        {OUT: "if flight.out:"},
+        {OUT: "if request.is_attempt_active:"},
     ),
     (
         "attempts while one was out",
         "split",
         (),
-        {OUT: "if flight.attempts >= flight.limit:", "elif not flight.out:\n": "else:\n"},
+        {
+            OUT: "if request.attempts >= request.max_attempts:",
+            "elif not request.is_attempt_active:\n": "else:\n",
+        },
     ),
     (
         "answers too many",
         "zone",
         (),
-        {
-            TIMER.format(" or flight.answered"): TIMER.format(""),
-            "        if not flight.out:\n            self.drop(flight)\n        elif": "        if",
-        },
+        {TIMER.format(" or request.is_answered"): TIMER.format(""), REMOVE: "        if"},
     ),
     (
         "moves of what does not stand",
         "zone",
         JAMMED,
         {
-            "if f.up and not f.answered]": "if not f.answered]",
-            "pays = self.settings": "pays = True or self.settings",
+            "if r.is_established and not r.is_answered]": "if not r.is_answered]",
+            "is_worthwhile = self._is_worthwhile(rate)": "is_worthwhile = True or self._is_worthwhile(rate)",
         },
     ),
     (
@@ -100,8 +105,8 @@
         "zone",
         (),
         {
-            "self.place(flight)\n\n    def on_session_adopted": "pass\n\n    def on_session_adopted",
-            GUARD: GUARD.replace("self.wake(", "(lambda *_: 0)("),
+            "self.place(request)\n\n    def adopt": "pass\n\n    def adopt",
+            GUARD: GUARD.replace("context.set_request_timer(", "(lambda *_: 0)("),
         },
     ),
 ]
--- a/tests/test_long.py
+++ b/tests/test_long.py
@@ -7,7 +7,6 @@
 
 import pytest
 
-from stepflow import policy as module
 from stepflow.interface import (
     AttemptResult,
     ClientDisconnected,
@@ -22,6 +21,8 @@
     StartAttempt,
     StartHealthCheck,
 )
+from stepflow.policy import EndpointState
+from stepflow.policy.slow_start import SlowStart
 from tests.bench import Driver, entry, only
 
 
@@ -87,7 +88,7 @@
     shares = {}
     for id in range(4):
         server = policy.model.endpoints[id]
-        assert math.isfinite(server.predicted) and math.isfinite(server.error_sum)
+        assert math.isfinite(server.predicted_load) and math.isfinite(server.error_sum)
         shares[id] = server.weight * server.health
     assert shares[0] == pytest.approx(sum(shares.values()) / 4, rel=0.1)
 
@@ -96,7 +97,7 @@
     driver = Driver(Settings(), map(entry, range(5)))
     for server in driver.policy.model.endpoints.values():
         for _ in range(50):
-            server.fail()
+            server.record_failure()
     driver.tick(5)
     assert only(StartAttempt, driver.request(1))
 
@@ -128,14 +129,14 @@
         driver = Driver(Settings(load_report_fields=reports), map(entry, range(size)))
         driver.tick(5)
         looked = 0
-        plain = module.Policy.warm
+        plain = SlowStart.is_warm
 
-        def warm(self: module.Policy, server: module.EndpointState) -> bool:
+        def is_warm(self: SlowStart, server: EndpointState) -> bool:
             nonlocal looked
             looked += 1
             return plain(self, server)  # noqa: B023
 
-        monkeypatch.setattr(module.Policy, "warm", warm)
+        monkeypatch.setattr(SlowStart, "is_warm", is_warm)
         for id in range(50):
             driver.request(id)
         monkeypatch.undo()
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -39,10 +39,20 @@
     TimerFired,
     WatchEndpointList,
 )
-from stepflow.policy import EndpointState, LoadModel, Policy, WeightController
-from stepflow.policy import load_model as knowing
-from stepflow.policy import policy as decide
-from stepflow.policy import weights as trimming
+from stepflow.policy import (
+    EndpointState,
+    LoadModel,
+    Policy,
+    WeightController,
+    admission,
+    attempts,
+    load_model,
+    migration,
+    selection,
+    state,
+    weights,
+)
+from stepflow.policy.context import FIRST_REQUEST_TOKEN, POLL_TOKEN
 from stepflow.rendezvous import preferred_endpoints
 from tests.bench import SECOND, START, Driver, entry, only, plain_settings
 
@@ -68,8 +78,8 @@
     controller = WeightController(settings, model, random.Random(1))
     members = [EndpointState(entry(i), 0.0) for i in (1, 2)]
     for server, predicted in zip(members, (1.5, 0.5), strict=True):
-        server.cost, server.predicted = 1.0, predicted
-    controller.trim(members, 1.0, 1.0, 1.0)
+        server.cost, server.predicted_load = 1.0, predicted
+    controller.adjust(members, 1.0, 1.0, 1.0)
     assert members[0].weight == pytest.approx(1 - 0.4125)
     assert members[1].weight == pytest.approx(1 + 0.4125)
 
@@ -78,37 +88,37 @@
     settings = plain_settings()
     controller = WeightController(settings, LoadModel(settings), random.Random(1))
     server = EndpointState(entry(1), 0.0)
-    server.cost, server.predicted = 1.0, 50.0
+    server.cost, server.predicted_load = 1.0, 50.0
     for _ in range(1000):
-        controller.trim([server], 1.0, 1.0, 1.0)
-    assert server.error_sum == trimming.WINDUP
-    assert server.weight == trimming.WEIGHT_SPAN[0]
-    server.predicted = 0.0
+        controller.adjust([server], 1.0, 1.0, 1.0)
+    assert server.error_sum == weights.MAX_ERROR_SUM
+    assert server.weight == weights.WEIGHT_SPAN[0]
+    server.predicted_load = 0.0
     for _ in range(20):
-        controller.trim([server], 1.0, 1.0, 1.0)
-    assert server.weight == trimming.WEIGHT_SPAN[1]
+        controller.adjust([server], 1.0, 1.0, 1.0)
+    assert server.weight == weights.WEIGHT_SPAN[1]
 
 
 def test_cost_learning() -> None:
     # 4 balancers, own load 50, as much pseudo-load: cost = 0.8 / (4 * (50 + 50)).
     model = LoadModel(plain_settings(balancers=4, load_report_fields=("eps", "x0")))
     server = model.endpoints[1] = EndpointState(entry(1), 0.0)
-    server.load = model.own = 50.0
+    server.load = model.own_load = 50.0
     share = model.pseudo_load()
     assert share == pytest.approx(50.0)  # mean own load of the one server is above twenty connections
-    model.report(1, server, (0.0, 0.8))
+    model.learn(1, server, (0.0, 0.8))
     assert server.cost == pytest.approx(0.8 / (4 * 100))
-    assert server.predicted == pytest.approx(0.8)
+    assert server.predicted_load == pytest.approx(0.8)
     # A second report at once counts LEARN, a later one more.
-    model.report(1, server, (0.0, 1.6))
-    assert server.cost == pytest.approx((0.8 + knowing.LEARN * 0.8) / 400)
+    model.learn(1, server, (0.0, 1.6))
+    assert server.cost == pytest.approx((0.8 + load_model.REPORT_WEIGHT * 0.8) / 400)
 
 
 @pytest.mark.parametrize("report", [(), (float("nan"),), (float("inf"),), (-1.0,)])
 def test_reports_that_make_no_sense_are_dropped(report: tuple[float, ...]) -> None:
     model = LoadModel(plain_settings(load_report_fields=("x0",)))
     server = model.endpoints[1] = EndpointState(entry(1), 0.0)
-    model.report(0, server, report)
+    model.learn(0, server, report)
     assert not server.seen_us
 
 
@@ -163,7 +173,7 @@
 def test_no_server_at_all_still_answers_in_time() -> None:
     drive = Driver(plain_settings())
     actions = drive.request(1)
-    timers = [t for t in only(SetTimer, actions) if t.token >= decide.FIRST_REQUEST_TOKEN]
+    timers = [t for t in only(SetTimer, actions) if t.token >= FIRST_REQUEST_TOKEN]
     assert SECOND < max(t.delay_us for t in timers) < 2 * SECOND
     drive.now += max(t.delay_us for t in timers)
     assert final(drive.feed(TimerFired(timers[0].token))) == [RejectRequest(1)]
@@ -174,8 +184,8 @@
     drive = Driver(plain_settings(), [entry(1)])
     [send] = only(StartAttempt, drive.request(1))
     drive.now += 2 * SECOND - 10_000
-    assert final(drive.feed(TimerFired(decide.FIRST_REQUEST_TOKEN + 1))) == [RejectRequest(1)]
-    assert not final(drive.feed(TimerFired(decide.FIRST_REQUEST_TOKEN + 1)))
+    assert final(drive.feed(TimerFired(FIRST_REQUEST_TOKEN + 1))) == [RejectRequest(1)]
+    assert not final(drive.feed(TimerFired(FIRST_REQUEST_TOKEN + 1)))
     actions = drive.end(send, AttemptResult.TIMEOUT)
     assert not final(actions) and not only(StartAttempt, actions)
     assert not drive.policy.requests
@@ -193,7 +203,7 @@
     [send] = only(StartAttempt, drive.request(1))
     drive.up(send)
     drive.now += 10 * SECOND
-    assert not final(drive.feed(TimerFired(decide.FIRST_REQUEST_TOKEN + 1)))
+    assert not final(drive.feed(TimerFired(FIRST_REQUEST_TOKEN + 1)))
 
 
 def test_what_is_finished_or_unknown_is_ignored() -> None:
@@ -206,7 +216,7 @@
         SessionEstablished(1, 0, 1, 5),
         SessionReport(9, 0, 1, 1, 5.0),
         ClientDisconnected(9),
-        TimerFired(decide.FIRST_REQUEST_TOKEN + 9),
+        TimerFired(FIRST_REQUEST_TOKEN + 9),
         HealthCheckEnded(77, 0, 5, (1.0,)),
     ):
         assert drive.feed(event) == []
@@ -230,7 +240,7 @@
     actions = drive.end(send, result)
     assert not only(StartAttempt, actions)
     while not final(drive.done):
-        actions = drive.feed(TimerFired(decide.FIRST_REQUEST_TOKEN + 1))
+        actions = drive.feed(TimerFired(FIRST_REQUEST_TOKEN + 1))
     assert final(drive.done) == [FailRequest(1)]
 
 
@@ -246,7 +256,7 @@
     drive = effect_driver(Idempotency.NOT_IDEMPOTENT)
     drive.request(1)
     drive.now += 2 * SECOND
-    assert final(drive.feed(TimerFired(decide.FIRST_REQUEST_TOKEN + 1))) == [FailRequest(1)]
+    assert final(drive.feed(TimerFired(FIRST_REQUEST_TOKEN + 1))) == [FailRequest(1)]
 
 
 @pytest.mark.parametrize("scope", [DeduplicationScope.ZONE, DeduplicationScope.CELL])
@@ -259,7 +269,7 @@
         assert again.endpoint % 2 == send.endpoint % 2
         drive.end(again, AttemptResult.RESET, attempt=1)
         drive.now += 2 * SECOND
-        drive.feed(TimerFired(decide.FIRST_REQUEST_TOKEN + id))
+        drive.feed(TimerFired(FIRST_REQUEST_TOKEN + id))
         assert RejectRequest(id) not in drive.done
 
 
@@ -304,16 +314,14 @@
     drive = Driver(plain_settings())
     assert not only(StartAttempt, drive.request(1))
     drive.news(entry(3))
-    drive.now += decide.HOLD_US[1]
-    assert [
-        s.endpoint for s in only(StartAttempt, drive.feed(TimerFired(decide.FIRST_REQUEST_TOKEN + 1)))
-    ] == [3]
+    drive.now += attempts.RETRY_DELAY_US[1]
+    assert [s.endpoint for s in only(StartAttempt, drive.feed(TimerFired(FIRST_REQUEST_TOKEN + 1)))] == [3]
 
 
 def test_a_list_that_must_be_asked_for_is_asked_again_later_and_later() -> None:
     drive = Driver(plain_settings(polls_endpoint_list=True), [entry(1)])
-    assert decide.ASK_TOKEN in [t.token for t in only(SetTimer, drive.done)]
-    assert drive.feed(TimerFired(decide.ASK_TOKEN)) == [WatchEndpointList(True)]
+    assert POLL_TOKEN in [t.token for t in only(SetTimer, drive.done)]
+    assert drive.feed(TimerFired(POLL_TOKEN)) == [WatchEndpointList(True)]
     waits = []
     for _ in range(12):
         [timer] = only(SetTimer, drive.news(form=ListUpdateKind.FAILED))
@@ -332,7 +340,7 @@
     drive = Driver(plain_settings(), [*warm, entry(99, started=START)])
     sent = 0
     server = drive.policy.model.endpoints[99]
-    server.budget = 0.0
+    server.slow_start_budget = 0.0
     for step in range(80):  # 8 s of 20 requests a second, each soon over
         for id in range(step * 10, step * 10 + 10):
             [send] = only(StartAttempt, drive.request(id))
@@ -343,22 +351,22 @@
         if step == 0:
             assert sent == 0
     # 40 s at 2 requests a second and warm server, times multiple and safety and the share that is warm.
-    assert 0 < sent <= 80 / 9 * 10 * slow_start.SAFETY * 2.5
+    assert 0 < sent <= 80 / 9 * 10 * slow_start.SAFETY_SHARE * 2.5
 
 
 def test_retries_spend_the_cold_budget_as_well() -> None:
     drive = Driver(plain_settings(limits=Limits(max_attempts=9)), [entry(9, started=START)])
-    drive.policy.model.endpoints[9].budget = 1.0
+    drive.policy.model.endpoints[9].slow_start_budget = 1.0
     [send] = only(StartAttempt, drive.request(1))
     assert not only(StartAttempt, drive.end(send, AttemptResult.FULL))
 
 
 def test_a_lone_cold_server_gets_the_held_request_once_it_is_warm() -> None:
     drive = Driver(plain_settings(), [entry(9, started=START)])
-    drive.policy.model.endpoints[9].budget = 0.0
+    drive.policy.model.endpoints[9].slow_start_budget = 0.0
     assert not only(StartAttempt, drive.request(1, wait_us=30 * SECOND))
     drive.now += 10 * SECOND
-    assert len(only(StartAttempt, drive.feed(TimerFired(decide.FIRST_REQUEST_TOKEN + 1)))) == 1
+    assert len(only(StartAttempt, drive.feed(TimerFired(FIRST_REQUEST_TOKEN + 1)))) == 1
 
 
 def test_a_warm_server_has_no_budget() -> None:
@@ -376,7 +384,7 @@
     for id in range(40):
         for send in only(StartAttempt, drive.request(id)):
             drive.end(send, AttemptResult.ERROR)
-    assert len(only(StartAttempt, drive.done)) <= attempt_throttle.THROTTLE_FREE + 1
+    assert len(only(StartAttempt, drive.done)) <= attempt_throttle.FREE_ATTEMPTS + 1
     assert not final(drive.done)
     drive.tick(30.0)
     assert only(StartAttempt, drive.request(100))
@@ -397,7 +405,7 @@
     for id in range(20):
         probes = only(StartHealthCheck, drive.request(id, wait_us=20 * SECOND))
         probed_count += len(probes)
-        assert 1 <= len(probes) <= decide.CANDIDATES
+        assert 1 <= len(probes) <= selection.MAX_CANDIDATES
         loads = {probe.endpoint: 0.1 * (k + 1) for k, probe in enumerate(probes)}
         best = min(loads, key=lambda server: loads[server])
         sends = [
@@ -420,7 +428,7 @@
     assert silent
     assert not only(StartAttempt, drive.feed(HealthCheckEnded(answered, 0, 500, (0.5, 0.0))))
     drive.now += 100_000
-    [send] = only(StartAttempt, drive.feed(TimerFired(decide.FIRST_REQUEST_TOKEN + 1)))
+    [send] = only(StartAttempt, drive.feed(TimerFired(FIRST_REQUEST_TOKEN + 1)))
     assert send.endpoint == answered
 
 
@@ -435,7 +443,7 @@
 
 
 def test_near_saturation_the_least_worth_is_refused_first() -> None:
-    low, high = decide.REFUSE_AT
+    low, high = admission.ADMISSION_LIMITS
     assert only(StartAttempt, overloaded_driver(low - 0.01).request(1, cls=0))
     assert only(RejectRequest, overloaded_driver(low + 0.01).request(1, cls=0))
     assert only(StartAttempt, overloaded_driver(high - 0.01).request(1, cls=1))
@@ -471,10 +479,10 @@
     [send] = only(StartAttempt, drive.request(100, load=1.0))
     drive.up(send)
     server = drive.policy.model.endpoints[1]
-    placed = server.placed
+    placed = server.placed_load
     drive.feed(SessionAdopted(Request(101, 0, 0, 1.0), 1))
     drive.feed(SessionReport(100, 0, 1, SessionReportKind.LOAD, 1.1))
-    assert 0 < placed == server.placed
+    assert 0 < placed == server.placed_load
 
 
 def test_a_report_speaks_of_what_stood_when_it_was_made() -> None:
@@ -485,7 +493,7 @@
         drive.feed(SessionAdopted(Request(id, 0, 0, 1.0), 1))
     for _ in range(8):
         drive.feed(HealthCheckEnded(1, 0, 500, (0.3, 0.0)))  # it does not hold the ten yet
-    assert drive.policy.model.endpoints[1].predicted > 0.38
+    assert drive.policy.model.endpoints[1].predicted_load > 0.38
 
 
 def test_a_live_weight_is_no_size() -> None:
@@ -499,7 +507,7 @@
         drive.feed(HealthCheckEnded(1, 0, 500, (0.6, 0.0)))
     drive.tick(4.0)
     empty = drive.policy.model.endpoints[2]
-    assert empty.share == 1.0 and empty.predicted < 0.6
+    assert empty.relative_size == 1.0 and empty.predicted_load < 0.6
 
 
 def test_who_is_refused_for_load_is_told_to_wait() -> None:
@@ -519,8 +527,8 @@
         drive.feed(HealthCheckEnded(1, 0, 500, (1.7, 0.0)))
     moved = [m.request_id for m in only(MigrateSession, drive.tick())]
     assert (
-        5 <= len(moved) <= 40 * (1 - decide.MOVE_TO / 1.7) + 1
-    )  # what brings 1.7 down to MOVE_TO, as fast as moves may go
+        5 <= len(moved) <= 40 * (1 - migration.TARGET_LOAD / 1.7) + 1
+    )  # what brings 1.7 down to TARGET_LOAD, as fast as moves may go
     assert all(id % 2 == 0 for id in moved)
     assert not only(MigrateSession, drive.tick())  # the same report is not acted on twice
 
@@ -532,7 +540,7 @@
         [send] = only(StartAttempt, drive.request(1))
         drive.up(send)
         drive.feed(SessionReport(1, 0, 1, SessionReportKind.DELAY, late_ms))
-        assert (1 in drive.policy.slow) == jammed
+        assert (1 in drive.policy.migration.watched) == jammed
 
 
 def test_a_crossing_has_its_price() -> None:
@@ -575,8 +583,8 @@
     drive = Driver(plain_settings(), [entry(1), entry(2)])
     server = drive.policy.model.endpoints[1]
     for _ in range(5):
-        server.fail()
-    assert server.health == knowing.HEALTH_FLOOR
+        server.record_failure()
+    assert server.health == state.HEALTH_FLOOR
     for _ in range(40):
         drive.tick()
     assert server.health == 1.0
@@ -587,7 +595,7 @@
     warm = [entry(i) for i in range(100)]
     drive = Driver(plain_settings(balancers=200, **REPORTING), [*warm, entry(999, started=START)])
     drive.tick()
-    drive.policy.model.endpoints[999].budget = 1.0
+    drive.policy.model.endpoints[999].slow_start_budget = 1.0
     assert 999 in [probe.endpoint for probe in only(StartHealthCheck, drive.request(1))]
 
 
@@ -600,7 +608,7 @@
             drive.end(send, AttemptResult.RESET, complete=True)
     assert (
         len(only(StartAttempt, drive.done))
-        <= attempt_throttle.THROTTLE_FREE * attempt_throttle.THROTTLE_RATIO + 1
+        <= attempt_throttle.FREE_ATTEMPTS * attempt_throttle.ATTEMPTS_PER_SUCCESS + 1
     )
 
 
@@ -729,10 +737,10 @@
     """All files that hold decisions count, and the deploy file names them."""
     root = Path(__file__).parent.parent
     files = tomllib.loads((root / "deploy" / "balancer.toml").read_text())["policy"]
-    rooms = {str(path.relative_to(root)) for path in Path(decide.__file__).parent.glob("*.py")}
+    rooms = {str(path.relative_to(root)) for path in Path(state.__file__).parent.glob("*.py")}
     assert rooms | {str(Path(rendezvous.__file__).relative_to(root))} == set(files)
     lengths = {name: len((root / name).read_text().splitlines()) for name in files}
-    assert max(lengths.values()) <= 630, lengths
+    assert max(lengths.values()) <= 350, lengths
     lines = [line for name in files for line in (root / name).read_text().splitlines()]
     assert max(map(len, lines)) <= 110
 
@@ -772,7 +780,7 @@
             drive.up(sends[0], drive.policy.requests[id].attempts - 1)
             came_up += 1
     assert came_up > 190  # all but those before the others were known to serve
-    assert drive.policy.model.endpoints[0].health == knowing.HEALTH_FLOOR
+    assert drive.policy.model.endpoints[0].health == state.HEALTH_FLOOR
 
 
 def test_the_first_load_told_changes_the_unit_of_all() -> None:
@@ -784,11 +792,11 @@
     for send in sends:
         drive.up(send)
     drive.tick()
-    before = {id: server.predicted for id, server in drive.policy.model.endpoints.items()}
+    before = {id: server.predicted_load for id, server in drive.policy.model.endpoints.items()}
     drive.feed(SessionReport(0, 0, sends[0].endpoint, SessionReportKind.LOAD, 25_000.0))
     drive.tick()
     servers = drive.policy.model.endpoints
-    assert {id: server.predicted for id, server in servers.items()} == pytest.approx(before, rel=0.2)
+    assert {id: server.predicted_load for id, server in servers.items()} == pytest.approx(before, rel=0.2)
     assert sum(server.load for server in servers.values()) == pytest.approx(100_000.0)
 
 
@@ -796,7 +804,7 @@
     """A restarted node's first second went to one server: without a cost nothing placed there counted."""
     drive = Driver(plain_settings(), [entry(1), entry(2)])
     [send] = only(StartAttempt, drive.request(1))
-    assert drive.policy.model.endpoints[send.endpoint].placed > 0
+    assert drive.policy.model.endpoints[send.endpoint].placed_load > 0
 
 
 def test_an_untold_load_is_the_usual_one_of_its_class() -> None:
@@ -825,7 +833,7 @@
     drive.feed(SessionReport(1, 0, sends[1].endpoint, SessionReportKind.LOAD, 60_000.0))
     for _ in range(4):
         drive.tick()
-    assert all(server.predicted < 1.0 for server in drive.policy.model.endpoints.values())
+    assert all(server.predicted_load < 1.0 for server in drive.policy.model.endpoints.values())
 
 
 def test_instances_that_share_nothing_place_a_group_together() -> None:
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -9,7 +9,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from stepflow.budgets.slow_start import FULL_FROM
+from stepflow.budgets.slow_start import MIN_MEAN_LOAD
 from stepflow.interface import (
     AttemptEnded,
     AttemptResult,
@@ -300,7 +300,7 @@
                 world.feed(SessionEstablished(other, attempt, server, 20_000))
             else:
                 world.feed(AttemptEnded(other, attempt, server, AttemptResult.FULL, False, 900))
-    usual = max(pace / warm, (standing + pace * 20) / warm / FULL_FROM / 20)
+    usual = max(pace / warm, (standing + pace * 20) / warm / MIN_MEAN_LOAD / 20)
     for id in range(warm, warm + cold):
         times = sent.get(id, [])
         for first, start in enumerate(times):
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -220,7 +220,7 @@
     restore_snapshot(new, told, now)
     assert take_snapshot(new, now)["servers"] == told["servers"]
     # Its first requests were refused: the plain cost was in the unit of a process that knows no load.
-    assert new.model.plain_cost < 1 > new.model.endpoints["s-1"].predicted > 0
+    assert new.model.mean_kind_cost < 1 > new.model.endpoints["s-1"].predicted_load > 0
     before = take_snapshot(other, now)
     with pytest.raises((TypeError, ValueError, AttributeError)):
         restore_snapshot(other, {**told, broken: "x"}, now)
