--- a/tests/test_days.py
+++ b/tests/policy/test_fault_scenarios.py
@@ -32,10 +32,10 @@
     StartAttempt,
     TimerFired,
 )
-from tests.bench import SECOND, entry
+from tests.policy.driver import SECOND, entry
 from tests.test_daemon import command
 
-DAYS = Path(__file__).resolve().parent.parent / "example" / "fleet"
+DAYS = Path(__file__).resolve().parents[2] / "example" / "fleet"
 NAMES = ("calm", "roll", "herd", "zone", "split", "join")
 
 
--- a/tests/test_long.py
+++ b/tests/policy/test_long_runs.py
@@ -23,7 +23,7 @@
 )
 from stepflow.policy import EndpointState
 from stepflow.policy.slow_start import SlowStart
-from tests.bench import Driver, entry, only
+from tests.policy.driver import Driver, entry, only
 
 
 def reachable(thing: object, seen: set[int] | None = None) -> int:
--- a/tests/test_policy.py
+++ b/tests/policy/test_policy.py
@@ -54,7 +54,7 @@
 )
 from stepflow.policy.context import FIRST_REQUEST_TOKEN, POLL_TOKEN
 from stepflow.rendezvous import preferred_endpoints
-from tests.bench import SECOND, START, Driver, entry, only, plain_settings
+from tests.policy.driver import SECOND, START, Driver, entry, only, plain_settings
 
 REPORTING = {"load_report_fields": ("x0", "eps")}
 
@@ -735,7 +735,7 @@
 
 def test_module_size() -> None:
     """All files that hold decisions count, and the deploy file names them."""
-    root = Path(__file__).parent.parent
+    root = Path(__file__).parents[2]
     files = tomllib.loads((root / "deploy" / "balancer.toml").read_text())["policy"]
     rooms = {str(path.relative_to(root)) for path in Path(state.__file__).parent.glob("*.py")}
     assert rooms | {str(Path(rendezvous.__file__).relative_to(root))} == set(files)
--- a/tests/test_rules.py
+++ b/tests/policy/test_safety_rules.py
@@ -43,7 +43,7 @@
     TimerFired,
 )
 from stepflow.policy import Policy
-from tests.bench import SECOND, START, entry
+from tests.policy.driver import SECOND, START, entry
 
 MAYBE_RAN = (AttemptResult.ERROR, AttemptResult.TIMEOUT, AttemptResult.RESET, AttemptResult.CANCELLED)
 
--- a/tests/test_cold_sum.py
+++ b/tests/policy/test_slow_start_sum.py
@@ -30,7 +30,7 @@
     TimerFired,
 )
 from stepflow.policy import Policy
-from tests.bench import SECOND, START, entry
+from tests.policy.driver import SECOND, START, entry
 
 FULL = 40.0  # connections of mean load that fill a server, where nothing else is said
 RULES = SafetyRules(
--- a/tests/test_asking.py
+++ b/tests/test_asking.py
@@ -22,7 +22,7 @@
 from stepflow.node.runtime.transports import Reactor
 from stepflow.policy import Policy
 from stepflow.upstream import EndpointGroup
-from tests.bench import plain_settings
+from tests.policy.driver import plain_settings
 
 HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 LIST = b'{"rev":1,"all":true,"targets":[]}\n'
--- a/tests/test_effects.py
+++ b/tests/test_effects.py
@@ -17,7 +17,7 @@
     StartAttempt,
     TimerFired,
 )
-from tests.bench import SECOND, Driver, entry, only, plain_settings
+from tests.policy.driver import SECOND, Driver, entry, only, plain_settings
 
 ONCE = RequestClass("pay", idempotency=Idempotency.NOT_IDEMPOTENT)
 KEYED = RequestClass(
