--- a/tests/policy/driver.py
+++ b/tests/policy/driver.py
@@ -8,12 +8,18 @@
 from stepflow.interface import (
     Action,
     AttemptEnded,
+    AttemptResult,
     Endpoint,
     EndpointId,
     EndpointListUpdate,
     Event,
+    FailRequest,
+    HealthCheckEnded,
     ListUpdateKind,
+    RejectRequest,
     Request,
+    RequestClass,
+    SessionAdopted,
     SessionEstablished,
     Settings,
     StartAttempt,
@@ -23,6 +29,7 @@
 from stepflow.policy import Policy
 
 A = TypeVar("A")
+REPORTING = {"load_report_fields": ("x0", "eps")}
 SECOND = 1_000_000
 START = 100 * SECOND
 
@@ -80,3 +87,36 @@
 def only(kind: type[A], actions: Iterable[object]) -> list[A]:
     """The actions of one kind."""
     return [action for action in actions if isinstance(action, kind)]
+
+
+def placed(drive: Driver, id: int) -> EndpointId:
+    """The server of a request that comes up and ends at once."""
+    [send] = only(StartAttempt, drive.request(id))
+    drive.up(send)
+    drive.end(send, AttemptResult.OK, complete=True)
+    return send.endpoint
+
+
+def final(actions: list[Action]) -> list[Action]:
+    return [a for a in actions if isinstance(a, RejectRequest | FailRequest)]
+
+
+def overloaded_driver(load: float) -> Driver:
+    classes = (
+        RequestClass(priority_weight=1.0, message_latency_objective_us=100_000),
+        RequestClass(priority_weight=5.0, message_latency_objective_us=100_000),
+    )
+    drive = Driver(plain_settings(classes=classes, **REPORTING), [entry(1)])
+    drive.feed(HealthCheckEnded(1, 0, 500, (load, 0.0)))
+    return drive
+
+
+def standing_driver(load: float, count: int, **changes: Any) -> Driver:
+    """One server with so many connections that stood for a while, and a report of their load."""
+    drive = Driver(plain_settings(**REPORTING, **changes), [entry(1)])
+    for id in range(count):
+        drive.feed(SessionAdopted(Request(id, 0, 0, 1.0), 1))
+    for _ in range(4):
+        drive.tick()
+    drive.feed(HealthCheckEnded(1, 0, 500, (load, 0.0)))
+    return drive
