--- a/benchmarks/shares.py
+++ b/benchmarks/shares.py
@@ -13,7 +13,7 @@
 from concurrent.futures import ProcessPoolExecutor
 
 from standins.members import Network, Weather
-from stepflow.budgets.shares import ONE
+from stepflow.budgets.shared_limits import ONE
 
 CALM = Weather(loss=0.01, doubled=0.0, very_late=0.0, cuts=0.0, partitions=0.0, pauses=0.0, kills=0.0)
 SECONDS = 20
--- a/standins/members.py
+++ b/standins/members.py
@@ -12,7 +12,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from stepflow.budgets.shares import DRIFT, ONE, Shares
+from stepflow.budgets.shared_limits import DRIFT, ONE, Shares
 from stepflow.members import Message, View, read, written
 
 WINDOW_US = 1_000_000
--- a/standins/sharer.py
+++ b/standins/sharer.py
@@ -13,7 +13,7 @@
 
 from stepflow import logs
 from stepflow.address import Address
-from stepflow.budgets.shares import ONE, Shares
+from stepflow.budgets.shared_limits import ONE, Shares
 from stepflow.members import View
 from stepflow.node.member_port import MemberPort
 from stepflow.node.runtime.clock import Clock, micros
--- a/stepflow/budgets/shares.py
+++ b/stepflow/budgets/shared_limits.py
@@ -21,7 +21,7 @@
 from typing import NamedTuple
 
 from stepflow.members import Kind, Message, Standing, View
-from stepflow.members.wire import MOST_PARTS
+from stepflow.members.datagrams import MOST_PARTS
 
 ONE = 1_000_000  # a whole, in its parts
 KEPT = 4  # of a home part so much is never leased: one in four
--- a/stepflow/node/member_port.py
+++ b/stepflow/node/member_port.py
@@ -9,7 +9,7 @@
 from twisted.internet.protocol import DatagramProtocol
 
 from stepflow.address import Address
-from stepflow.budgets.shares import Shares
+from stepflow.budgets.shared_limits import Shares
 from stepflow.members import BadMessage, Message, read, written
 from stepflow.node.runtime.clock import Clock, micros
 from stepflow.node.runtime.timers import Timers
--- a/tests/test_shares.py
+++ b/tests/budgets/test_shared_limits.py
@@ -11,8 +11,8 @@
 import pytest
 
 from standins.members import SECOND, WINDOW_US, Network, Weather
-from stepflow.budgets import shares as module
-from stepflow.budgets.shares import ONE, Shares
+from stepflow.budgets import shared_limits as module
+from stepflow.budgets.shared_limits import ONE, Shares
 from stepflow.members import Kind, Message, View
 from tests.test_terms import LEAN, loaded
 
@@ -191,13 +191,15 @@
 
 
 def test_the_page_s_example_runs() -> None:
-    page = Path(__file__).resolve().parent.parent / "docs" / "budgets.md"
+    page = Path(__file__).resolve().parents[2] / "docs" / "budgets.md"
     failed, tried = doctest.testfile(str(page), module_relative=False)
     assert (failed, tried > 8) == (0, True)
 
 
 def test_run_loads_nothing_of_it() -> None:
-    assert not {"stepflow.members", "stepflow.budgets.shares", "stepflow.node.member_port"} & loaded(LEAN)
+    assert not {"stepflow.members", "stepflow.budgets.shared_limits", "stepflow.node.member_port"} & loaded(
+        LEAN
+    )
 
 
 def test_a_view_too_large_is_turned_down() -> None:
--- a/tests/test_members.py
+++ b/tests/members/test_members.py
@@ -7,7 +7,7 @@
 from hypothesis import strategies as st
 
 from stepflow.members import MOST_BYTES, BadMessage, Kind, Message, Standing, View, read, written
-from stepflow.members.view import GONE_US, SUSPECT_US
+from stepflow.members.membership import GONE_US, SUSPECT_US
 
 U16, U32, U64 = st.integers(0, 2**16 - 1), st.integers(0, 2**32 - 1), st.integers(0, 2**64 - 1)
 NONE = st.just(0)
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -13,7 +13,7 @@
 import pytest
 
 from standins.links import Links
-from stepflow.budgets.shares import ONE
+from stepflow.budgets.shared_limits import ONE
 
 PLACES, PORT = 3, 7946
 WINDOW_NS = 1_000_000_000
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -7,9 +7,9 @@
 
 import pytest
 
-from stepflow import settings as module
 from stepflow.interface import Settings, Tenant
 from stepflow.settings import merge_settings, parse_node_settings
+from stepflow.settings import parser as module
 
 ROOT = Path(__file__).resolve().parent.parent
 PAGE = (ROOT / "docs" / "settings.md").read_text()
@@ -61,7 +61,7 @@
 
 
 def test_each_test_that_the_page_names_is_there() -> None:
-    texts = "".join(path.read_text() for path in (ROOT / "tests").glob("*.py"))
+    texts = "".join(path.read_text() for path in (ROOT / "tests").rglob("*.py"))
     for row in rows("Read"):
         assert f"def {row[-1]}(" in texts, row[-1]
     for page in ("discovery.md", "endings.md"):
