--- a/stepflow/node/discovery.py
+++ b/stepflow/node/discovery.py
@@ -18,12 +18,12 @@
 from stepflow.node.runtime.timers import Timer, Timers
 from stepflow.node.runtime.transports import Connector, Reactor, Transport
 from stepflow.upstream import EndpointGroup, EndpointListError, JsonStream, JsonStreamError
-from stepflow.upstream.poll_schedule import ANSWER_US, SILENCE_US
+from stepflow.upstream.poll_schedule import ANSWER_TIMEOUT_US, WATCH_SILENCE_LIMIT_US
 
 log = get_logger()
 
-ANSWER = timedelta(microseconds=ANSWER_US)
-SILENCE = timedelta(microseconds=SILENCE_US)
+ANSWER = timedelta(microseconds=ANSWER_TIMEOUT_US)
+SILENCE = timedelta(microseconds=WATCH_SILENCE_LIMIT_US)
 CONNECT = timedelta(seconds=1)  # the most that a connection takes to come up
 # After a move to another address the first failures are tried again soon, and are not the module's affair:
 # its waits, which grow while discovery is out of reach, speak of the old address.
@@ -97,7 +97,7 @@
             elif isinstance(event, h11.Data):
                 self._read(bytes(event.data))
             elif isinstance(event, h11.EndOfMessage):
-                self.close("ended amid a list" if self._body.amid else "ended")
+                self.close("ended amid a list" if self._body.has_partial_value else "ended")
             elif not isinstance(event, h11.InformationalResponse):
                 return  # no more so far, or nothing that counts
 
@@ -107,7 +107,7 @@
             self._value(self, value)
             if self._over:
                 return
-        if self.answered or self._body.amid:
+        if self.answered or self._body.has_partial_value:
             self._deadline.cancel()
             self._deadline = self._deadlines.after(SILENCE, self._silent)
 
@@ -236,7 +236,7 @@
             self._retry.cancel()
             self._retry = None
         if self._wanted:
-            self._watch = self._call(f"{LIST}?watch=1&from={self._group.rev}")
+            self._watch = self._call(f"{LIST}?watch=1&from={self._group.revision}")
             self._watch.begin()
         if old is not None:  # it is no longer known here, so its end is nobody's news
             old.close("replaced")
@@ -255,7 +255,7 @@
 
     def _take(self, call: Call, message: object) -> None:
         try:
-            whole, servers = self._group.apply(message, begins=not call.answered)
+            whole, servers = self._group.apply(message, is_first_of_call=not call.answered)
         except EndpointListError as fault:
             call.close(f"bad list: {fault}")
             return
--- a/stepflow/node/process/service.py
+++ b/stepflow/node/process/service.py
@@ -140,7 +140,7 @@
 
     def handover_state(self) -> tuple[int, dict[str, Any]]:
         return self._port.fileno(), {
-            "list": self._group.message(),
+            "list": self._group.to_message(),
             "learned": take_snapshot(self._policy, micros(self.now())),
         }
 
--- a/stepflow/upstream/__init__.py
+++ b/stepflow/upstream/__init__.py
@@ -1,6 +1,17 @@
-"""The upstream group: the list of peers as discovery tells it. Pure: bytes and messages in, entries out."""
+"""What discovery tells: its stream of JSON values, the endpoint list, and when to ask for it.
 
-from stepflow.upstream.endpoint_group import EndpointGroup, EndpointListError
-from stepflow.upstream.json_stream import MAX_VALUE_BYTES, JsonStream, JsonStreamError
+Pure: no sockets, no clock.
+"""
 
-__all__ = ["MAX_VALUE_BYTES", "EndpointGroup", "EndpointListError", "JsonStream", "JsonStreamError"]
+from stepflow.upstream.endpoint_group import EndpointGroup
+from stepflow.upstream.errors import DiscoveryDataError, EndpointListError, JsonStreamError
+from stepflow.upstream.json_stream import MAX_VALUE_BYTES, JsonStream
+
+__all__ = [
+    "MAX_VALUE_BYTES",
+    "DiscoveryDataError",
+    "EndpointGroup",
+    "EndpointListError",
+    "JsonStream",
+    "JsonStreamError",
+]
--- a/stepflow/upstream/endpoint_group.py
+++ b/stepflow/upstream/endpoint_group.py
@@ -1,86 +1,130 @@
-"""The upstream group: who the peers are, as discovery last told it, and by which version."""
+"""The endpoint list as discovery last told it: each endpoint's address and entry, and the list's revision.
+
+A message of discovery is an object: `targets` holds entries, `all` whether they are the complete list or
+changes to it, and `rev` its revision. Capacities are relative to 1, `boot_ms` is Unix time in milliseconds.
+"""
 
 from __future__ import annotations
 
 import math
 from collections.abc import Sequence
-from typing import Any
+from typing import Any, NamedTuple
 
 from stepflow.address import Address
 from stepflow.interface import Availability, Endpoint
+from stepflow.upstream.errors import EndpointListError
+
+_AVAILABILITY_OF_STATE = {
+    "Ready": Availability.READY,
+    "Terminating": Availability.DRAINING,
+    "Gone": Availability.GONE,
+}
+_NO_ADDRESS = Address("", 0)  # of an endpoint that is gone
+
+
+class AppliedUpdate(NamedTuple):
+    """What a message has changed."""
 
-_STATES = {"Ready": Availability.READY, "Terminating": Availability.DRAINING, "Gone": Availability.GONE}
+    is_full_list: bool
+    endpoints: tuple[Endpoint, ...]  # the message's entries
 
 
-class EndpointListError(ValueError):
-    """What is wrong with a message of discovery."""
+_NOTHING_APPLIED = AppliedUpdate(False, ())
+
+
+class _Entry(NamedTuple):
+    endpoint: Endpoint
+    address: Address
+    raw: object  # as discovery told it
 
 
 class EndpointGroup:
-    """The upstream group as discovery last told it."""
+    """The endpoint list as discovery last told it.
+
+    It owns the numbers of zones and of kinds of machine: those named in the settings come first, and others
+    are numbered as they appear.
+    """
 
     def __init__(self, zones: Sequence[str], kinds: Sequence[str]) -> None:
-        self.rev = 0
-        self._endpoints: dict[str, Address] = {}
-        self._entries: dict[str, object] = {}  # as discovery told them
-        self._zones = {name: i for i, name in enumerate(zones)}
-        self._kinds = {name: i for i, name in enumerate(kinds)}
+        self.revision = 0
+        self._entries: dict[str, _Entry] = {}  # by the endpoint's name
+        self._zone_numbers = {name: number for number, name in enumerate(zones)}
+        self._kind_numbers = {name: number for number, name in enumerate(kinds)}
 
-    def address_of(self, peer: str) -> Address | None:
-        return self._endpoints.get(peer)
+    def __len__(self) -> int:
+        """Return how many endpoints are listed."""
+        return len(self._entries)
 
-    def message(self) -> dict[str, Any]:
-        """The list as held, in discovery's form."""
-        return {"rev": self.rev, "all": True, "targets": list(self._entries.values())}
+    def address_of(self, name: str) -> Address | None:
+        """Return an endpoint's address; None where it is not listed."""
+        entry = self._entries.get(name)
+        return entry.address if entry is not None else None
 
-    def __len__(self) -> int:
-        return len(self._endpoints)
+    def to_message(self) -> dict[str, Any]:
+        """Return the complete list in discovery's form."""
+        targets = [entry.raw for entry in self._entries.values()]
+        return {"rev": self.revision, "all": True, "targets": targets}
+
+    def apply(self, message: object, is_first_of_call: bool = True) -> AppliedUpdate:
+        """Take over a message, all of it or nothing.
 
-    def apply(self, message: object, begins: bool = True) -> tuple[bool, tuple[Endpoint, ...]]:
-        """Take over a message: whether it is the whole list, and its entries.
+        A message with a lower revision than the list's comes late, from a call that a newer one has replaced,
+        and changes nothing. But a complete list that is the first message of a call counts in any case:
+        discovery may have restarted its revisions.
 
-        All of it is read before any of it counts, so that a bad message changes nothing. Nor does one that is
-        older than what is held: it comes late, from a call that a newer one has replaced. A whole list that a
-        call `begins` with counts whatever its version: the source may have begun to count anew.
+        Raises:
+            EndpointListError: The message or one of its entries is malformed.
         """
         if not isinstance(message, dict) or not isinstance(message.get("targets"), list):
             raise EndpointListError("not an object with targets")
-        rev = message.get("rev", self.rev)
-        if not isinstance(rev, int) or isinstance(rev, bool) or rev < 0:
-            raise EndpointListError(f"rev {rev!r} is not a number")
-        read = [self._entry(entry) for entry in message["targets"]]
-        whole = message.get("all") is True
-        if rev < self.rev and not (whole and begins):
-            return False, ()
-        if whole:
-            self._endpoints.clear()
+        revision = self._read_revision(message)
+        entries = [self._read_entry(raw) for raw in message["targets"]]
+        is_full_list = message.get("all") is True
+        if revision < self.revision and not (is_full_list and is_first_of_call):
+            return _NOTHING_APPLIED
+        if is_full_list:
             self._entries.clear()
-        for (server, endpoint), entry in zip(read, message["targets"], strict=True):
-            uid = str(server.id)
-            if server.availability == Availability.GONE:
-                self._endpoints.pop(uid, None)
-                self._entries.pop(uid, None)
-            else:
-                self._endpoints[uid], self._entries[uid] = endpoint, entry
-        self.rev = rev
-        return whole, tuple(server for server, _ in read)
-
-    def _entry(self, entry: object) -> tuple[Endpoint, Address]:
-        if not isinstance(entry, dict) or not isinstance(entry.get("uid"), str):
+        for entry in entries:
+            self._apply_entry(entry)
+        self.revision = revision
+        return AppliedUpdate(is_full_list, tuple(entry.endpoint for entry in entries))
+
+    def _apply_entry(self, entry: _Entry) -> None:
+        name = str(entry.endpoint.id)
+        if entry.endpoint.availability == Availability.GONE:
+            self._entries.pop(name, None)
+        else:
+            self._entries[name] = entry
+
+    def _read_revision(self, message: dict[str, Any]) -> int:
+        revision = message.get("rev", self.revision)
+        if not isinstance(revision, int) or isinstance(revision, bool) or revision < 0:
+            raise EndpointListError(f"rev {revision!r} is not a number")
+        return revision
+
+    def _read_entry(self, raw: object) -> _Entry:
+        if not isinstance(raw, dict) or not isinstance(raw.get("uid"), str):
             raise EndpointListError("an entry without uid")
-        uid = entry["uid"]
-        state = _STATES.get(str(entry.get("state")))
-        if state is None:
-            raise EndpointListError(f"{uid}: state {entry.get('state')!r}")
-        gone = state == Availability.GONE
+        name = raw["uid"]
+        availability = _AVAILABILITY_OF_STATE.get(str(raw.get("state")))
+        if availability is None:
+            raise EndpointListError(f"{name}: state {raw.get('state')!r}")
+        is_gone = availability == Availability.GONE
         try:
-            endpoint = Address("", 0) if gone else Address.parse(entry.get("endpoint"))
-            size = float(entry.get("capacity_hint") or 1.0)
-            boot_ms, cell = int(entry.get("boot_ms") or 0), int(entry.get("pod_group") or 0)
-        except (TypeError, ValueError, OverflowError) as fault:
-            raise EndpointListError(f"{uid}: {fault}") from None
-        if not math.isfinite(size):
-            raise EndpointListError(f"{uid}: capacity_hint {size}")
-        zone = self._zones.setdefault(str(entry.get("az")), len(self._zones))
-        kind = self._kinds.setdefault(str(entry.get("model")), len(self._kinds))
-        return Endpoint(uid, zone, kind, cell, state, size, boot_ms * 1000), endpoint
+            address = _NO_ADDRESS if is_gone else Address.parse(raw.get("endpoint"))
+            capacity = float(raw.get("capacity_hint") or 1.0)
+            started_ms = int(raw.get("boot_ms") or 0)
+            cell = int(raw.get("pod_group") or 0)
+        except (TypeError, ValueError, OverflowError) as error:
+            raise EndpointListError(f"{name}: {error}") from None
+        if not math.isfinite(capacity):
+            raise EndpointListError(f"{name}: capacity_hint {capacity}")
+        zone = _number_of(str(raw.get("az")), self._zone_numbers)
+        kind = _number_of(str(raw.get("model")), self._kind_numbers)
+        endpoint = Endpoint(name, zone, kind, cell, availability, capacity, started_ms * 1000)
+        return _Entry(endpoint, address, raw)
+
+
+def _number_of(name: str, numbers: dict[str, int]) -> int:
+    """Return a name's number; a new name gets the next one."""
+    return numbers.setdefault(name, len(numbers))
--- a/stepflow/upstream/start_times.py
+++ b/stepflow/upstream/start_times.py
@@ -1,62 +1,78 @@
-"""When servers started, on this process's own clock. Pure: times in, times out.
+"""When endpoints started, on this process's own clock. Pure: times in, times out, all in microseconds.
 
-The list tells Unix times of another machine's clock, and this machine's wall clock may have been stepped
-before the process began. What the process can trust is when it was told of a start: no server is told of
-before it has started, and a list in order tells of a start soon. So the least time that any news of a start
-has taken shows how far the two clocks are apart: the own one is behind where that is below zero, and ahead by
-what is over the usual time.
+Discovery tells Unix times of another machine's clock, and this machine's wall clock may have been stepped
+before the process began. What the process can trust is when it was told of a start: that is never before the
+start, and a healthy discovery tells of it soon. So the smallest delay from any start to the message about it
+shows how far the two clocks are apart: this one is behind where the delay is below zero, and ahead by what
+exceeds the usual delay.
 """
 
 from __future__ import annotations
 
 from collections.abc import Iterable
+from typing import NamedTuple
 
 from stepflow.interface import Endpoint, EndpointId
 
-# A first list tells of starts as recent as this; what seems longer ago is held for an error of a clock.
-PLAUSIBLE_US = 600_000_000
-NEWS_US = 3_000_000  # the news of a start takes so long where nothing is wrong
+MAX_FIRST_LIST_AGE_US = 600_000_000  # in a first list, a start that seems longer ago is a clock's error
+USUAL_DELAY_US = 3_000_000  # from a start to the message about it, where nothing is wrong
+
+
+class _KnownStart(NamedTuple):
+    told_us: int  # as discovery told it
+    local_us: int  # on this process's clock
+
+
+_UNKNOWN_START = _KnownStart(0, 0)
 
 
 class StartTimes:
-    """Turns the list's start times into those of one clock, the same for one start each time it is told."""
+    """Converts start times to this process's clock; a start that is told again gets the same time again."""
 
     def __init__(self) -> None:
-        self._local: dict[EndpointId, tuple[int, int]] = {}  # a start as it was told, and on the own clock
-        self._least_lag: int | None = None  # from a start to its news, on the two clocks, at the least
-        self._any_list = False
-
-    def localize(self, now_us: int, whole: bool, servers: Iterable[Endpoint]) -> tuple[Endpoint, ...]:
-        """The entries of a message that came at this time, with start times of the own clock."""
-        entries = tuple(servers)
-        if self._any_list:
-            self._learn_lag(now_us, entries)
-        found = tuple(entry._replace(started_us=self._start(now_us, entry)) for entry in entries)
-        if whole:
-            named = {entry.id for entry in entries}
-            self._local = {id: told for id, told in self._local.items() if id in named}
-        self._any_list = True
-        return found
-
-    def _is_news(self, entry: Endpoint) -> bool:
-        return entry.started_us > 0 and self._local.get(entry.id, (0, 0))[0] != entry.started_us
-
-    def _learn_lag(self, now_us: int, entries: Iterable[Endpoint]) -> None:
-        lags = [now_us - entry.started_us for entry in entries if self._is_news(entry)]
-        if lags:
-            self._least_lag = min(lags if self._least_lag is None else [self._least_lag, *lags])
-
-    def _start(self, now_us: int, entry: Endpoint) -> int:
-        """When the server started, no later than now; 0 where that was long ago."""
+        self._known_starts: dict[EndpointId, _KnownStart] = {}
+        self._min_delay_us: int | None = None  # from a start to its message, on the two clocks
+        self._had_list = False
+
+    def localize(self, now: int, is_full_list: bool, endpoints: Iterable[Endpoint]) -> tuple[Endpoint, ...]:
+        """Return a message's endpoints with their start times on this process's clock."""
+        entries = tuple(endpoints)
+        if self._had_list:  # of a first list it is not known when its starts were told
+            self._learn_delay(now, entries)
+        localized = tuple(entry._replace(started_us=self._local_start(now, entry)) for entry in entries)
+        if is_full_list:
+            self._forget_unlisted(entries)
+        self._had_list = True
+        return localized
+
+    def _forget_unlisted(self, entries: Iterable[Endpoint]) -> None:
+        listed = {entry.id for entry in entries}
+        self._known_starts = {id: start for id, start in self._known_starts.items() if id in listed}
+
+    def _is_new_start(self, entry: Endpoint) -> bool:
+        known = self._known_starts.get(entry.id, _UNKNOWN_START)
+        return entry.started_us > 0 and known.told_us != entry.started_us
+
+    def _learn_delay(self, now: int, entries: Iterable[Endpoint]) -> None:
+        delays = [now - entry.started_us for entry in entries if self._is_new_start(entry)]
+        if self._min_delay_us is not None:
+            delays.append(self._min_delay_us)
+        if delays:
+            self._min_delay_us = min(delays)
+
+    def _local_start(self, now: int, entry: Endpoint) -> int:
+        """Return when an endpoint started, no later than now; 0 where that was long ago."""
         if entry.started_us <= 0:
             return 0
-        if not self._is_news(entry):
-            return self._local[entry.id][1]
-        lag = now_us - entry.started_us
-        if self._least_lag is not None:
-            lag -= min(self._least_lag, max(0, self._least_lag - NEWS_US))
-        elif not 0 <= lag <= PLAUSIBLE_US:
-            lag = 0
-        start = now_us - lag
-        self._local[entry.id] = entry.started_us, start
-        return start
+        if not self._is_new_start(entry):
+            return self._known_starts[entry.id].local_us
+        local_us = now - self._age_us(now - entry.started_us)
+        self._known_starts[entry.id] = _KnownStart(entry.started_us, local_us)
+        return local_us
+
+    def _age_us(self, delay_us: int) -> int:
+        """Return how long ago a start was, by the delay that the two clocks show."""
+        if self._min_delay_us is not None:
+            clock_offset_us = min(self._min_delay_us, max(0, self._min_delay_us - USUAL_DELAY_US))
+            return delay_us - clock_offset_us
+        return delay_us if 0 <= delay_us <= MAX_FIRST_LIST_AGE_US else 0
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -257,4 +257,4 @@
     assert whole and server.started_us == 5000
     with pytest.raises(EndpointListError):
         group.apply({"rev": 5, "all": True, "targets": [{**ENTRY, "uid": "s-2"}, {**ENTRY, **change}]})
-    assert group.rev == 4 and group.address_of("s-1") is not None and group.address_of("s-2") is None
+    assert group.revision == 4 and group.address_of("s-1") is not None and group.address_of("s-2") is None
--- a/tests/test_upstream.py
+++ b/tests/test_upstream.py
@@ -14,7 +14,7 @@
 
 from stepflow.interface import Availability, Endpoint
 from stepflow.upstream import EndpointGroup, JsonStream, JsonStreamError
-from stepflow.upstream.start_times import NEWS_US, StartTimes
+from stepflow.upstream.start_times import USUAL_DELAY_US, StartTimes
 from tests.node_kit import PATIENCE, Discovery, Node, Peer, opening
 
 NUMBERS = count(1000)  # of sessions that only have to differ
@@ -41,7 +41,7 @@
         found += stream.feed(text[:cut])
         text = text[cut:]
     found += stream.feed(text)
-    assert found == values and not stream.amid
+    assert found == values and not stream.has_partial_value
 
 
 @pytest.mark.parametrize(
@@ -53,10 +53,10 @@
 
 
 def test_a_value_is_bounded_however_it_comes() -> None:
-    stream = JsonStream(most=1000)
+    stream = JsonStream(max_value_bytes=1000)
     with pytest.raises(JsonStreamError):
         for _ in range(30):
-            list(stream.feed(b'["' + b"x" * 100 if not stream.amid else b"x" * 100))
+            list(stream.feed(b'["' + b"x" * 100 if not stream.has_partial_value else b"x" * 100))
 
 
 def test_a_large_value_in_small_pieces_is_looked_at_once() -> None:
@@ -77,17 +77,23 @@
     group.apply({"rev": 5, "all": True, "targets": [entry("s-1"), entry("s-2")]})
     whole, told = group.apply({"rev": 7, "all": False, "targets": [entry("s-1", "Terminating")]})
     assert not whole and told[0].availability == Availability.DRAINING
-    assert group.apply({"rev": 6, "all": False, "targets": [entry("s-1")]}, begins=False) == (False, ())
-    assert group.apply({"rev": 4, "all": True, "targets": [entry("s-9")]}, begins=False) == (False, ())
-    assert group.rev == 7 and [e["uid"] for e in group.message()["targets"]] == ["s-1", "s-2"]
-    assert group.message()["targets"][0]["state"] == "Terminating"
+    assert group.apply({"rev": 6, "all": False, "targets": [entry("s-1")]}, is_first_of_call=False) == (
+        False,
+        (),
+    )
+    assert group.apply({"rev": 4, "all": True, "targets": [entry("s-9")]}, is_first_of_call=False) == (
+        False,
+        (),
+    )
+    assert group.revision == 7 and [e["uid"] for e in group.to_message()["targets"]] == ["s-1", "s-2"]
+    assert group.to_message()["targets"][0]["state"] == "Terminating"
 
 
 def test_a_source_that_counts_anew_is_followed_from_its_first_whole_list() -> None:
     group = EndpointGroup(("a",), ("k",))
     group.apply({"rev": 2**53 + 1, "all": True, "targets": [entry("s-1")]})
     whole, told = group.apply({"rev": 3, "all": True, "targets": [entry("s-2")]})
-    assert whole and told[0].id == "s-2" and group.rev == 3
+    assert whole and told[0].id == "s-2" and group.revision == 3
 
 
 def pushed(config: dict[str, Any]) -> None:
@@ -181,7 +187,7 @@
         [entry] = times.localize(now, False, (started(f"s-{number + 1}", boot),))
         age = now - entry.started_us
         # Seconds ahead can't be told from slow news, but for what is over the usual time.
-        assert 0 <= age <= lag + min(NEWS_US, max(0, ahead_s * SECOND))
+        assert 0 <= age <= lag + min(USUAL_DELAY_US, max(0, ahead_s * SECOND))
         if ahead_s == 0:
             assert age == lag
         [again] = times.localize(now + 9 * SECOND, False, (started(f"s-{number + 1}", boot),))
@@ -201,4 +207,4 @@
     [entry] = times.localize(BOOT + 9 * SECOND, False, (started("b", BOOT + 8 * SECOND),))
     assert entry.started_us == BOOT + 8 * SECOND
     times.localize(BOOT + 10 * SECOND, True, (started("a", 0),))
-    assert times._local == {}
+    assert times._known_starts == {}
