--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -26,7 +26,6 @@
 from stepflow.node.upstreams.liveness import LivenessMonitor
 from stepflow.node.upstreams.load_reports import LoadReportClassifier
 from stepflow.settings import parse_node_settings, parse_settings
-from stepflow.upstream import EndpointGroup, EndpointListError
 from tests.node_kit import SETTINGS
 
 
@@ -234,27 +233,3 @@
     reactor.advance(1.1)
     reactor.advance(1.1)
     assert quiet.hung == len(notes) == (0 if closed else 1)
-
-
-ENTRY = {"uid": "s-1", "endpoint": "127.0.0.1:7", "az": "a", "model": "k", "state": "Ready", "boot_ms": 5}
-
-
-@pytest.mark.parametrize(
-    "change",
-    [
-        {"uid": 3},
-        {"state": "Odd"},
-        {"endpoint": "nowhere"},
-        {"boot_ms": "x"},
-        {"boot_ms": float("inf")},
-        {"capacity_hint": [1]},
-        {"capacity_hint": float("inf")},
-    ],
-)
-def test_a_bad_list_changes_nothing(change: dict[str, object]) -> None:
-    group = EndpointGroup(("a",), ("k",))
-    whole, [server] = group.apply({"rev": 4, "all": True, "targets": [ENTRY]})
-    assert whole and server.started_us == 5000
-    with pytest.raises(EndpointListError):
-        group.apply({"rev": 5, "all": True, "targets": [{**ENTRY, "uid": "s-2"}, {**ENTRY, **change}]})
-    assert group.revision == 4 and group.address_of("s-1") is not None and group.address_of("s-2") is None
