--- a/tests/test_any_settings.py
+++ b/tests/test_any_settings.py
@@ -189,7 +189,7 @@
 
 
 @pytest.mark.parametrize("seed", range(8))
-def test_no_settings_and_no_order_of_events_fail_the_module(seed: int) -> None:
+def test_no_settings_and_no_order_of_events_raise(seed: int) -> None:
     """A server that starts a moment from now, where none starts cold, divided by nothing."""
     for number in range(40):
         story = Story(seed * 1000 + number)
--- a/tests/test_code_shape.py
+++ b/tests/test_code_shape.py
@@ -34,7 +34,6 @@
     "stepflow/node/process/config.py:load",
     "stepflow/node/process/service.py:Node.__init__",
     "stepflow/policy/decide.py:Policy.on_attempt_ended",
-    "stepflow/settings/parser.py:_settings",
 }
 WIDE_CONSTRUCTORS = {
     "stepflow/node/clients/connection.py:ClientFactory.__init__",
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -1,4 +1,4 @@
-"""The node's parts by themselves: slots, deadlines, the line codec, settings, the upstream group."""
+"""The node's parts by themselves: slots, timers, the line codec, settings."""
 
 from __future__ import annotations
 
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -3,13 +3,14 @@
 from __future__ import annotations
 
 import re
+from collections.abc import Iterable
 from pathlib import Path
 
 import pytest
 
 from stepflow.interface import Settings, Tenant
 from stepflow.settings import merge_settings, parse_node_settings
-from stepflow.settings import parser as module
+from stepflow.settings.reader import SettingsReader
 
 ROOT = Path(__file__).resolve().parent.parent
 PAGE = (ROOT / "docs" / "settings.md").read_text()
@@ -30,18 +31,18 @@
     """The keys that the parser asks for, of settings that have one class and one tenant."""
     asked: set[str] = set()
 
-    class Pairs(dict[str, str]):
+    class RecordingTexts(dict[str, str]):
         def get(self, key: str, default: object = None) -> object:  # type: ignore[override]
             asked.add(re.sub(r"\.\d+\.", ".N.", key))
             return dict.get(self, key, default)
 
-    made = module._Pairs.__init__
+    original = SettingsReader.__init__
 
-    def watched(self: module._Pairs, pairs: object) -> None:
-        made(self, pairs)  # type: ignore[arg-type]
-        self.pairs = Pairs(self.pairs)
+    def recording(self: SettingsReader, pairs: Iterable[tuple[str, str]]) -> None:
+        original(self, pairs)
+        self.texts = RecordingTexts(self.texts)
 
-    monkeypatch.setattr(module._Pairs, "__init__", watched)
+    monkeypatch.setattr(SettingsReader, "__init__", recording)
     parse_node_settings(
         {
             "classes": [{"name": "a"}],
@@ -53,14 +54,14 @@
     return asked
 
 
-def test_the_page_calls_read_what_the_parser_reads(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_the_page_lists_the_keys_that_the_parser_reads(monkeypatch: pytest.MonkeyPatch) -> None:
     told = keys("Read")
     assert len(told) == len(set(told))
     assert set(told) == keys_read(monkeypatch)
     assert not set(told) & set(keys("Passed over, and why"))
 
 
-def test_each_test_that_the_page_names_is_there() -> None:
+def test_each_test_that_the_pages_name_exists() -> None:
     texts = "".join(path.read_text() for path in (ROOT / "tests").rglob("*.py"))
     for row in rows("Read"):
         assert f"def {row[-1]}(" in texts, row[-1]
@@ -77,5 +78,5 @@
     assert [(t.name, t.share) for t in after.tenants] == [("a", 0.0), ("b", 0.7), ("c", 0.3)]
 
 
-def test_who_keeps_the_watch_does_not_change_while_the_node_runs() -> None:
+def test_polling_the_endpoint_list_does_not_change_at_a_reload() -> None:
     assert merge_settings(Settings(polls_endpoint_list=True), Settings()).polls_endpoint_list
--- a/tests/test_simhost.py
+++ b/tests/test_simhost.py
@@ -110,7 +110,7 @@
     check_refused(data + batch(3, order(4, 1, 3)), 2, b"instance 4")
 
 
-def test_killed_and_started_again_in_one_batch() -> None:
+def test_an_instance_killed_and_restarted_in_one_batch() -> None:
     data = batch(1, boot(4, 9)) + batch(2, [select(4), record(130, b""), *boot(4, 10), *order(4, 1, 2)])
     done = host(data)
     assert done.returncode == 0
@@ -121,7 +121,7 @@
     check_refused(batch(1, boot(1, 5, "group_size=many\n")), 0, b"group_size")
 
 
-def test_a_fault_in_a_decision_is_declared() -> None:
+def test_an_exception_of_the_policy_is_reported() -> None:
     odd = record(90, struct.pack("<QHBHIQQQ", 1, 77, 0, 0, 0, 9_000_000, 0, 0))  # a class that isn't there
     done = host(batch(1, boot(4, 9)) + batch(2, [select(4), odd]))
     assert done.returncode == 0
--- a/tests/test_upstream.py
+++ b/tests/test_upstream.py
@@ -1,4 +1,4 @@
-"""Stories of the list: how it is read off the stream, its versions, and the agent that it is pushed to."""
+"""The endpoint list at a node: lists in any form, and the agent that pushes it."""
 
 from __future__ import annotations
 
--- a/tests/upstream/test_endpoint_group.py
+++ b/tests/upstream/test_endpoint_group.py
@@ -14,7 +14,7 @@
     return {"uid": uid, "endpoint": "127.0.0.1:1", "az": "a", "model": "k", "state": state}
 
 
-def test_an_older_message_undoes_nothing() -> None:
+def test_a_message_with_a_lower_revision_is_ignored() -> None:
     group = EndpointGroup(("a",), ("k",))
     group.apply({"rev": 5, "all": True, "targets": [entry("s-1"), entry("s-2")]})
     whole, told = group.apply({"rev": 7, "all": False, "targets": [entry("s-1", "Terminating")]})
@@ -31,7 +31,7 @@
     assert group.to_message()["targets"][0]["state"] == "Terminating"
 
 
-def test_a_source_that_counts_anew_is_followed_from_its_first_whole_list() -> None:
+def test_the_first_full_list_of_a_call_counts_whatever_its_revision() -> None:
     group = EndpointGroup(("a",), ("k",))
     group.apply({"rev": 2**53 + 1, "all": True, "targets": [entry("s-1")]})
     whole, told = group.apply({"rev": 3, "all": True, "targets": [entry("s-2")]})
@@ -53,7 +53,7 @@
         {"capacity_hint": float("inf")},
     ],
 )
-def test_a_bad_list_changes_nothing(change: dict[str, object]) -> None:
+def test_a_malformed_message_changes_nothing(change: dict[str, object]) -> None:
     group = EndpointGroup(("a",), ("k",))
     whole, [server] = group.apply({"rev": 4, "all": True, "targets": [ENTRY]})
     assert whole and server.started_us == 5000
--- a/tests/upstream/test_json_stream.py
+++ b/tests/upstream/test_json_stream.py
@@ -24,7 +24,7 @@
     st.sampled_from(["", "\n", "\r\n", "\r\n\r\n \t"]),
     st.lists(st.integers(1, 40)),
 )
-def test_values_come_whole_whatever_the_space_and_the_pieces(
+def test_values_are_complete_whatever_the_white_space_and_chunks(
     values: list[object], indent: int | None, between: str, cuts: list[int]
 ) -> None:
     text = between.join([json.dumps(value, indent=indent) for value in values] + [""]).encode()
@@ -40,20 +40,20 @@
 @pytest.mark.parametrize(
     "text", [b"null", b"x{}", b"{]}", b'{"a"}', b"[" * 40, b'{"a":"\xff"}', b"[" + b"9" * 5000 + b"]", b"]"]
 )
-def test_what_is_no_value_ends_the_stream(text: bytes) -> None:
+def test_a_malformed_value_raises(text: bytes) -> None:
     with pytest.raises(JsonStreamError):
         list(JsonStream().feed(text))
 
 
-def test_a_value_is_bounded_however_it_comes() -> None:
+def test_the_size_of_a_value_is_limited() -> None:
     stream = JsonStream(max_value_bytes=1000)
     with pytest.raises(JsonStreamError):
         for _ in range(30):
             list(stream.feed(b'["' + b"x" * 100 if not stream.has_partial_value else b"x" * 100))
 
 
-def test_a_large_value_in_small_pieces_is_looked_at_once() -> None:
-    """Looked at anew at each piece, 4 MB in pieces of 1,400 bytes take minutes."""
+def test_a_large_value_in_small_chunks_is_scanned_once() -> None:
+    """Scanned anew with each chunk, 4 MB in chunks of 1,400 bytes take minutes."""
     text = json.dumps(["x" * 100] * 30_000).encode()
     stream, begun, found = JsonStream(), time.process_time(), 0
     for at in range(0, len(text), 1400):
--- a/tests/upstream/test_start_times.py
+++ b/tests/upstream/test_start_times.py
@@ -16,9 +16,8 @@
 
 
 @pytest.mark.parametrize("ahead_s", [-3600, -3, 0, 3, 3600])
-def test_a_server_is_held_little_warmer_than_it_is_whatever_the_own_clock_says(ahead_s: int) -> None:
-    """After a step of the wall clock before its start, a process held each cold server for warm, or for hours
-    to come for cold."""
+def test_the_age_of_an_endpoint_survives_steps_of_the_wall_clock(ahead_s: int) -> None:
+    """After a step of the wall clock a process once took cold endpoints for warm, or the reverse."""
     times, ahead = StartTimes(), ahead_s * SECOND
     times.localize(BOOT + ahead, True, (started("s-0", 0),))
     for number, lag in enumerate((2 * SECOND, SECOND, 3 * SECOND)):
@@ -26,22 +25,22 @@
         now = boot + lag + ahead
         [entry] = times.localize(now, False, (started(f"s-{number + 1}", boot),))
         age = now - entry.started_us
-        # Seconds ahead can't be told from slow news, but for what is over the usual time.
+        # A clock that is seconds ahead looks like a slow message, but for what exceeds the usual delay.
         assert 0 <= age <= lag + min(USUAL_DELAY_US, max(0, ahead_s * SECOND))
         if ahead_s == 0:
             assert age == lag
         [again] = times.localize(now + 9 * SECOND, False, (started(f"s-{number + 1}", boot),))
-        assert again == entry  # the same start, told again
+        assert again == entry  # the same start in another message
 
 
-def test_start_times_of_a_first_list_are_taken_where_they_can_be_true() -> None:
+def test_start_times_of_a_first_list_are_taken_where_plausible() -> None:
     recent, future, ancient = BOOT - 3 * SECOND, BOOT + 3600 * SECOND, BOOT - 3600 * SECOND
     entries = (started("a", recent), started("b", future), started("c", ancient), started("d", 0))
     found = StartTimes().localize(BOOT, True, entries)
     assert [entry.started_us for entry in found] == [recent, BOOT, BOOT, 0]
 
 
-def test_a_restart_is_news_and_a_server_that_left_the_list_is_forgotten() -> None:
+def test_a_restart_is_a_new_start_and_an_unlisted_endpoint_is_forgotten() -> None:
     times = StartTimes()
     times.localize(BOOT, True, (started("a", 0), started("b", BOOT - SECOND)))
     [entry] = times.localize(BOOT + 9 * SECOND, False, (started("b", BOOT + 8 * SECOND),))
