--- a/tests/test_code_shape.py
+++ b/tests/test_code_shape.py
@@ -32,7 +32,6 @@
     "stepflow/fleet/world.py:World.__init__",
     "stepflow/node/process/config.py:load",
     "stepflow/node/process/service.py:Node.__init__",
-    "stepflow/settings.py:_settings",
 }
 WIDE_CONSTRUCTORS = {
     "stepflow/node/clients/connection.py:ClientFactory.__init__",
