--- /dev/null
+++ b/stepflow/node/core/attempts.py
@@ -0,0 +1,125 @@
+"""Starts attempts, and takes in how they end.
+
+The policy decides about each attempt, with one exception: a client that returns to the endpoint of its
+previous session has made the choice itself. The policy learns of such a request only once its session is
+established, and the attempts until then are repeated here.
+"""
+
+from __future__ import annotations
+
+from datetime import timedelta
+
+from stepflow.interface import AttemptEnded, AttemptResult, SessionAdopted, SessionEstablished
+from stepflow.logs import get_logger
+from stepflow.node.core.event_queue import EventQueue
+from stepflow.node.core.interfaces import Attempt, RequestContext, Upstream
+from stepflow.node.core.requests import RequestTable
+from stepflow.node.runtime.clock import Clock, micros
+from stepflow.node.runtime.timers import Timers
+
+log = get_logger()
+
+RETRY_PREVIOUS_AFTER = timedelta(milliseconds=250)  # until the endpoint of a previous session is tried again
+RETRIED_RESULTS = frozenset({AttemptResult.CONNECT_FAILED, AttemptResult.FULL})
+
+
+class AttemptRunner:
+    """Runs the attempts of all requests, at most one of each at a time."""
+
+    def __init__(self, clock: Clock, timers: Timers, requests: RequestTable, events: EventQueue) -> None:
+        self._clock, self._timers = clock, timers
+        self._requests, self._events = requests, events
+        self._upstream: Upstream
+
+    def connect(self, upstream: Upstream) -> None:
+        """Send attempts through this upstream; once, before the first."""
+        self._upstream = upstream
+
+    def start(self, context: RequestContext, endpoint: str, timeout_us: int = 0) -> None:
+        """Start an attempt; it may take the time-out (0: none), and never longer than its client waits."""
+        if context.attempt is not None:
+            log.error("a second attempt while one is out", request=context.id)
+            return
+        context.downstream.check_disconnected()
+        now = self._clock.now()
+        client_waits_us = context.request.expires_us - micros(now)
+        wait_us = min(timeout_us, client_waits_us) if timeout_us else client_waits_us
+        context.attempts += 1
+        context.endpoint, context.attempt_started = endpoint, now
+        if context.attempts > context.max_attempts or wait_us <= 0 or context.answered:
+            self.ended(context, AttemptResult.NOT_SENT)
+            return
+        wait = timedelta(microseconds=wait_us)
+        self._requests.log.attempt_started(context, wait)
+        context.attempt = self._upstream.start_attempt(context, endpoint, wait)
+        if context.attempt is None:
+            self.ended(context, AttemptResult.CONNECT_FAILED)
+
+    def established(self, context: RequestContext, attempt: Attempt) -> None:
+        """An endpoint took the session; an attempt that is no longer wanted is abandoned."""
+        if context.attempt is not attempt or context.answered:
+            attempt.abandon()
+            return
+        self._requests.mark_established(context)
+        if context.previous_endpoint:
+            self._events.post(SessionAdopted(context.request, context.endpoint))
+        else:
+            latency_us = self._elapsed_us(context)
+            self._events.post(
+                SessionEstablished(context.id, context.attempts - 1, context.endpoint, latency_us)
+            )
+        context.downstream.session_established(attempt)
+
+    def ended(
+        self,
+        context: RequestContext,
+        result: AttemptResult,
+        report: tuple[float, ...] = (),
+        answer: bytes = b"",
+    ) -> None:
+        """An attempt is over and its socket is closed, before its session was established or after."""
+        context.attempt = None
+        self._requests.log.attempt_ended(context, result)
+        if result == AttemptResult.OK and not context.answered:
+            self._requests.complete(context, answer)
+        if context.previous_endpoint and not context.established:  # the policy doesn't know of the request
+            if not context.answered and not self._retry_previous(context, result):
+                self._requests.fail(context)
+        else:
+            self._post_ended(context, result, report)
+        self._requests.release(context)
+
+    def _post_ended(self, context: RequestContext, result: AttemptResult, report: tuple[float, ...]) -> None:
+        self._events.post(
+            AttemptEnded(
+                context.id,
+                context.attempts - 1,
+                context.endpoint,
+                result,
+                context.answered,
+                self._elapsed_us(context),
+                report,
+            )
+        )
+
+    def _elapsed_us(self, context: RequestContext) -> int:
+        """Microseconds since the latest attempt was started."""
+        return micros(self._clock.now() - context.attempt_started)
+
+    def _retry_previous(self, context: RequestContext, result: AttemptResult) -> bool:
+        """Schedule a further attempt at the endpoint of the previous session; False where there is none.
+
+        After a start all clients return at once, and an endpoint may not get round to each of them in time.
+        """
+        if result not in RETRIED_RESULTS or self._requests.shutting_down:
+            return False
+        retry_at = self._clock.now() + RETRY_PREVIOUS_AFTER
+        if context.request.expires_us <= micros(retry_at) or context.attempts >= context.max_attempts:
+            return False
+
+        def retry() -> None:
+            if not context.answered:
+                self.start(context, context.previous_endpoint)
+
+        self._timers.at(retry_at, retry)
+        return True
--- a/stepflow/node/recording.py
+++ b/stepflow/node/recording.py
@@ -45,13 +45,13 @@
             self._recorder.known(entry)
         for request, peer, load in self._core.sessions():
             self._recorder.stands(self._now(), request, peer, load)
-        self._core.recorder = self._take
+        self._core.record_events(self._take)
         self._deadline = self._deadlines.after(FLUSH_EVERY, self._flush)
         log.info("records traffic", folder=told.folder)
 
     def end(self, wait: timedelta = DISK_WAIT) -> None:
         """The one place that ends a recording; what is pending is written, as far as the disk takes it."""
-        self._core.recorder = None
+        self._core.record_events(None)
         if self._deadline is not None:
             self._deadline.cancel()
         recorder, self._recorder = self._recorder, None
--- a/stepflow/node/runtime/request_log.py
+++ b/stepflow/node/runtime/request_log.py
@@ -34,7 +34,7 @@
     def __init__(self, clock: Clock, counters: Counters) -> None:
         self._clock, self._counters = clock, counters
 
-    def taken(self, context: LoggedRequest) -> None:
+    def accepted(self, context: LoggedRequest) -> None:
         """A request is owed an answer from now on."""
         if debugging():
             wait = millis(self._left(context))
@@ -45,12 +45,12 @@
                 retried=context.request.is_retry,
             )
 
-    def turned_away(self, name: str, why: str) -> None:
+    def not_accepted(self, name: str, why: str) -> None:
         """A request was refused without being taken."""
         if debugging():
             log.debug("request turned away", request=name, why=why)
 
-    def attempt_begun(self, context: LoggedRequest, wait: timedelta) -> None:
+    def attempt_started(self, context: LoggedRequest, wait: timedelta) -> None:
         """An attempt goes to a peer."""
         self._counters.retries += context.attempts > 1
         if debugging():
--- a/stepflow/node/runtime/slots.py
+++ b/stepflow/node/runtime/slots.py
@@ -30,7 +30,7 @@
         """The items held now; the table may change while they are gone through."""
         return iter([item for item in self._items if item is not None])
 
-    def take(self, item: T) -> int | None:
+    def add(self, item: T) -> int | None:
         """Put an item into a free slot and return its id; None when the table is full."""
         if self._free:
             index = self._free.pop()
@@ -50,7 +50,7 @@
             return None
         return self._items[index]
 
-    def give_back(self, id: int) -> T | None:
+    def remove(self, id: int) -> T | None:
         """Empty the slot of this id; an id that is stale changes nothing."""
         item = self.get(id)
         if item is not None:
--- a/tests/test_code_shape.py
+++ b/tests/test_code_shape.py
@@ -19,7 +19,6 @@
     "stepflow/fleet/fit.py",
     "stepflow/fleet/trace.py",
     "stepflow/node/clients/connection.py",
-    "stepflow/node/core/core.py",
     "stepflow/node/process/service.py",
     "stepflow/node/upstreams/attempt.py",
     "stepflow/policy/decide.py",
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -32,10 +32,10 @@
 
 def test_a_stale_id_never_reaches_the_slot_s_next_holder() -> None:
     table: SlotTable[str] = SlotTable(2)
-    first, second = table.take("a"), table.take("b")
-    assert first is not None and second is not None and table.take("c") is None  # full
-    assert table.give_back(first) == "a" and table.give_back(first) is None
-    third = table.take("c")
+    first, second = table.add("a"), table.add("b")
+    assert first is not None and second is not None and table.add("c") is None  # full
+    assert table.remove(first) == "a" and table.remove(first) is None
+    third = table.add("c")
     assert third is not None and table.get(third) == "c" and len(table) == 2
     assert table.get(first) is None and list(table) == ["c", "b"]
 
