--- a/stepflow/node/runtime/clock.py
+++ b/stepflow/node/runtime/clock.py
@@ -1,4 +1,8 @@
-"""The node's one clock: Unix time at the start, advanced by the monotonic clock."""
+"""The node's clock, and the units of its spans.
+
+Times and spans are `timedelta` within the node: a time is the span since the Unix epoch. The policy counts in
+whole microseconds and the line protocol in whole milliseconds; both are rounded down.
+"""
 
 from __future__ import annotations
 
@@ -6,28 +10,31 @@
 from datetime import timedelta
 
 MICROSECOND = timedelta(microseconds=1)
+MILLISECOND = timedelta(milliseconds=1)
+NS_PER_MICROSECOND = 1000
 ZERO = timedelta(0)
 
 
 def micros(span: timedelta) -> int:
-    """A span as the whole microseconds that the decision module speaks."""
+    """A span in whole microseconds, the policy's unit."""
     return span // MICROSECOND
 
 
 def millis(span: timedelta) -> int:
-    """A span as the whole milliseconds that the line protocol speaks."""
-    return span // timedelta(milliseconds=1)
+    """A span in whole milliseconds, the line protocol's unit."""
+    return span // MILLISECOND
 
 
 class Clock:
-    """Tells the time since the Unix epoch.
+    """The time since the Unix epoch: the wall clock's at the start, advanced by the monotonic clock.
 
-    It must compare with the start times of map servers, which are Unix times, and must not jump
-    when the system's clock is set: so the wall clock is read once only.
+    It must compare with the start times of endpoints, which are Unix times, and must not jump when the
+    machine's wall clock is set. So the wall clock is read once only.
     """
 
     def __init__(self) -> None:
         self.offset_ns = time.time_ns() - time.monotonic_ns()
 
     def now(self) -> timedelta:
-        return timedelta(microseconds=(time.monotonic_ns() + self.offset_ns) // 1000)
+        """The time now; it never goes back."""
+        return timedelta(microseconds=(time.monotonic_ns() + self.offset_ns) // NS_PER_MICROSECOND)
--- a/stepflow/node/runtime/counters.py
+++ b/stepflow/node/runtime/counters.py
@@ -1,4 +1,8 @@
-"""Counters of what the node takes in, sends and answers."""
+"""Counters of what the node accepts, sends and answers.
+
+The names of the fields are the keys of the counters line and, with a prefix, the names of the metrics
+(docs/operations.md): they stay as they are.
+"""
 
 from __future__ import annotations
 
@@ -7,49 +11,50 @@
 
 @dataclass(slots=True)
 class ClassCounts:
-    """What became of one class's connections."""
+    """What became of the requests of one class."""
 
     served: int = 0
-    refused: int = 0
-    failed: int = 0
-    attempts: int = 0  # lines written whole to peers
+    refused: int = 0  # answered BUSY
+    failed: int = 0  # answered ERR
+    attempts: int = 0  # whose line was sent whole
 
 
 @dataclass(slots=True)
 class Counters:
-    """Whole numbers since the start; printed on SIGUSR1 and at exit."""
+    """Whole numbers since the start of the process; logged on SIGUSR1 and at the exit."""
 
     clients: int = 0  # client connections accepted
-    requests: int = 0  # OPEN lines taken
-    standing: int = 0  # of them, connections that stood before the start
+    requests: int = 0  # OPEN lines accepted
+    standing: int = 0  # of them, those of clients that return to the endpoint of a previous session
     accept_failures: int = 0  # accept calls that failed for want of descriptors or memory
     malformed: int = 0  # clients answered ERR for what they sent, or failed to send in time
-    evicted: int = 0  # silent client connections closed for want of descriptors
+    evicted: int = 0  # client connections without a request, closed for want of descriptors
     table_full: int = 0  # requests rejected for want of a slot or a descriptor
-    attempts: int = 0  # whose line was written whole to a peer
-    retries: int = 0  # attempts begun after the first of their request
-    served: int = 0  # answered UP
-    rejected: int = 0  # answered BUSY
-    failed: int = 0  # answered ERR
-    overdue: int = 0  # answered over 0.1 s after their client's time
-    left: int = 0  # clients that left before their answer
-    moved: int = 0  # standing clients told to MOVE
-    broken: int = 0  # standing connections that their peer broke or left silent
-    probes: int = 0  # STATS sent
-    probes_failed: int = 0
+    attempts: int = 0  # whose line was sent whole
+    retries: int = 0  # attempts after the first of their request
+    served: int = 0  # requests answered UP, or by their endpoint without a session
+    rejected: int = 0  # requests answered BUSY
+    failed: int = 0  # requests answered ERR
+    overdue: int = 0  # requests answered over 0.1 s after their client's time
+    left: int = 0  # clients that disconnected before their answer
+    moved: int = 0  # established sessions migrated
+    broken: int = 0  # established sessions that their endpoint reset or let stall
+    probes: int = 0  # health checks sent
+    probes_failed: int = 0  # health checks without a load report
     lists: int = 0  # messages of discovery
     lists_failed: int = 0  # calls of discovery that failed
-    reloads: int = 0  # configurations read again
-    reloads_failed: int = 0  # and turned down
-    faults: int = 0  # events that the decision module could not take
+    reloads: int = 0  # configurations taken by a reload
+    reloads_failed: int = 0  # configurations that a reload turned down
+    faults: int = 0  # events that the policy failed on
     clock_steps: int = 0  # steps of the machine's wall clock
-    late_deadlines: int = 0  # times that deadlines came over 0.25 s late
-    classes: dict[str, ClassCounts] = field(default_factory=dict)  # by name; a dropped class stays
+    late_deadlines: int = 0  # times that timers fired over 0.25 s late
+    classes: dict[str, ClassCounts] = field(default_factory=dict)  # by name; those of a dropped class stay
 
     def of(self, name: str) -> ClassCounts:
-        """The counts of a class, from 0."""
+        """The counts of a class, which begin at 0 when it is first asked for."""
         return self.classes.setdefault(name, ClassCounts())
 
     def __str__(self) -> str:
-        plain = (one.name for one in fields(self) if one.name != "classes")
-        return " ".join(f"{name}={getattr(self, name)}" for name in plain)
+        """The counters line: each counter of the node as name=value."""
+        names = (one.name for one in fields(self) if one.name != "classes")
+        return " ".join(f"{name}={getattr(self, name)}" for name in names)
--- a/stepflow/node/runtime/garbage.py
+++ b/stepflow/node/runtime/garbage.py
@@ -1,7 +1,8 @@
 """When Python's garbage collector runs.
 
-What a session holds is freed by reference counting alone (tests/test_leaks.py); cycles come only of the HTTP
-library, at discovery's and the operators' calls, and of failures that are logged.
+What a session holds is freed by reference counting alone (tests/node/test_leaks.py). Cycles come only of the
+HTTP library, in calls of discovery and of operators, and of failures that are logged. So the collector may
+run seldom: its pause, in which no client is served, grows with the number of objects that it looks through.
 """
 
 from __future__ import annotations
@@ -11,25 +12,25 @@
 
 from stepflow.node.runtime.timers import Timers
 
-YOUNG = 20_000  # new objects until the youngest generation is collected
-MIDDLE = 5  # times of that until the middle one is
-NEVER = 1 << 30  # the oldest generation is collected at stated moments only
-WHOLE_EVERY = timedelta(minutes=5)
+YOUNG_THRESHOLD = 20_000  # new objects until the youngest generation is collected
+MIDDLE_THRESHOLD = 5  # collections of the youngest generation until the middle one is collected
+OLDEST_THRESHOLD = 1 << 30  # never reached: the oldest generation is collected by a timer
+FULL_COLLECTION_INTERVAL = timedelta(minutes=5)
 
 
 class GarbageCollection:
-    """Collects the oldest generation now and then: its pause grows with what stands."""
+    """Sets the collector's thresholds, and collects the oldest generation at intervals."""
 
-    def __init__(self, deadlines: Timers) -> None:
-        self._deadlines = deadlines
+    def __init__(self, timers: Timers) -> None:
+        self._timers = timers
 
     def begin(self) -> None:
-        """What stands by now stays: it is never looked through again."""
+        """Take over the collector; the objects that exist by now are never looked through again."""
         gc.collect()
         gc.freeze()
-        gc.set_threshold(YOUNG, MIDDLE, NEVER)
-        self._deadlines.after(WHOLE_EVERY, self._collect)
+        gc.set_threshold(YOUNG_THRESHOLD, MIDDLE_THRESHOLD, OLDEST_THRESHOLD)
+        self._timers.after(FULL_COLLECTION_INTERVAL, self._collect)
 
     def _collect(self) -> None:
         gc.collect()
-        self._deadlines.after(WHOLE_EVERY, self._collect)
+        self._timers.after(FULL_COLLECTION_INTERVAL, self._collect)
--- a/stepflow/node/runtime/lines.py
+++ b/stepflow/node/runtime/lines.py
@@ -1,7 +1,7 @@
-"""The line codec, in the vocabulary of Twisted's LineReceiver.
+"""The line codec, with the method names of Twisted's LineReceiver.
 
-LineReceiver copies every line out of its buffer. Here a line is a slice of the buffer that it was
-read into, and only the half line at the end of a buffer is copied, since it must outlive it.
+LineReceiver copies every line out of its buffer. Here a line is a slice of the buffer that it was read into;
+only the incomplete line at the end of a buffer is copied, since it must outlive the buffer.
 """
 
 from __future__ import annotations
@@ -17,15 +17,15 @@
 
 
 def was_reset(reason: Failure) -> bool:
-    """Whether a connection ended otherwise than by a FIN."""
+    """Whether a connection ended in another way than by a FIN."""
     return not isinstance(reason.value, ConnectionDone)
 
 
 class LineScanner:
     """Finds the lines in a stream of buffers.
 
-    Give each buffer to `feed`, then call `next_line` until it returns None. `rest` is what no line
-    has taken yet.
+    Give each buffer to `feed`, then call `next_line` until it returns None. The bytes behind the last line
+    are kept for the next buffer, or taken out by `rest`.
     """
 
     delimiter = b"\r\n"
@@ -33,50 +33,53 @@
 
     def __init__(self) -> None:
         self._buffer = b""
-        self._at = 0
-        self._kept = b""  # the half line that the last buffer ended in
-        self.overlong = False  # a line went past MAX_LENGTH; nothing more is read
+        self._position = 0  # in the buffer, behind the latest line
+        self._incomplete = b""  # the line that the last buffer ended in the midst of
+        self.overlong = False  # a line went past MAX_LENGTH; the stream can't be read any further
 
     def feed(self, data: bytes) -> None:
         """Take the next buffer."""
-        if self._kept:
-            data, self._kept = self._kept + data, b""
-        self._buffer, self._at = data, 0
+        if self._incomplete:
+            data, self._incomplete = self._incomplete + data, b""
+        self._buffer, self._position = data, 0
 
     def next_line(self) -> memoryview | None:
-        """The next whole line without its delimiter, valid until the next `feed`."""
-        end = self._buffer.find(self.delimiter, self._at)
-        length = (len(self._buffer) if end < 0 else end + len(self.delimiter)) - self._at
+        """The next whole line without its delimiter, valid until the next `feed`; None once there is none."""
+        end = self._buffer.find(self.delimiter, self._position)
+        length = (len(self._buffer) if end < 0 else end + len(self.delimiter)) - self._position
         if length > self.MAX_LENGTH:
             self.overlong = True
             return None
         if end < 0:
-            self._kept = self._buffer[self._at :]
-            self._buffer, self._at = b"", 0
+            self._incomplete = self._buffer[self._position :]
+            self._buffer, self._position = b"", 0
             return None
-        line = memoryview(self._buffer)[self._at : end]
-        self._at = end + len(self.delimiter)
+        line = memoryview(self._buffer)[self._position : end]
+        self._position = end + len(self.delimiter)
         return line
 
     @property
     def between_lines(self) -> bool:
-        """Whether the stream stands right behind a delimiter."""
-        return not self._kept and self._at == len(self._buffer)
+        """Whether the buffers so far end in a delimiter, and all lines were read."""
+        return not self._incomplete and self._position == len(self._buffer)
 
     @property
     def half_line(self) -> bytes:
-        """What the buffers so far ended in, behind the last delimiter."""
-        return self._kept
+        """The incomplete line at the end of the buffers so far."""
+        return self._incomplete
 
     def rest(self) -> bytes:
-        """Take out all bytes that no line has taken."""
-        rest = self._kept or self._buffer[self._at :]
-        self._kept, self._buffer, self._at = b"", b"", 0
+        """Take out all bytes behind the latest line."""
+        rest = self._incomplete or self._buffer[self._position :]
+        self._incomplete, self._buffer, self._position = b"", b"", 0
         return rest
 
 
 class LineProtocol(Protocol):
-    """A connection that speaks lines, until it is set to raw mode."""
+    """A connection that speaks lines until it is set to raw mode.
+
+    Subclasses implement `lineReceived`, `lineLengthExceeded`, `rawDataReceived` and `connectionLost`.
+    """
 
     def __init__(self) -> None:
         self._scanner = LineScanner()
@@ -84,14 +87,16 @@
 
     @property
     def wire(self) -> Transport:
-        """The transport, which is there once the connection is made."""
+        """The transport; only once the connection is made."""
         return cast(Transport, self.transport)
 
     def connectionMade(self) -> None:
-        with suppress(OSError):  # a connection that is broken already tells so when it is read
+        """Have small writes sent at once."""
+        with suppress(OSError):  # a connection that is broken already shows that when it is read
             self.wire.setTcpNoDelay(True)
 
     def dataReceived(self, data: bytes) -> None:
+        """Pass on the lines of a buffer, or the buffer itself in raw mode."""
         if self._raw:
             self.rawDataReceived(data)
             return
@@ -103,25 +108,26 @@
 
     @property
     def at_end(self) -> bool:
-        """Whether nothing has come behind the line at hand."""
+        """Whether nothing was received behind the line at hand."""
         return self._scanner.between_lines
 
     def setRawMode(self) -> bytes:
-        """Pass all that comes from now on to rawDataReceived; return what came after the last line."""
+        """Pass all later data to `rawDataReceived`; return what was received behind the last line."""
         self._raw = True
         return self._scanner.rest()
 
     def lineReceived(self, line: memoryview) -> None:
-        """Take a line; the slice is valid during this call only."""
+        """Take a line without its delimiter; the slice is valid during this call only."""
         raise NotImplementedError
 
     def lineLengthExceeded(self) -> None:
-        """Take the news that the other side sent an overlong line."""
+        """The other side sent an overlong line, and nothing more is read."""
         raise NotImplementedError
 
     def rawDataReceived(self, data: bytes) -> None:
-        """Take bytes in raw mode."""
+        """Take data in raw mode."""
         raise NotImplementedError
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:
+        """The connection is closed; `reason` says by which side and how."""
         raise NotImplementedError
--- a/stepflow/node/runtime/slots.py
+++ b/stepflow/node/runtime/slots.py
@@ -9,10 +9,10 @@
 
 
 class SlotTable(Generic[T]):
-    """A fixed number of slots; an id names a slot and its generation.
+    """Holds a bounded number of items, each under an id that is never used again.
 
-    A slot is used again after it was given back. The generation in the id keeps a late event or
-    timer, which still holds the old id, from reaching the slot's next holder.
+    An id consists of the number of a slot and of that slot's generation, which grows each time that an item
+    is removed. So a late event or timer that still holds an old id can't reach the next item of the slot.
     """
 
     def __init__(self, size: int) -> None:
@@ -27,7 +27,7 @@
         return len(self._items) - len(self._free)
 
     def __iter__(self) -> Iterator[T]:
-        """The items held now; the table may change while they are gone through."""
+        """The items held now; the table may change during the iteration."""
         return iter([item for item in self._items if item is not None])
 
     def add(self, item: T) -> int | None:
@@ -43,18 +43,18 @@
             return None
         return self._generations[index] * self._size + index
 
-    def get(self, id: int) -> T | None:
-        """The item of this id, unless its slot was given back since."""
-        generation, index = divmod(id, self._size)
+    def get(self, item_id: int) -> T | None:
+        """The item of this id, unless it was removed."""
+        generation, index = divmod(item_id, self._size)
         if index >= len(self._items) or self._generations[index] != generation:
             return None
         return self._items[index]
 
-    def remove(self, id: int) -> T | None:
-        """Empty the slot of this id; an id that is stale changes nothing."""
-        item = self.get(id)
+    def remove(self, item_id: int) -> T | None:
+        """Remove the item of this id and return it; None if it was removed before."""
+        item = self.get(item_id)
         if item is not None:
-            index = id % self._size
+            index = item_id % self._size
             self._items[index] = None
             self._generations[index] += 1
             self._free.append(index)
--- a/stepflow/node/runtime/timers.py
+++ b/stepflow/node/runtime/timers.py
@@ -1,4 +1,9 @@
-"""All deadlines of the node, in one ordered heap behind one call of the reactor."""
+"""All timers of the node, in one heap behind one delayed call of the reactor.
+
+Times are those of the node's clock. A request sets several timers and cancels nearly all of them, so
+cancelling only marks a timer; marked ones are dropped from the heap when they come up, or all at once when
+they are many.
+"""
 
 from __future__ import annotations
 
@@ -7,116 +12,119 @@
 from heapq import heapify, heappop, heappush
 
 from stepflow.logs import get_logger
-from stepflow.node.runtime.clock import Clock
+from stepflow.node.runtime.clock import ZERO, Clock
 from stepflow.node.runtime.counters import Counters
 from stepflow.node.runtime.transports import DelayedCall, Reactor
 
 log = get_logger()
 
-LATE = timedelta(milliseconds=250)  # a deadline that comes so late is told
-COMPACT_FROM = 256  # cancelled entries that may stay in the heap
+LATENESS_LOGGED = timedelta(milliseconds=250)  # a timer that fires later than this is logged
+COMPACT_FROM = 256  # cancelled timers that may stay in the heap
 
 
 class Timer:
-    """Something to be done at a time, unless it is called off before."""
+    """A scheduled call, which is made once unless it is cancelled before."""
 
-    __slots__ = ("_call", "_heap")
+    __slots__ = ("_call", "_timers")
 
-    def __init__(self, heap: Timers, call: Callable[[], None]) -> None:
-        self._heap, self._call = heap, call
+    def __init__(self, timers: Timers, call: Callable[[], None]) -> None:
+        self._timers, self._call = timers, call
 
     def cancel(self) -> None:
-        """Call it off; may be said again, and after it has come."""
-        if self._call is not _nothing:
-            self._call = _nothing
-            self._heap.cancelled()
+        """Cancel the call; without effect if it was cancelled or made before."""
+        if self._call is not _no_call:
+            self._call = _no_call
+            self._timers.count_cancelled()
 
-    def take(self) -> Callable[[], None]:
-        """Its call, which is made once only."""
-        call, self._call = self._call, _nothing
-        return call
+    def fire(self) -> None:
+        """Make the call; what it holds is freed with it."""
+        call, self._call = self._call, _no_call
+        call()
 
     @property
-    def stands(self) -> bool:
-        return self._call is not _nothing
+    def is_pending(self) -> bool:
+        """Whether the call is still to be made."""
+        return self._call is not _no_call
 
 
-def _nothing() -> None:
-    """What a deadline does that was called off."""
+def _no_call() -> None:
+    """The call of a timer that was cancelled or has fired."""
 
 
 class Timers:
-    """The heap; its head alone is known to the reactor."""
+    """Schedules calls; the reactor knows of the earliest only."""
 
     def __init__(self, clock: Clock, reactor: Reactor, counters: Counters) -> None:
         self._clock, self._reactor, self._counters = clock, reactor, counters
         self._heap: list[tuple[timedelta, int, Timer]] = []
-        self._count = self._dead = 0
-        self._armed: DelayedCall | None = None
-        self._armed_for = timedelta.max
-        self._firing = False
+        self._count = 0  # timers so far: those of one time fire in the order in which they were set
+        self._cancelled = 0  # timers in the heap that were cancelled, or a few more
+        self._wakeup: DelayedCall | None = None
+        self._wakeup_time = timedelta.max
+        self._is_firing = False
 
     def at(self, due: timedelta, call: Callable[[], None]) -> Timer:
-        """Have this called at a time of the node's clock."""
-        deadline = Timer(self, call)
+        """Schedule a call for a time of the node's clock."""
+        timer = Timer(self, call)
         self._count += 1
-        heappush(self._heap, (due, self._count, deadline))
-        if due < self._armed_for and not self._firing:
-            self._arm()
-        return deadline
+        heappush(self._heap, (due, self._count, timer))
+        if due < self._wakeup_time and not self._is_firing:
+            self._schedule_wakeup()
+        return timer
 
     def after(self, span: timedelta, call: Callable[[], None]) -> Timer:
-        """Have this called after a span from now."""
+        """Schedule a call for a span from now."""
         return self.at(self._clock.now() + span, call)
 
-    def cancelled(self) -> None:
-        """Count a deadline called off; the heap is cleared of them once they are many."""
-        self._dead += 1
-        if self._dead >= COMPACT_FROM and 2 * self._dead > len(self._heap):
-            self._heap = [entry for entry in self._heap if entry[2].stands]
+    def count_cancelled(self) -> None:
+        """Count a cancelled timer, and compact the heap once half of it is cancelled."""
+        self._cancelled += 1
+        if self._cancelled >= COMPACT_FROM and 2 * self._cancelled > len(self._heap):
+            self._heap = [entry for entry in self._heap if entry[2].is_pending]
             heapify(self._heap)
-            self._dead = 0
+            self._cancelled = 0
 
-    def _arm(self) -> None:
-        if self._armed is not None and self._armed.active():
-            self._armed.cancel()
-        self._armed, self._armed_for = None, timedelta.max
+    def _schedule_wakeup(self) -> None:
+        if self._wakeup is not None and self._wakeup.active():
+            self._wakeup.cancel()
+        self._wakeup, self._wakeup_time = None, timedelta.max
         if self._heap:
-            self._armed_for = self._heap[0][0]
-            wait = max(0.0, (self._armed_for - self._clock.now()).total_seconds())
-            self._armed = self._reactor.callLater(wait, self._due)
+            self._wakeup_time = self._heap[0][0]
+            delay_s = max(0.0, (self._wakeup_time - self._clock.now()).total_seconds())
+            self._wakeup = self._reactor.callLater(delay_s, self._wake)
 
-    def _due(self) -> None:
-        """What came before the head was due counts first: a process that was held up hears of both at once.
+    def _wake(self) -> None:
+        """Fire in the reactor's next turn, after it has read all sockets once.
 
-        The reactor makes due calls before it reads; this puts one look at all sockets between.
+        In each turn the reactor makes due calls before it reads. A process that was held up would take a
+        timer for overdue although the data that should have cancelled it has come in time.
         """
-        self._armed = self._reactor.callLater(0, self._fire)
+        self._wakeup = self._reactor.callLater(0, self._fire_due)
 
-    def _fire(self) -> None:
+    def _fire_due(self) -> None:
         now = self._clock.now()
-        self._note_lateness(now)
-        self._firing = True  # the head is armed once, when all that is due is done
+        self._check_lateness(now)
+        self._is_firing = True  # the next wakeup is scheduled once, after the last call
         try:
             while self._heap and self._heap[0][0] <= now:
-                deadline = heappop(self._heap)[2]
-                if not deadline.stands:
-                    self._dead = max(0, self._dead - 1)
+                timer = heappop(self._heap)[2]
+                if not timer.is_pending:
+                    self._cancelled = max(0, self._cancelled - 1)
                     continue
                 try:
-                    deadline.take()()
+                    timer.fire()
                 except Exception:
-                    log.exception("a deadline's call failed")  # the others still have to come
+                    log.exception("a timer's call failed")  # the others still have to fire
         finally:
-            self._firing = False
-            self._arm()
+            self._is_firing = False
+            self._schedule_wakeup()
 
-    def _note_lateness(self, now: timedelta) -> None:
-        """Tell of a process that was held up, or of a clock that is not what it should be."""
-        while self._heap and not self._heap[0][2].stands:
+    def _check_lateness(self, now: timedelta) -> None:
+        """Log and count that the process was held up, or that the clock jumped."""
+        while self._heap and not self._heap[0][2].is_pending:
             heappop(self._heap)
-            self._dead = max(0, self._dead - 1)
-        late = now - self._heap[0][0] if self._heap else timedelta(0)
-        if late > LATE:
+            self._cancelled = max(0, self._cancelled - 1)
+        lateness = now - self._heap[0][0] if self._heap else ZERO
+        if lateness > LATENESS_LOGGED:
             self._counters.late_deadlines += 1
-            log.warning("deadlines come late", late_s=late.total_seconds())
+            log.warning("deadlines come late", late_s=lateness.total_seconds())
--- a/stepflow/node/runtime/transports.py
+++ b/stepflow/node/runtime/transports.py
@@ -1,4 +1,8 @@
-"""The parts of Twisted that the node uses, as types."""
+"""The parts of Twisted that the node uses, as types, and what Twisted's transports don't offer.
+
+Twisted's classes are not typed; the protocols here have the methods that the node calls, with Twisted's names
+and arguments. Of the functions, `unsent`, `flush` and `let_go` use attributes that Twisted doesn't document.
+"""
 
 from __future__ import annotations
 
@@ -12,65 +16,160 @@
 from twisted.python.failure import Failure
 
 
-def family(descriptor: int) -> int:
-    """The address family of a connection that was passed; an OSError says that it has ended meanwhile."""
-    with socket.socket(fileno=os.dup(descriptor)) as sock:
-        sock.getpeername()
-        return sock.family
+class DelayedCall(Protocol):
+    """A call that was scheduled by `Reactor.callLater`."""
 
+    def active(self) -> bool:
+        """Whether it is still to be made."""
 
-class DelayedCall(Protocol):
-    def active(self) -> bool: ...
-    def cancel(self) -> None: ...
+    def cancel(self) -> None:
+        """Cancel it; an error if it isn't active."""
 
 
 class Connector(Protocol):
+    """An outgoing connection: being established, established or closed."""
+
     transport: Any
 
-    def connect(self) -> None: ...
-    def stopConnecting(self) -> None: ...
+    def connect(self) -> None:
+        """Connect again after the connection was lost."""
+
+    def stopConnecting(self) -> None:
+        """Give up a connection that is being established."""
 
 
 class Transport(Protocol):
     """A TCP connection."""
 
-    def write(self, data: bytes) -> None: ...
-    def loseConnection(self) -> None: ...
-    def loseWriteConnection(self) -> None: ...
-    def abortConnection(self) -> None: ...
-    def connectionLost(self, reason: Failure) -> None: ...
-    def setTcpNoDelay(self, enabled: bool) -> None: ...
-    def pauseProducing(self) -> None: ...
-    def resumeProducing(self) -> None: ...
-    def registerProducer(self, producer: Any, streaming: bool) -> None: ...
-    def unregisterProducer(self) -> None: ...
-    def fileno(self) -> int: ...
+    def write(self, data: bytes) -> None:
+        """Send data, or keep what the kernel doesn't take now."""
+
+    def loseConnection(self) -> None:
+        """Close the connection once everything is sent."""
+
+    def loseWriteConnection(self) -> None:
+        """Send a FIN once everything is sent, and go on reading."""
+
+    def abortConnection(self) -> None:
+        """Close the connection now, by a reset."""
+
+    def connectionLost(self, reason: Failure) -> None:
+        """Close the socket and tell the protocol."""
+
+    def setTcpNoDelay(self, enabled: bool) -> None:
+        """Whether small writes are sent at once."""
+
+    def pauseProducing(self) -> None:
+        """Stop reading."""
+
+    def resumeProducing(self) -> None:
+        """Go on reading."""
+
+    def registerProducer(self, producer: Any, streaming: bool) -> None:
+        """Have a producer told when data can be sent."""
+
+    def unregisterProducer(self) -> None:
+        """Tell the producer nothing more."""
+
+    def fileno(self) -> int:
+        """The socket's file descriptor."""
+
+
+class UnixTransport(Transport, Protocol):
+    """A connection of a Unix socket."""
+
+    def sendFileDescriptor(self, fileno: int) -> None:
+        """Pass a file descriptor with the data that is sent next."""
+
+
+class DatagramTransport(Protocol):
+    """A UDP socket."""
+
+    def write(self, data: bytes, address: tuple[str, int]) -> None:
+        """Send a datagram."""
+
+
+class Port(Protocol):
+    """A listening socket."""
+
+    def getHost(self) -> Any:
+        """Its address."""
+
+    def fileno(self) -> int:
+        """Its file descriptor."""
+
+    def stopListening(self) -> Any:
+        """Close it."""
+
+
+class Reactor(Protocol):
+    """Twisted's default reactor. Delays and time-outs are in seconds."""
+
+    def callLater(self, delay: float, call: Callable[..., Any], *args: Any) -> DelayedCall:
+        """Schedule a call."""
+
+    def callFromThread(self, call: Callable[..., Any], *args: Any) -> None:
+        """Make a call in the reactor's thread; the one method that other threads may use."""
+
+    def listenTCP(self, port: int, factory: Any, backlog: int = ..., interface: str = ...) -> Port:
+        """Accept TCP connections."""
+
+    def adoptStreamConnection(self, fileDescriptor: int, addressFamily: int, factory: Any) -> Any:
+        """Serve a copy of a connected socket."""
+
+    def listenUDP(self, port: int, protocol: Any, interface: str = ...) -> Port:
+        """Receive datagrams."""
+
+    def listenUNIX(self, address: str, factory: Any, backlog: int = ..., mode: int = ...) -> Port:
+        """Accept connections to a Unix socket."""
+
+    def connectUNIX(self, address: str, factory: Any, timeout: float = ...) -> Connector:
+        """Connect to a Unix socket."""
+
+    def connectTCP(self, host: str, port: int, factory: Any, timeout: float | None = ...) -> Connector:
+        """Connect by TCP."""
+
+    def addSystemEventTrigger(self, phase: str, event: str, call: Callable[[], Any]) -> Any:
+        """Have a call made before, during or after a system event, such as the shutdown."""
+
+    def run(self, installSignalHandlers: bool = ...) -> None:
+        """Serve until `stop` is called."""
+
+    def stop(self) -> None:
+        """End `run`."""
+
+
+def family(descriptor: int) -> int:
+    """The address family of a connected socket; an OSError says that the connection has ended."""
+    with socket.socket(fileno=os.dup(descriptor)) as sock:
+        sock.getpeername()
+        return sock.family
 
 
 def unsent(transport: Transport) -> int:
-    """How many bytes wait here for the kernel; Twisted has no public word for it."""
+    """How many bytes were written and not yet taken by the kernel."""
     inner = cast(Any, transport)
     return sum(map(len, inner._tempDataBuffer)) + len(inner.dataBuffer) - int(inner.offset)
 
 
-def has_unread(socket: Transport | Port) -> bool:
-    """Whether the kernel holds something of the other side's, be it only its end or a connection."""
+def has_unread(transport: Transport | Port) -> bool:
+    """Whether something waits to be read: data, the other side's FIN, or a connection to accept."""
     poll = select.poll()
-    poll.register(socket.fileno(), select.POLLIN)
+    poll.register(transport.fileno(), select.POLLIN)
     return bool(poll.poll(0))
 
 
 def has_ended(transport: Transport) -> bool:
-    """Whether the other side has ended its sending, or the connection is broken, be that unread yet."""
+    """Whether the other side has sent a FIN or the connection is broken, though data before it is unread."""
     poll = select.poll()
     poll.register(transport.fileno(), select.POLLRDHUP)
     return bool(poll.poll(0))
 
 
 def flush(transport: Transport) -> None:
-    """Write what waits now, not in the reactor's next turn; a failure shows there.
+    """Write what waits now rather than in the reactor's next turn; a failure shows in that turn.
 
-    A short write is followed by another, until the kernel takes no more.
+    After a partial write it writes again, until the kernel takes no more.
     """
     while waiting := unsent(transport):
         cast(Any, transport).doWrite()
@@ -79,7 +178,7 @@
 
 
 def finish(transport: Transport) -> None:
-    """Close a connection whose sending has ended: by a reset only where bytes of it never went out."""
+    """Close a connection whose sending side is shut: by a reset only where data of it was never sent."""
     if unsent(transport):
         transport.abortConnection()
     else:
@@ -87,40 +186,9 @@
 
 
 def let_go(transport: Transport) -> None:
-    """Close this process's copy of a socket that another holds too: a shutdown would end it for both."""
+    """Close this process's copy of a socket that another process holds too.
+
+    Twisted shuts a socket down before it closes it, which would end the connection for both processes.
+    """
     cast(Any, transport)._shouldShutdown = False
     transport.connectionLost(Failure(ConnectionDone()))  # type: ignore[no-untyped-call]
-
-
-class UnixTransport(Transport, Protocol):
-    """A connection of a Unix socket."""
-
-    def sendFileDescriptor(self, fileno: int) -> None: ...
-
-
-class DatagramTransport(Protocol):
-    """A UDP socket."""
-
-    def write(self, data: bytes, address: tuple[str, int]) -> None: ...
-
-
-class Port(Protocol):
-    def getHost(self) -> Any: ...
-    def fileno(self) -> int: ...
-    def stopListening(self) -> Any: ...
-
-
-class Reactor(Protocol):
-    """Twisted's default reactor."""
-
-    def callLater(self, delay: float, call: Callable[..., Any], *args: Any) -> DelayedCall: ...
-    def callFromThread(self, call: Callable[..., Any], *args: Any) -> None: ...
-    def listenTCP(self, port: int, factory: Any, backlog: int = ..., interface: str = ...) -> Port: ...
-    def adoptStreamConnection(self, fileDescriptor: int, addressFamily: int, factory: Any) -> Any: ...
-    def listenUDP(self, port: int, protocol: Any, interface: str = ...) -> Port: ...
-    def listenUNIX(self, address: str, factory: Any, backlog: int = ..., mode: int = ...) -> Port: ...
-    def connectUNIX(self, address: str, factory: Any, timeout: float = ...) -> Connector: ...
-    def connectTCP(self, host: str, port: int, factory: Any, timeout: float | None = ...) -> Connector: ...
-    def addSystemEventTrigger(self, phase: str, event: str, call: Callable[[], Any]) -> Any: ...
-    def run(self, installSignalHandlers: bool = ...) -> None: ...
-    def stop(self) -> None: ...
--- a/stepflow/node/runtime/wall_clock.py
+++ b/stepflow/node/runtime/wall_clock.py
@@ -1,4 +1,4 @@
-"""Watches the machine's wall clock: a step of it is told and counted, and changes nothing in the node."""
+"""Watches the machine's wall clock: a step of it is logged and counted, and changes nothing in the node."""
 
 from __future__ import annotations
 
@@ -6,38 +6,38 @@
 from datetime import timedelta
 
 from stepflow.logs import get_logger
+from stepflow.node.runtime.clock import NS_PER_MICROSECOND
 from stepflow.node.runtime.counters import Counters
 from stepflow.node.runtime.timers import Timers
 
 log = get_logger()
 
-LOOK_EVERY = timedelta(seconds=1)
-STEP = timedelta(
-    milliseconds=100
-)  # a smaller difference may be a slew, or this process held up between two reads
+CHECK_INTERVAL = timedelta(seconds=1)
+# A smaller difference may be a slew, or the process was held up between the reads of the two clocks.
+MIN_STEP = timedelta(milliseconds=100)
 
 
 class WallClockMonitor:
-    """Compares the wall clock with the monotonic one now and then."""
+    """Compares the wall clock with the monotonic one at intervals."""
 
-    def __init__(self, deadlines: Timers, counters: Counters) -> None:
-        self._deadlines, self._counters = deadlines, counters
-        self._ahead = _wall_ahead()
+    def __init__(self, timers: Timers, counters: Counters) -> None:
+        self._timers, self._counters = timers, counters
+        self._offset = _wall_clock_offset()
 
     def begin(self) -> None:
-        """Look from now on, for the process's life."""
-        self._deadlines.after(LOOK_EVERY, self._look)
+        """Check from now on, until the process ends."""
+        self._timers.after(CHECK_INTERVAL, self._check)
 
-    def _look(self) -> None:
-        ahead = _wall_ahead()
-        stepped = ahead - self._ahead
-        if abs(stepped) >= STEP:
+    def _check(self) -> None:
+        offset = _wall_clock_offset()
+        step = offset - self._offset
+        if abs(step) >= MIN_STEP:
             self._counters.clock_steps += 1
-            log.warning("the wall clock was stepped", by_s=stepped.total_seconds())
-        self._ahead = ahead
-        self._deadlines.after(LOOK_EVERY, self._look)
+            log.warning("the wall clock was stepped", by_s=step.total_seconds())
+        self._offset = offset
+        self._timers.after(CHECK_INTERVAL, self._check)
 
 
-def _wall_ahead() -> timedelta:
+def _wall_clock_offset() -> timedelta:
     """How far the wall clock is ahead of the monotonic one."""
-    return timedelta(microseconds=(time.time_ns() - time.monotonic_ns()) // 1000)
+    return timedelta(microseconds=(time.time_ns() - time.monotonic_ns()) // NS_PER_MICROSECOND)
