--- a/stepflow/traffic/journal.py
+++ b/stepflow/traffic/journal.py
@@ -1,11 +1,12 @@
-"""The journal's format (docs/traffic-format.md): a magic, then blocks of rows, each with its length and CRC.
+"""The journal's format, and its reader (docs/traffic-format.md).
 
-    file   = magic block*          magic = b"SFTRAF" and the version, 2 bytes, little endian
-    block  = length crc payload    4 bytes each, little endian; the CRC-32 is of the payload
+    file    = head block*        head = b"SFTRAF" and the version: 2 bytes, little endian
+    block   = length crc payload    4 bytes each, little endian; the CRC-32 is of the payload
     payload = a MessagePack array of rows, each an array whose first item is the row's kind
 
-The first row of each file is a HEADER, so that each file is read by itself. A block is whole or it is not
-there: what a cut leaves of the last one is passed over, and where the cut is gets told.
+The first row of each file is a HEADER, so that each file can be read by itself. A block is whole or it
+doesn't count: the reader stops at the first that is incomplete or damaged, and names the byte where it
+begins. Kinds and items that a later version may add are passed over.
 """
 
 from __future__ import annotations
@@ -15,25 +16,26 @@
 from dataclasses import dataclass, field
 from enum import IntEnum
 from pathlib import Path
-from typing import Any
+from typing import Any, BinaryIO
 from zlib import crc32
 
 import msgspec
 
 from stepflow.errors import InputError
 
-MAGIC = struct.Struct("<6sH")
-NAME = b"SFTRAF"
+MAGIC = b"SFTRAF"
 VERSION = 1
-BLOCK = struct.Struct("<II")
-ARRAY = struct.Struct(">BI")  # MessagePack's head of an array with 32 bits for its length
-MOST_BLOCK = 1 << 24  # a longer one was never written
+FILE_HEAD = struct.Struct("<6sH")  # the magic, the version
+BLOCK_HEAD = struct.Struct("<II")  # the payload's length and CRC
+MAX_BLOCK_BYTES = 1 << 24  # nodes write much shorter ones: a longer one is damaged
+_ARRAY_HEAD = struct.Struct(">BI")  # MessagePack: the type of an array with a 32-bit length, and the length
+_ARRAY_32 = 0xDD
 
 _encoder = msgspec.msgpack.Encoder()
 
 
 class Kind(IntEnum):
-    """What a row tells; `t` is in microseconds from the header's `began_us`."""
+    """The kinds of rows, with the items behind the kind; `t` is in microseconds since `began_us`."""
 
     HEADER = 0  # {version, node, began_us, zones, kinds, classes, fields, settings}
     REQUEST = 1  # t, id, class, group, wait_us, repeated, returned
@@ -43,18 +45,18 @@
     REFUSE = 5  # t, id, retry_after_us
     FAIL = 6  # t, id
     LEFT = 7  # t, id
-    LOAD = 8  # t, id, load as told
+    LOAD = 8  # t, id, the load that the endpoint reported
     DELAY = 9  # t, id, milliseconds that a message takes
     MOVE = 10  # t, id
     LIST = 11  # t, form, [[server, zone, kind, cell, availability, size, started_us], ...]
     PROBED = 12  # t, server, result, wait_us, [report]
-    STANDING = 13  # t, id, class, group, server, load: it stood before this file or this process began
+    STANDING = 13  # t, id, class, group, server, load: a session that is older than this file or process
     SETTINGS = 14  # t, {the header's keys that changed}
     LOST = 15  # t, rows that were dropped here, since the disk took none
     END = 16  # t: the recording was ended in order
 
 
-LENGTHS = {
+MIN_ITEMS = {
     Kind.HEADER: 2,
     Kind.REQUEST: 8,
     Kind.SEND: 5,
@@ -73,85 +75,103 @@
     Kind.LOST: 3,
     Kind.END: 2,
 }
-"""Items of a row of each kind, its kind included; later versions may append some."""
+"""The items of a row of each kind, its kind included; later versions may append some."""
 
 
 class JournalError(InputError):
     """Why a file can't be read as a journal at all, in one line that names it."""
 
 
-def magic() -> bytes:
+class _DamagedBlockError(Exception):
+    """Why a journal can't be read beyond some block."""
+
+
+def encode_file_head() -> bytes:
     """The first bytes of a file."""
-    return MAGIC.pack(NAME, VERSION)
+    return FILE_HEAD.pack(MAGIC, VERSION)
 
 
 def encode_row(row: Iterable[Any]) -> bytes:
-    """One row as it stands in a block."""
+    """A row as it stands in a block."""
     return _encoder.encode(row)
 
 
-def block(rows: bytes | bytearray, count: int) -> bytes:
-    """Rows, encoded one behind the other, as a block."""
-    payload = ARRAY.pack(0xDD, count) + rows
-    return BLOCK.pack(len(payload), crc32(payload)) + payload
+def encode_block(rows: bytes | bytearray, count: int) -> bytes:
+    """A block of so many encoded rows."""
+    payload = _ARRAY_HEAD.pack(_ARRAY_32, count) + rows
+    return BLOCK_HEAD.pack(len(payload), crc32(payload)) + payload
+
+
+def decode_rows(payload: bytes) -> list[Any]:
+    """The rows of a payload."""
+    rows = msgspec.msgpack.decode(payload)
+    if not isinstance(rows, list):
+        raise ValueError("a payload that is no array")
+    return rows
 
 
 @dataclass
 class Reading:
-    """A journal's rows, and what is wrong with its end; `cut` is told once all rows were gone through."""
+    """A journal that is being read. Once all rows were read, `cut` and `ended` say how it ends."""
 
     path: str
     header: dict[str, Any] = field(default_factory=dict)
-    cut: str = ""
-    ended: bool = False  # in order
+    cut: str = ""  # why its end could not be read; empty where it could
+    ended: bool = False  # the recording was ended in order
 
     def rows(self) -> Iterator[list[Any]]:
-        """All whole rows behind the header, in order."""
+        """All rows of known kinds behind the header, in order, up to the first damaged block."""
         with open(self.path, "rb") as file:
-            file.seek(MAGIC.size)
-            while head := file.read(BLOCK.size):
-                at = file.tell() - len(head)
-                if len(head) < BLOCK.size:
-                    self.cut = f"cut off amid a block's head at byte {at}"
-                    return
-                length, crc = BLOCK.unpack(head)
-                if length > MOST_BLOCK:
-                    self.cut = f"a block of {length} bytes at byte {at}, which no node writes"
-                    return
-                payload = file.read(length)
-                if len(payload) < length:
-                    self.cut = f"cut off amid a block at byte {at}"
-                    return
-                if crc32(payload) != crc:
-                    self.cut = f"a block at byte {at} whose checksum does not hold"
-                    return
-                try:
-                    yield from self._checked(unpack(payload))
-                except (msgspec.DecodeError, ValueError) as fault:
-                    self.cut = f"a block at byte {at} that is none of this version: {fault}"
-                    return
-
-    def _checked(self, rows: Iterable[Any]) -> Iterator[list[Any]]:
-        for row in rows:
-            if not isinstance(row, list) or not row or not isinstance(row[0], int):
-                raise ValueError("a row that is no array with a kind")
-            if row[0] not in LENGTHS:
-                continue  # a kind that later nodes write
-            kind = Kind(row[0])
-            if len(row) < LENGTHS[kind]:
-                raise ValueError(f"a row of kind {kind.name} with {len(row)} items")
-            if kind == Kind.HEADER:
-                continue
-            self.ended = kind == Kind.END
-            yield row
-
-
-def unpack(payload: bytes) -> list[Any]:
-    """The rows of a payload."""
-    rows = msgspec.msgpack.decode(payload)
-    if not isinstance(rows, list):
-        raise ValueError("a payload that is no array")
-    return rows
+            file.seek(FILE_HEAD.size)
+            try:
+                while (block := _read_block(file)) is not None:
+                    yield from self._checked(*block)
+            except _DamagedBlockError as error:
+                self.cut = str(error)
+
+    def _checked(self, position: int, payload: bytes) -> Iterator[list[Any]]:
+        try:
+            for row in decode_rows(payload):
+                kind = _kind_of(row)
+                if kind is None or kind == Kind.HEADER:
+                    continue
+                self.ended = kind == Kind.END
+                yield row
+        except (msgspec.DecodeError, ValueError) as error:
+            raise _DamagedBlockError(
+                f"a block at byte {position} that is none of this version: {error}"
+            ) from None
+
+
+def _read_block(file: BinaryIO) -> tuple[int, bytes] | None:
+    """The position and the payload of the next block; None at the end of the file."""
+    position = file.tell()
+    head = file.read(BLOCK_HEAD.size)
+    if not head:
+        return None
+    if len(head) < BLOCK_HEAD.size:
+        raise _DamagedBlockError(f"cut off amid a block's head at byte {position}")
+    length, crc = BLOCK_HEAD.unpack(head)
+    if length > MAX_BLOCK_BYTES:
+        raise _DamagedBlockError(f"a block of {length} bytes at byte {position}, which no node writes")
+    payload = file.read(length)
+    if len(payload) < length:
+        raise _DamagedBlockError(f"cut off amid a block at byte {position}")
+    if crc32(payload) != crc:
+        raise _DamagedBlockError(f"a block at byte {position} whose checksum does not hold")
+    return position, payload
+
+
+def _kind_of(row: Any) -> Kind | None:
+    """The kind of a decoded row, None for one that later nodes write; a ValueError says why it is no row."""
+    if not isinstance(row, list) or not row or not isinstance(row[0], int):
+        raise ValueError("a row that is no array with a kind")
+    if row[0] not in MIN_ITEMS:
+        return None
+    kind = Kind(row[0])
+    if len(row) < MIN_ITEMS[kind]:
+        raise ValueError(f"a row of kind {kind.name} with {len(row)} items")
+    return kind
 
 
 def read_journal(path: str | Path) -> Reading:
@@ -159,24 +179,41 @@
     name = str(path)
     try:
         with open(name, "rb") as file:
-            head, rest = file.read(MAGIC.size), file.read(BLOCK.size)
-            if len(head) < MAGIC.size or head[: len(NAME)] != NAME:
-                raise JournalError(f"{name}: not a journal of traffic")
-            version = MAGIC.unpack(head)[1]
-            if version < 1:
-                raise JournalError(f"{name}: not a journal of traffic")
-            if version > VERSION:
-                raise JournalError(f"{name}: written in version {version}; this reads up to {VERSION}")
-            length, crc = BLOCK.unpack(rest) if len(rest) == BLOCK.size else (0, 0)
-            payload = file.read(min(length, MOST_BLOCK))
-    except OSError as fault:
-        raise JournalError(f"{name}: {fault.strerror}") from None
-    if not payload or len(payload) < length or crc32(payload) != crc:
+            _check_version(name, file.read(FILE_HEAD.size))
+            payload = _read_first_payload(file)
+    except OSError as error:
+        raise JournalError(f"{name}: {error.strerror}") from None
+    if not payload:
         raise JournalError(f"{name}: cut off before its header was whole")
+    header = _decode_header(payload)
+    if header is None:
+        raise JournalError(f"{name}: its first row is no header")
+    return Reading(name, header)
+
+
+def _check_version(name: str, head: bytes) -> None:
+    """Raise a JournalError unless a file with this head can be read."""
+    magic, version = FILE_HEAD.unpack(head) if len(head) == FILE_HEAD.size else (b"", 0)
+    if magic != MAGIC or version < 1:
+        raise JournalError(f"{name}: not a journal of traffic")
+    if version > VERSION:
+        raise JournalError(f"{name}: written in version {version}; this reads up to {VERSION}")
+
+
+def _read_first_payload(file: BinaryIO) -> bytes:
+    """The payload of the first block; empty where that isn't whole."""
     try:
-        header = unpack(payload)[0]
+        block = _read_block(file)
+    except _DamagedBlockError:
+        return b""
+    return b"" if block is None else block[1]
+
+
+def _decode_header(payload: bytes) -> dict[str, Any] | None:
+    """The header in the first row of a payload, if that is one."""
+    try:
+        row = decode_rows(payload)[0]
+        is_header = _kind_of(row) == Kind.HEADER and isinstance(row[1], dict)
     except (msgspec.DecodeError, ValueError, IndexError):
-        header = None
-    if not isinstance(header, list) or len(header) < 2 or header[0] != 0 or not isinstance(header[1], dict):
-        raise JournalError(f"{name}: its first row is no header")
-    return Reading(name, header[1])
+        return None
+    return row[1] if is_header else None
--- a/stepflow/traffic/recorder.py
+++ b/stepflow/traffic/recorder.py
@@ -1,8 +1,12 @@
-"""Turns what the core sees into rows of the journal. It knows no file: it gives whole blocks away."""
+"""Turns the policy's events and actions into rows of the journal.
+
+It knows no file: it hands whole blocks to a sink.
+"""
 
 from __future__ import annotations
 
 from collections.abc import Callable, Iterable, Mapping
+from dataclasses import dataclass
 from hashlib import blake2b
 from typing import Any, Final, Protocol
 
@@ -28,198 +32,237 @@
     Settings,
     StartAttempt,
 )
-from stepflow.traffic.journal import VERSION, Kind, block, encode_row, magic
+from stepflow.traffic.journal import VERSION, Kind, encode_block, encode_file_head, encode_row
 
 BLOCK_BYTES: Final = 1 << 15  # rows wait until they are so many bytes, or until the next flush
-GROUP_BITS: Final = 63  # of a group's hash: a MessagePack integer, and one that columns hold as signed
+GROUP_BITS: Final = 63  # of a group's hash: it fits a signed integer of 64 bits, which columns of traces are
+GROUP_DIGEST_BYTES: Final = 8
 
 
 class Sink(Protocol):
-    """Takes blocks, each for the file at hand or, where it begins one, for the next."""
+    """Takes whole blocks, each for the current file or as the first of the next file."""
 
     def put(self, data: bytes, begins: bool) -> bool:
-        """False: the block was dropped."""
+        """Take a block; `begins`: into a new file. False: the block was dropped."""
+
+
+@dataclass(slots=True)
+class _OpenRequest:
+    """What a new file has of a request that is not over: a STANDING row, once its session is established."""
+
+    class_index: int
+    group: int  # hashed
+    endpoint: str = ""  # empty until the session is established
+    load: float | None = None
+
+    def items(self) -> tuple[int, int, str, float | None]:
+        """The items of a STANDING row behind the request's id."""
+        return self.class_index, self.group, self.endpoint, self.load
 
 
 class Recorder:
-    """One instance's rows. Times are microseconds since `began_us`; groups are told as keyed hashes only."""
+    """The rows of one process of a node.
+
+    Owns the rows that wait for the next block, and what a new file must begin with: the endpoint list and the
+    established sessions. Times are in microseconds since the recording began. Affinity groups are shown as
+    keyed hashes only. Where the sink drops a block, a LOST row in the next one has the number of its rows.
+    """
 
     def __init__(
-        self, sink: Sink, key: str, node: str, now_us: int, settings: Settings, segment: int
+        self, sink: Sink, key: str, node: str, now_us: int, settings: Settings, segment_bytes: int
     ) -> None:
         self._sink, self._key = sink, key.encode()
-        self._segment, self._filled = segment, segment  # bytes: of a file, and in the one at hand
-        self._opening = b""  # of the next file: what held before the rows at hand, not behind them
-        self._node, self._began = node, now_us
-        self._rows, self._count, self._lost = bytearray(), 0, 0
-        self._servers: dict[EndpointId, Endpoint] = {}
-        self._standing: dict[int, list[Any]] = {}  # by request: class, group, server, load
-        self._settings = _settings(settings)
-        self._takes: dict[type, Callable[[int, Any], None]] = {
-            Request: self._request,
-            SessionAdopted: self._adopted,
-            SessionEstablished: self._established,
-            AttemptEnded: self._outcome,
-            ClientDisconnected: self._client_gone,
-            SessionReport: self._note,
-            EndpointListUpdate: self._server_list,
-            HealthCheckEnded: self._probed,
-            StartAttempt: self._send,
-            RejectRequest: self._refuse,
-            FailRequest: self._fail,
-            MigrateSession: lambda t, a: self._put(Kind.MOVE, t, a.request_id),
+        self._segment_bytes = segment_bytes  # of a file, until the next one is begun
+        self._file_bytes = segment_bytes  # of the current file: there is none yet
+        # What the next file begins with, as it was before the rows that wait; made early, before they change
+        # it.
+        self._next_file_start = b""
+        self._node, self._began_us = node, now_us
+        self._rows, self._row_count, self._lost_count = bytearray(), 0, 0
+        self._endpoints: dict[EndpointId, Endpoint] = {}
+        self._open_requests: dict[int, _OpenRequest] = {}  # by id
+        self._settings = _settings_items(settings)
+        self._row_writers: dict[type, Callable[[int, Any], None]] = {
+            Request: self._add_request,
+            SessionAdopted: self._add_adopted,
+            SessionEstablished: self._add_established,
+            AttemptEnded: self._add_attempt_ended,
+            ClientDisconnected: self._add_disconnected,
+            SessionReport: self._add_session_report,
+            EndpointListUpdate: self._add_list_update,
+            HealthCheckEnded: self._add_health_check,
+            StartAttempt: self._add_attempt,
+            RejectRequest: self._add_rejected,
+            FailRequest: self._add_failed,
+            MigrateSession: lambda t, action: self._add_row(Kind.MOVE, t, action.request_id),
         }
 
-    @property
-    def standing(self) -> int:
-        """Connections that a new file would begin with: no more than the node holds."""
-        return len(self._standing)
-
-    def retune(self, now_us: int, settings: Settings) -> None:
-        """Take settings: they are told in each file's header, and in a row where they change amid one."""
-        told = _settings(settings)
-        if told != self._settings:
-            self._settings = told
-            self._put(Kind.SETTINGS, now_us - self._began, told)
+    def update_settings(self, now_us: int, settings: Settings) -> None:
+        """Take settings: each file's header has them, and a row where they change within a file."""
+        items = _settings_items(settings)
+        if items != self._settings:
+            self._settings = items
+            self._add_row(Kind.SETTINGS, now_us - self._began_us, items)
 
-    def known(self, entry: Endpoint) -> None:
-        """A server that the list held before the recording began."""
-        self._servers[entry.id] = entry
+    def add_endpoint(self, endpoint: Endpoint) -> None:
+        """Take in an endpoint that was listed before the recording began."""
+        self._endpoints[endpoint.id] = endpoint
 
-    def stands(self, now_us: int, request: Request, server: EndpointId, load: float | None) -> None:
-        """A connection that stood before the recording began."""
-        self._adopted(now_us - self._began, SessionAdopted(request._replace(load=load), server))
+    def add_session(self, now_us: int, request: Request, endpoint: EndpointId, load: float | None) -> None:
+        """Take in a session that was established before the recording began."""
+        self._add_adopted(now_us - self._began_us, SessionAdopted(request._replace(load=load), endpoint))
 
     def take(self, now_us: int, event: Event, actions: Iterable[Action]) -> None:
-        """One event of the module, and what it decided."""
-        if not self._opening and self._filled >= self._segment:
-            self._opening = magic() + self.opening(now_us)
-        t = now_us - self._began
-        takes = self._takes.get
-        if (tell := takes(type(event))) is not None:
-            tell(t, event)
+        """Record an event of the policy and the actions that it led to."""
+        if not self._next_file_start and self._file_bytes >= self._segment_bytes:
+            self._next_file_start = self._file_start(now_us)
+        t = now_us - self._began_us
+        writer_of = self._row_writers.get
+        if (write := writer_of(type(event))) is not None:
+            write(t, event)
         for action in actions:
-            if (tell := takes(type(action))) is not None:
-                tell(t, action)
+            if (write := writer_of(type(action))) is not None:
+                write(t, action)
         if len(self._rows) >= BLOCK_BYTES:
             self.flush(now_us)
 
     def flush(self, now_us: int) -> None:
-        """Give the rows away, dropped ones as their number; called now and then."""
-        if not self._count and not self._lost:
+        """Give the rows that wait to the sink; called at intervals."""
+        if not self._row_count and not self._lost_count:
             return
-        rows, count = self._rows, self._count
-        if self._lost:
-            rows = bytearray(encode_row((Kind.LOST, now_us - self._began, self._lost))) + rows
-            count += 1
-        data = block(rows, count)
-        begins = self._filled >= self._segment
+        rows, count = self._rows, self._row_count
+        if self._lost_count:
+            lost_row = encode_row((Kind.LOST, now_us - self._began_us, self._lost_count))
+            rows, count = bytearray(lost_row) + rows, count + 1
+        block = encode_block(rows, count)
+        begins = self._file_bytes >= self._segment_bytes
         if begins:
-            data = (self._opening or magic() + self.opening(now_us)) + data
-        if self._sink.put(data, begins):
-            self._filled = len(data) + (0 if begins else self._filled)
-            self._lost = 0
+            block = (self._next_file_start or self._file_start(now_us)) + block
+        if self._sink.put(block, begins):
+            self._file_bytes = len(block) + (0 if begins else self._file_bytes)
+            self._lost_count = 0
         else:
-            self._lost += self._count
-        self._opening = b""
-        self._rows, self._count = bytearray(), 0
+            self._lost_count += self._row_count
+        self._next_file_start = b""
+        self._rows, self._row_count = bytearray(), 0
 
     def end(self, now_us: int) -> None:
-        """The recording ends in order."""
-        self._put(Kind.END, now_us - self._began)
+        """End the recording in order."""
+        self._add_row(Kind.END, now_us - self._began_us)
         self.flush(now_us)
 
-    def opening(self, now_us: int) -> bytes:
-        """What a new file begins with: its header, the list and what stands."""
-        t = now_us - self._began
-        header = {"version": VERSION, "node": self._node, "began_us": self._began, **self._settings}
-        rows = [encode_row((Kind.HEADER, header))]
-        rows.append(
-            encode_row((Kind.LIST, t, int(ListUpdateKind.FULL), self._entries(self._servers.values())))
-        )
-        rows += [encode_row((Kind.STANDING, t, id, *told)) for id, told in self._standing.items() if told[2]]
-        return block(b"".join(rows), len(rows))
-
-    def _put(self, kind: Kind, *items: Any) -> None:
+    def _file_start(self, now_us: int) -> bytes:
+        """What a new file begins with: its head, and a block of its header, the list and the sessions."""
+        t = now_us - self._began_us
+        header = {"version": VERSION, "node": self._node, "began_us": self._began_us, **self._settings}
+        endpoints = _endpoint_items(self._endpoints.values())
+        rows = [
+            encode_row((Kind.HEADER, header)),
+            encode_row((Kind.LIST, t, int(ListUpdateKind.FULL), endpoints)),
+        ]
+        rows += [
+            encode_row((Kind.STANDING, t, request_id, *one.items()))
+            for request_id, one in self._open_requests.items()
+            if one.endpoint
+        ]
+        return encode_file_head() + encode_block(b"".join(rows), len(rows))
+
+    def _add_row(self, kind: Kind, *items: Any) -> None:
         self._rows += encode_row((kind, *items))
-        self._count += 1
+        self._row_count += 1
 
-    def _group(self, group: int) -> int:
+    def _hash_group(self, group: int) -> int:
+        """The keyed hash of an affinity group, 0 for none."""
         if not group:
             return 0
-        digest = blake2b(group.to_bytes(16, "little"), key=self._key, digest_size=8).digest()
-        return int.from_bytes(digest, "little") >> (64 - GROUP_BITS) or 1
-
-    def _request(self, t: int, r: Request) -> None:
-        group = self._group(r.affinity_group)
-        self._standing[r.id] = [r.class_index, group, "", None]
-        wait = r.expires_us - t - self._began
-        self._put(Kind.REQUEST, t, r.id, r.class_index, group, wait, r.is_retry, r.is_migrated)
-
-    def _adopted(self, t: int, event: SessionAdopted) -> None:
-        r = event.request
-        told = [r.class_index, self._group(r.affinity_group), str(event.endpoint), r.load]
-        self._standing[r.id] = told
-        self._put(Kind.STANDING, t, r.id, *told)
-
-    def _send(self, t: int, action: StartAttempt) -> None:
-        self._put(Kind.SEND, t, action.request_id, str(action.endpoint), action.timeout_us)
-
-    def _refuse(self, t: int, action: RejectRequest) -> None:
-        self._standing.pop(action.request_id, None)
-        self._put(Kind.REFUSE, t, action.request_id, action.retry_after_us)
-
-    def _fail(self, t: int, action: FailRequest) -> None:
-        self._standing.pop(action.request_id, None)
-        self._put(Kind.FAIL, t, action.request_id)
-
-    def _established(self, t: int, event: SessionEstablished) -> None:
-        if (told := self._standing.get(event.request_id)) is not None:
-            told[2] = str(event.endpoint)
-        self._put(Kind.UP, t, event.request_id, event.latency_us)
-
-    def _outcome(self, t: int, event: AttemptEnded) -> None:
+        digest = blake2b(group.to_bytes(16, "little"), key=self._key, digest_size=GROUP_DIGEST_BYTES).digest()
+        return int.from_bytes(digest, "little") >> (8 * GROUP_DIGEST_BYTES - GROUP_BITS) or 1
+
+    # Requests.
+
+    def _add_request(self, t: int, request: Request) -> None:
+        group = self._hash_group(request.affinity_group)
+        self._open_requests[request.id] = _OpenRequest(request.class_index, group)
+        self._add_row(
+            Kind.REQUEST,
+            t,
+            request.id,
+            request.class_index,
+            group,
+            request.expires_us - t - self._began_us,
+            request.is_retry,
+            request.is_migrated,
+        )
+
+    def _add_attempt(self, t: int, action: StartAttempt) -> None:
+        self._add_row(Kind.SEND, t, action.request_id, str(action.endpoint), action.timeout_us)
+
+    def _add_attempt_ended(self, t: int, event: AttemptEnded) -> None:
         if event.is_final:
-            self._standing.pop(event.request_id, None)
-        self._put(Kind.OUTCOME, t, event.request_id, int(event.result), event.is_final, event.latency_us)
-
-    def _client_gone(self, t: int, event: ClientDisconnected) -> None:
-        self._standing.pop(event.request_id, None)
-        self._put(Kind.LEFT, t, event.request_id)
-
-    def _note(self, t: int, event: SessionReport) -> None:
-        if event.kind == SessionReportKind.LOAD:
-            if (told := self._standing.get(event.request_id)) is not None:
-                told[3] = event.value
-            self._put(Kind.LOAD, t, event.request_id, event.value)
-        else:
-            self._put(Kind.DELAY, t, event.request_id, event.value)
+            self._open_requests.pop(event.request_id, None)
+        self._add_row(Kind.OUTCOME, t, event.request_id, int(event.result), event.is_final, event.latency_us)
+
+    def _add_rejected(self, t: int, action: RejectRequest) -> None:
+        self._open_requests.pop(action.request_id, None)
+        self._add_row(Kind.REFUSE, t, action.request_id, action.retry_after_us)
+
+    def _add_failed(self, t: int, action: FailRequest) -> None:
+        self._open_requests.pop(action.request_id, None)
+        self._add_row(Kind.FAIL, t, action.request_id)
+
+    def _add_disconnected(self, t: int, event: ClientDisconnected) -> None:
+        self._open_requests.pop(event.request_id, None)
+        self._add_row(Kind.LEFT, t, event.request_id)
+
+    # Sessions.
+
+    def _add_established(self, t: int, event: SessionEstablished) -> None:
+        if (one := self._open_requests.get(event.request_id)) is not None:
+            one.endpoint = str(event.endpoint)
+        self._add_row(Kind.UP, t, event.request_id, event.latency_us)
+
+    def _add_adopted(self, t: int, event: SessionAdopted) -> None:
+        request = event.request
+        group = self._hash_group(request.affinity_group)
+        one = _OpenRequest(request.class_index, group, str(event.endpoint), request.load)
+        self._open_requests[request.id] = one
+        self._add_row(Kind.STANDING, t, request.id, *one.items())
+
+    def _add_session_report(self, t: int, event: SessionReport) -> None:
+        if event.kind != SessionReportKind.LOAD:
+            self._add_row(Kind.DELAY, t, event.request_id, event.value)
+            return
+        if (one := self._open_requests.get(event.request_id)) is not None:
+            one.load = event.value
+        self._add_row(Kind.LOAD, t, event.request_id, event.value)
+
+    # Endpoints.
 
-    def _server_list(self, t: int, event: EndpointListUpdate) -> None:
+    def _add_list_update(self, t: int, event: EndpointListUpdate) -> None:
         if event.kind == ListUpdateKind.FAILED:
-            self._put(Kind.LIST, t, int(event.kind), [])
+            self._add_row(Kind.LIST, t, int(event.kind), [])
             return
         if event.kind != ListUpdateKind.DELTA:
-            self._servers.clear()
-        for entry in event.endpoints:
-            if entry.availability == Availability.GONE:
-                self._servers.pop(entry.id, None)
+            self._endpoints.clear()
+        for endpoint in event.endpoints:
+            if endpoint.availability == Availability.GONE:
+                self._endpoints.pop(endpoint.id, None)
             else:
-                self._servers[entry.id] = entry
-        self._put(Kind.LIST, t, int(event.kind), self._entries(event.endpoints))
+                self._endpoints[endpoint.id] = endpoint
+        self._add_row(Kind.LIST, t, int(event.kind), _endpoint_items(event.endpoints))
+
+    def _add_health_check(self, t: int, event: HealthCheckEnded) -> None:
+        endpoint, report = str(event.endpoint), list(event.load_report)
+        self._add_row(Kind.PROBED, t, endpoint, int(event.result), event.latency_us, report)
 
-    def _probed(self, t: int, event: HealthCheckEnded) -> None:
-        self._put(
-            Kind.PROBED, t, str(event.endpoint), int(event.result), event.latency_us, list(event.load_report)
-        )
 
-    @staticmethod
-    def _entries(servers: Iterable[Endpoint]) -> list[list[Any]]:
-        return [[str(s.id), s.zone, s.kind, s.cell, s.availability, s.size, s.started_us] for s in servers]
+def _endpoint_items(endpoints: Iterable[Endpoint]) -> list[list[Any]]:
+    """Endpoints as items of a LIST row."""
+    return [[str(e.id), e.zone, e.kind, e.cell, e.availability, e.size, e.started_us] for e in endpoints]
 
 
-def _settings(settings: Settings) -> Mapping[str, Any]:
-    """What a reader needs of the settings."""
+def _settings_items(settings: Settings) -> Mapping[str, Any]:
+    """What a reader needs of the settings, by the header's keys."""
     return {
         "zones": settings.zones,
         "kinds": settings.kinds,
@@ -227,11 +270,11 @@
         "balancers": settings.balancers,
         "classes": [
             {
-                "name": c.name,
-                "aim_us": c.latency_objective_us,
-                "deadline_us": c.deadline_us,
-                "worth": c.priority_weight,
+                "name": one.name,
+                "aim_us": one.latency_objective_us,
+                "deadline_us": one.deadline_us,
+                "worth": one.priority_weight,
             }
-            for c in settings.classes
+            for one in settings.classes
         ],
     }
--- a/tests/test_format_journal.py
+++ b/tests/test_format_journal.py
@@ -75,9 +75,9 @@
     )
     sink = Files()
     recorder = Recorder(sink, KEY, "n0", BEGAN_US, settings, 1000)
-    recorder.known(Endpoint("s-0", 1, 1, 2, 0, 0.5, 33))
-    recorder.stands(BEGAN_US + 1, Request(100, 0, 0, affinity_group=7), "s-0", 1.5)
-    recorder.stands(BEGAN_US + 2, Request(101, 0, 0), "s-0", None)
+    recorder.add_endpoint(Endpoint("s-0", 1, 1, 2, 0, 0.5, 33))
+    recorder.add_session(BEGAN_US + 1, Request(100, 0, 0, affinity_group=7), "s-0", 1.5)
+    recorder.add_session(BEGAN_US + 2, Request(101, 0, 0), "s-0", None)
 
     def at(ms: int, event: Event, *actions: Action) -> None:
         recorder.take(BEGAN_US + ms * 1000, event, actions)
@@ -111,7 +111,7 @@
     for result in range(8):
         at(40 + result, HealthCheckEnded("s-1", result, 100 + result, (0.25, 0.5) if result == 0 else ()))
     recorder.flush(BEGAN_US + 49_000)
-    recorder.retune(BEGAN_US + 50_000, replace(settings, classes=(view, edit)))
+    recorder.update_settings(BEGAN_US + 50_000, replace(settings, classes=(view, edit)))
     at(51, Request(7, 1, expires(51), affinity_group=77), StartAttempt(7, "s-1", 0))
     at(52, SessionEstablished(7, 0, "s-1", 900))
     recorder.flush(BEGAN_US + 53_000)
--- a/tests/test_traffic.py
+++ b/tests/test_traffic.py
@@ -31,7 +31,7 @@
 )
 from stepflow.traffic import JournalError, Kind, Recorder, Writer, read_journal
 from stepflow.traffic import journal as form
-from stepflow.traffic.writer import MOST_PENDING, journals
+from stepflow.traffic.writer import MAX_PENDING_BYTES, journals
 from tests.node_kit import PATIENCE, Node, Peer, opening
 
 KEY = "0123456789abcdef"
@@ -112,9 +112,9 @@
 
 
 def _block_ends(data: bytes) -> set[int]:
-    at, ends = form.MAGIC.size, set()
+    at, ends = form.FILE_HEAD.size, set()
     while at < len(data):
-        at += form.BLOCK.size + form.BLOCK.unpack_from(data, at)[0]
+        at += form.BLOCK_HEAD.size + form.BLOCK_HEAD.unpack_from(data, at)[0]
         ends.add(at)
     return ends
 
@@ -143,10 +143,10 @@
     [
         (b"", "not a journal"),
         (b"PAR1 and more", "not a journal"),
-        (form.MAGIC.pack(form.NAME, 0) + b"x" * 20, "not a journal"),
-        (form.MAGIC.pack(form.NAME, 2) + b"x" * 20, "written in version 2; this reads up to 1"),
-        (form.magic() + form.block(b"\x93\x01\x02\x03", 1), "its first row is no header"),
-        (form.magic() + form.BLOCK.pack(1 << 31, 0), "cut off before its header was whole"),
+        (form.FILE_HEAD.pack(form.MAGIC, 0) + b"x" * 20, "not a journal"),
+        (form.FILE_HEAD.pack(form.MAGIC, 2) + b"x" * 20, "written in version 2; this reads up to 1"),
+        (form.encode_file_head() + form.encode_block(b"\x93\x01\x02\x03", 1), "its first row is no header"),
+        (form.encode_file_head() + form.BLOCK_HEAD.pack(1 << 31, 0), "cut off before its header was whole"),
     ],
 )
 def test_what_is_no_journal_is_turned_down_in_one_line(tmp_path: Path, data: bytes, said: str) -> None:
@@ -158,8 +158,8 @@
 
 def test_rows_of_later_kinds_pass_and_foreign_ones_end_the_reading(tmp_path: Path) -> None:
     begin, path = bytes(recorded(0).files[0]), tmp_path / "j"
-    later = form.block(form.encode_row([99, 1, "new"]) + form.encode_row([Kind.LEFT, 5, 7, "more"]), 2)
-    foreign = form.block(form.encode_row([Kind.LEFT, 5]), 1)
+    later = form.encode_block(form.encode_row([99, 1, "new"]) + form.encode_row([Kind.LEFT, 5, 7, "more"]), 2)
+    foreign = form.encode_block(form.encode_row([Kind.LEFT, 5]), 1)
     path.write_bytes(begin + later + foreign + later)
     reading = read_journal(path)
     assert [row for row in reading.rows() if row[0] == Kind.LEFT] == [[Kind.LEFT, 5, 7, "more"]]
@@ -202,15 +202,15 @@
     blocked = Writer(str(tmp_path / "file"), 3, lambda: 0)
     assert blocked.put(b"x", True)
     blocked.close()
-    assert "file" in blocked.fault and not blocked.put(b"x", True)
+    assert "file" in blocked.failure and not blocked.put(b"x", True)
 
 
 def test_the_writer_s_memory_is_bounded_while_the_disk_hangs(tmp_path: Path) -> None:
     os.mkfifo(tmp_path / "hang")
     writer = Writer(str(tmp_path), 3, lambda: 0)
-    writer._next = lambda: setattr(writer, "_file", os.open(tmp_path / "hang", os.O_RDWR))  # type: ignore[method-assign]
+    writer._begin_file = lambda: setattr(writer, "_file", os.open(tmp_path / "hang", os.O_RDWR))  # type: ignore[method-assign]
     taken = sum(writer.put(bytes(1 << 20), number == 0) for number in range(20))
-    assert taken <= MOST_PENDING // (1 << 20) + 2
+    assert taken <= MAX_PENDING_BYTES // (1 << 20) + 2
 
 
 def record_file(tmp_path: Path, folder: str) -> str:
