--- a/stepflow/daemon/lines.py
+++ b/stepflow/daemon/lines.py
@@ -5,9 +5,10 @@
         form  json
         level info
     }
-    record "/var/lib/step flow"       # the same without a block, where one value will do
+    record "/var/lib/step flow"       # a value with a space
 
-A word stands alone or in double quotes; `{` ends a line that opens a block, `}` stands by itself.
+A word is written alone or in double quotes; `{` ends a line that opens a block, and `}` is a line of its own.
+What directives there are is not known here (`stepflow.daemon.model`).
 """
 
 from __future__ import annotations
@@ -17,18 +18,18 @@
 
 from stepflow.errors import InputError
 
-MOST_BYTES = 1 << 20
+MOST_BYTES = 1 << 20  # of a file
 
 
 class FileError(InputError):
-    """What is wrong with a file, in one line that names the file, the line and the directive."""
+    """What is wrong with a file, in one line that names the file, the line (0: none) and the directive."""
 
-    def __init__(self, file: str, line: int, what: str) -> None:
-        super().__init__(f"{file}:{line}: {what}" if line else f"{file}: {what}")
+    def __init__(self, file: str, line: int, message: str) -> None:
+        super().__init__(f"{file}:{line}: {message}" if line else f"{file}: {message}")
 
 
 class Directive(NamedTuple):
-    """One directive: its values, and what stands in its block."""
+    """One directive: its values, and the directives in its block if it has one."""
 
     name: str
     values: tuple[str, ...]
@@ -38,40 +39,63 @@
 
 def parse(text: str, file: str) -> tuple[Directive, ...]:
     """The directives of a file, in order; a FileError names the first line that can't be read."""
-    top: list[Directive] = []
-    inner: list[Directive] = []
-    opened: Directive | None = None
-    for number, raw in enumerate(text.splitlines(), 1):
-        words = _words(raw, file, number)
-        if not words:
-            continue
+    parser = _Parser(file)
+    for line, raw in enumerate(text.splitlines(), 1):
+        if words := parser.split_words(raw, line):
+            parser.add(words, line)
+    return parser.finish()
+
+
+class _Parser:
+    """Collects the directives of a file line by line."""
+
+    def __init__(self, file: str) -> None:
+        self._file = file
+        self._directives: list[Directive] = []
+        self._open_block: Directive | None = None
+        self._block_directives: list[Directive] = []  # of the open block
+
+    def split_words(self, raw: str, line: int) -> list[str]:
+        """The words of a line, without quotes and comment."""
+        lexer = shlex.shlex(raw, posix=True)
+        lexer.whitespace_split, lexer.quotes, lexer.escape = True, '"', ""
+        try:
+            return list(lexer)
+        except ValueError:
+            raise FileError(self._file, line, "a quote that is never closed") from None
+
+    def add(self, words: list[str], line: int) -> None:
+        """Take in the words of a line, at least one."""
         name, *values = words
         if name == "}":
-            if values:
-                raise FileError(file, number, "'}' stands by itself")
-            if opened is None:
-                raise FileError(file, number, "'}' without a block")
-            top.append(opened._replace(block=tuple(inner)))
-            opened = None
+            self._close_block(values, line)
         elif name == "{":
-            raise FileError(file, number, "a block without a name")
+            raise FileError(self._file, line, "a block without a name")
         elif values and values[-1] == "{":
-            if opened is not None:
-                raise FileError(file, number, f"{name}: a block in the block {opened.name!r}")
-            opened, inner = Directive(name, tuple(values[:-1]), number), []
+            self._begin_block(Directive(name, tuple(values[:-1]), line))
         elif "{" in values or "}" in values:
-            raise FileError(file, number, f"{name}: a brace amid a line")
+            raise FileError(self._file, line, f"{name}: a brace amid a line")
         else:
-            (top if opened is None else inner).append(Directive(name, tuple(values), number))
-    if opened is not None:
-        raise FileError(file, opened.line, f"{opened.name}: its block is never closed")
-    return tuple(top)
-
-
-def _words(raw: str, file: str, number: int) -> list[str]:
-    lexer = shlex.shlex(raw, posix=True)
-    lexer.whitespace_split, lexer.quotes, lexer.escape = True, '"', ""
-    try:
-        return list(lexer)
-    except ValueError:
-        raise FileError(file, number, "a quote that is never closed") from None
+            siblings = self._directives if self._open_block is None else self._block_directives
+            siblings.append(Directive(name, tuple(values), line))
+
+    def finish(self) -> tuple[Directive, ...]:
+        """All directives, after the last line."""
+        if self._open_block is not None:
+            message = f"{self._open_block.name}: its block is never closed"
+            raise FileError(self._file, self._open_block.line, message)
+        return tuple(self._directives)
+
+    def _begin_block(self, directive: Directive) -> None:
+        if self._open_block is not None:
+            message = f"{directive.name}: a block in the block {self._open_block.name!r}"
+            raise FileError(self._file, directive.line, message)
+        self._open_block, self._block_directives = directive, []
+
+    def _close_block(self, values: list[str], line: int) -> None:
+        if values:
+            raise FileError(self._file, line, "'}' stands by itself")
+        if self._open_block is None:
+            raise FileError(self._file, line, "'}' without a block")
+        self._directives.append(self._open_block._replace(block=tuple(self._block_directives)))
+        self._open_block = None
--- a/stepflow/daemon/model.py
+++ b/stepflow/daemon/model.py
@@ -1,4 +1,8 @@
-"""What the operator's file may say, as a validated model."""
+"""What the operator's file may say, as a validated model.
+
+msgspec holds the values to the model's types and bounds. Its errors name the path of a value, such as
+`record.segment`; here they are given the file and the line as well.
+"""
 
 from __future__ import annotations
 
@@ -11,20 +15,29 @@
 from stepflow.daemon.lines import MOST_BYTES, Directive, FileError, parse
 from stepflow.errors import mark_read_error
 
-_UNITS = {"": 1, "K": 1 << 10, "M": 1 << 20, "G": 1 << 30}
+_NUMBER = re.compile(r"[0-9]{1,12}")
 _SIZE = re.compile(r"([0-9]{1,12})([KMG]?)")
-_HINT = re.compile(r" - at `\$\.?([^`]*)`$")
+_BYTES_OF_UNIT = {"": 1, "K": 1 << 10, "M": 1 << 20, "G": 1 << 30}
+# In msgspec's messages: the path at their end, and the name of a key that the model lacks.
+_PATH_IN_MESSAGE = re.compile(r" - at `\$\.?([^`]*)`$")
+_UNKNOWN_FIELD = re.compile(r"unknown field `([^`]*)`")
+
+SIZE_DIRECTIVES = frozenset({"segment"})
+NUMBER_DIRECTIVES = frozenset({"segments"})
 
 
 class Log(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """The form of the log."""
+    """The log's form, and the lowest level in it."""
 
     form: Literal["text", "json"] = "text"
     level: Literal["debug", "info", "warning", "error"] = "info"
 
 
 class Record(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """The traffic recorder: where its journal stands, how large it grows, and the key of the groups' hash."""
+    """The traffic recorder: the folder of its journals, and the key by which affinity groups are hashed.
+
+    `segment` is the size of a file in bytes, `segments` the number of files that are kept.
+    """
 
     folder: Annotated[str, msgspec.Meta(min_length=1)]
     key: Annotated[str, msgspec.Meta(min_length=16, max_length=64)]
@@ -33,85 +46,86 @@
 
 
 class OperatorFile(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """The whole file; what it does not name is off."""
+    """The whole file; a part that it doesn't name is off, or as by default."""
 
     log: Log = Log()
     record: Record | None = None
 
 
-_SIZES = {"segment"}
-_NUMBERS = {"segments"}
-
-
 def read(path: str) -> OperatorFile:
     """Read the file; a FileError names what is wrong with it."""
     try:
         with open(path, "rb") as file:
             data = file.read(MOST_BYTES + 1)
-    except OSError as fault:
-        raise mark_read_error(FileError(path, 0, fault.strerror or str(fault)), fault) from None
+    except OSError as error:
+        raise mark_read_error(FileError(path, 0, error.strerror or str(error)), error) from None
     if len(data) > MOST_BYTES:
         raise FileError(path, 0, f"over {MOST_BYTES} bytes")
     try:
         return read_text(data.decode(), path)
-    except UnicodeDecodeError as fault:
-        raise FileError(path, data.count(b"\n", 0, fault.start) + 1, "not UTF-8") from None
+    except UnicodeDecodeError as error:
+        raise FileError(path, data.count(b"\n", 0, error.start) + 1, "not UTF-8") from None
 
 
 def read_text(text: str, file: str) -> OperatorFile:
-    """The model of a file's text."""
+    """The model of a file's text; a FileError names what is wrong with it."""
     directives = parse(text, file)
     tree: dict[str, Any] = {}
-    where: dict[str, Directive] = {}
-    for block in directives:
-        if block.name in tree:
-            raise FileError(file, block.line, f"{block.name}: stands a second time")
-        if block.block is None or block.values:
-            raise FileError(file, block.line, f"{block.name}: not a block of directives, as {block.name} {{")
-        where[block.name] = block
-        tree[block.name] = _pairs(block.block, block.name, file, where)
+    directive_at: dict[str, Directive] = {}  # by path
+    for directive in directives:
+        name = directive.name
+        if name in tree:
+            raise FileError(file, directive.line, f"{name}: stands a second time")
+        if directive.block is None or directive.values:
+            raise FileError(file, directive.line, f"{name}: not a block of directives, as {name} {{")
+        directive_at[name] = directive
+        tree[name] = _block_values(directive.block, name, file, directive_at)
     try:
         return msgspec.convert(tree, OperatorFile)
-    except msgspec.ValidationError as fault:
-        raise _located(fault, directives, where, file) from None
+    except msgspec.ValidationError as error:
+        first_line = directives[0].line if directives else 1
+        raise _with_line(error, directive_at, first_line, file) from None
 
 
-def _pairs(
-    directives: Iterable[Directive], path: str, file: str, where: dict[str, Directive]
+def _block_values(
+    directives: Iterable[Directive], path: str, file: str, directive_at: dict[str, Directive]
 ) -> dict[str, Any]:
-    pairs: dict[str, Any] = {}
-    for one in directives:
-        key = f"{path}.{one.name}"
-        if one.name in pairs:
-            raise FileError(file, one.line, f"{key}: stands a second time")
-        if len(one.values) != 1:
-            raise FileError(file, one.line, f"{key}: takes one value, not {len(one.values)}")
-        where[key] = one
-        pairs[one.name] = _value(one, key, file)
-    return pairs
-
-
-def _value(one: Directive, key: str, file: str) -> str | int:
-    text = one.values[0]
-    if one.name in _SIZES:
+    """The values of a block by name; each directive is noted in `directive_at`."""
+    values: dict[str, Any] = {}
+    for directive in directives:
+        key = f"{path}.{directive.name}"
+        if directive.name in values:
+            raise FileError(file, directive.line, f"{key}: stands a second time")
+        if len(directive.values) != 1:
+            message = f"{key}: takes one value, not {len(directive.values)}"
+            raise FileError(file, directive.line, message)
+        directive_at[key] = directive
+        values[directive.name] = _value(directive, key, file)
+    return values
+
+
+def _value(directive: Directive, key: str, file: str) -> str | int:
+    """The one value of a directive, as a number where the model has one."""
+    text = directive.values[0]
+    if directive.name in SIZE_DIRECTIVES:
         if found := _SIZE.fullmatch(text):
-            return int(found[1]) * _UNITS[found[2]]
-        raise FileError(file, one.line, f"{key}: {text!r} is not a size, such as 64M")
-    if one.name in _NUMBERS:
-        if text.isascii() and text.isdigit() and len(text) < 13:
+            return int(found[1]) * _BYTES_OF_UNIT[found[2]]
+        raise FileError(file, directive.line, f"{key}: {text!r} is not a size, such as 64M")
+    if directive.name in NUMBER_DIRECTIVES:
+        if _NUMBER.fullmatch(text):
             return int(text)
-        raise FileError(file, one.line, f"{key}: {text!r} is not a whole number")
+        raise FileError(file, directive.line, f"{key}: {text!r} is not a whole number")
     return text
 
 
-def _located(
-    fault: msgspec.ValidationError, directives: tuple[Directive, ...], where: dict[str, Directive], file: str
+def _with_line(
+    error: msgspec.ValidationError, directive_at: dict[str, Directive], first_line: int, file: str
 ) -> FileError:
-    """The fault with its line: the schema library names a path only, and of an unknown key its parent's."""
-    text = str(fault)
-    found = _HINT.search(text)
-    path, what = (found[1], text[: found.start()]) if found else ("", text)
-    if unknown := re.search(r"unknown field `([^`]*)`", what):
-        path, what = f"{path}.{unknown[1]}".lstrip("."), "no such directive"
-    line = where[path].line if path in where else directives[0].line if directives else 1
-    return FileError(file, line, f"{path}: {what}" if path else what)
+    """An error of msgspec with its line; for a block that is at fault as a whole, that of its name."""
+    text = str(error)
+    found = _PATH_IN_MESSAGE.search(text)
+    path, message = (found[1], text[: found.start()]) if found else ("", text)
+    if unknown := _UNKNOWN_FIELD.search(message):  # the path is that of the block here
+        path, message = f"{path}.{unknown[1]}".lstrip("."), "no such directive"
+    line = directive_at[path].line if path in directive_at else first_line
+    return FileError(file, line, f"{path}: {message}" if path else message)
--- a/stepflow/logs.py
+++ b/stepflow/logs.py
@@ -1,7 +1,10 @@
-"""The one place that sets up the logs: structured events on standard error.
+"""Sets up the logs: structured events on standard error, as key=value lines or as JSON.
 
-Everywhere else `log = get_logger()` and `log.info("what happened", key=value)`: the event is a fixed text,
-what varies stands in keys. Single requests are logged at level debug only, nothing for a line.
+Elsewhere a module has `log = get_logger()` and calls `log.info("what happened", key=value)`: the event is a
+fixed text, and what varies stands in keys. Single requests are logged at level debug only, single lines of a
+connection not at all.
+
+Logging never fails: what standard error doesn't take, because of a full disk or a closed pipe, is lost.
 """
 
 from __future__ import annotations
@@ -16,72 +19,64 @@
 import structlog
 from twisted.logger import ILogObserver, LogLevel, formatEvent, globalLogBeginner
 
-LEVELS = {"debug": 10, "info": 20, "warning": 30, "error": 40}
+LEVELS = {"debug": 10, "info": 20, "warning": 30, "error": 40}  # by name, as Python's `logging` counts them
 FORMS = ("text", "json")
-QUIET = ("twisted.web.client", "twisted.internet.protocol")  # whose factories have nothing to tell operators
 
-_level = LEVELS["info"]
+# Parts of Twisted whose events tell operators nothing: each factory's start and end, mostly.
+_IGNORED_TWISTED_SOURCES = ("twisted.web.client", "twisted.internet.protocol")
+_LEVEL_OF_TWISTED = {LogLevel.warn: "warning", LogLevel.error: "error", LogLevel.critical: "error"}
+
+
+class _Threshold:
+    """The lowest level that is logged, as a number of `LEVELS`."""
+
+    level = LEVELS["info"]
 
-_TWISTED = {LogLevel.warn: "warning", LogLevel.error: "error", LogLevel.critical: "error"}
+
+_threshold = _Threshold()
 
 
 def get_logger() -> Any:
-    """A logger; it takes its form at its first event."""
+    """A logger; it may be made before `set_up`, since it takes its configuration at each event."""
     return structlog.get_logger()
 
 
 def debugging() -> bool:
-    """Whether events of level debug are told: asked where it costs something to make one."""
-    return _level <= LEVELS["debug"]
+    """Whether events of level debug are logged: to be asked where it costs something to make one."""
+    return _threshold.level <= LEVELS["debug"]
 
 
 def set_up(form: str = "text", level: str = "info") -> None:
-    """Log to standard error: key=value lines, or JSON, one object a line."""
-    global _level
-    _level = LEVELS[level]
-    last: Any = (
+    """Log to standard error in a form of `FORMS`, from a level of `LEVELS` on; may be called again."""
+    _threshold.level = LEVELS[level]
+    renderer: Any = (
         structlog.processors.LogfmtRenderer(bool_as_flag=False)
         if form == "text"
-        else structlog.processors.JSONRenderer(serializer=_json)
+        else structlog.processors.JSONRenderer(serializer=_encode_json)
     )
     structlog.configure(
         processors=[
             structlog.processors.add_log_level,
             structlog.processors.TimeStamper(fmt="iso", utc=True),
             structlog.processors.format_exc_info,
-            _plain,
-            last,
+            _order_and_simplify,
+            renderer,
         ],
         wrapper_class=structlog.make_filtering_bound_logger(LEVELS[level]),
-        logger_factory=structlog.WriteLoggerFactory(cast(TextIO, _Unfailing(sys.stderr))),
+        logger_factory=structlog.WriteLoggerFactory(cast(TextIO, _LossyStream(sys.stderr))),
         cache_logger_on_first_use=False,
     )
 
 
-class _Unfailing:
-    """Standard error, of which nobody's work depends: what a full disk or a closed pipe refuses is lost."""
-
-    def __init__(self, stream: TextIO) -> None:
-        self._stream = stream
-
-    def write(self, text: str) -> None:
-        with suppress(OSError, ValueError):
-            self._stream.write(text)
-
-    def flush(self) -> None:
-        with suppress(OSError, ValueError):
-            self._stream.flush()
-
-
 def print_plainly(text: str) -> None:
-    """A line of its own on standard error, beside the log; lost where that can't be written."""
-    stream = _Unfailing(sys.stderr)
+    """Print a line on standard error that is no event of the log."""
+    stream = _LossyStream(sys.stderr)
     stream.write(text + "\n")
     stream.flush()
 
 
 def close() -> None:
-    """Give up what could not be written: the interpreter would end with an error for it."""
+    """Drop what standard error did not take: the interpreter would exit with an error for it."""
     try:
         sys.stderr.flush()
     except (OSError, ValueError):
@@ -89,29 +84,44 @@
 
 
 def take_twisted() -> None:
-    """Pass on what Twisted itself logs, from its warnings on: an error in a Deferred would be lost else."""
+    """Log Twisted's own warnings and errors; else an error in a Deferred would be lost."""
     log = get_logger()
 
     def observe(event: dict[str, Any]) -> None:
-        level = _TWISTED.get(cast(Any, event.get("log_level")))
+        level = _LEVEL_OF_TWISTED.get(cast(Any, event.get("log_level")))
         source = str(event.get("log_namespace"))
-        if level is None or source in QUIET:
+        if level is None or source in _IGNORED_TWISTED_SOURCES:
             return
-        text = formatEvent(event)
         failure = event.get("log_failure")
-        more = {} if failure is None else {"exception": failure.getTraceback()}
-        getattr(log, level)("twisted", source=source, text=text, **more)
+        keys = {} if failure is None else {"exception": failure.getTraceback()}
+        getattr(log, level)("twisted", source=source, text=formatEvent(event), **keys)
 
     globalLogBeginner.beginLoggingTo([cast(ILogObserver, observe)], redirectStandardIO=False)
 
 
-def _plain(logger: object, method: str, event: MutableMapping[str, Any]) -> Mapping[str, Any]:
-    """When, how grave and what come first; what is neither text nor a number is shown as text."""
+class _LossyStream:
+    """A stream that loses what can't be written, in place of an error."""
+
+    def __init__(self, stream: TextIO) -> None:
+        self._stream = stream
+
+    def write(self, text: str) -> None:
+        with suppress(OSError, ValueError):
+            self._stream.write(text)
+
+    def flush(self) -> None:
+        with suppress(OSError, ValueError):
+            self._stream.flush()
+
+
+def _order_and_simplify(logger: object, method: str, event: MutableMapping[str, Any]) -> Mapping[str, Any]:
+    """Put time, level and event first, and show values that are neither text nor numbers as text."""
     ordered = {key: event.pop(key) for key in ("timestamp", "level", "event")}
     for key, value in event.items():
         ordered[key] = value if isinstance(value, str | int | float | bool | None) else str(value)
     return ordered
 
 
-def _json(event: object, **more: object) -> str:
+def _encode_json(event: object, **options: object) -> str:
+    """JSONRenderer's serializer; its options are those of `json.dumps`, which msgspec has no use for."""
     return msgspec.json.encode(event).decode()
