--- a/tests/census.py
+++ b/tests/census.py
@@ -13,7 +13,7 @@
 
 from stepflow.__main__ import main
 
-PARTS = ("ClientConnection", "UpstreamAttempt", "Relay", "RequestContext", "RequestState", "Server")
+PARTS = ("ClientConnection", "PeerAttempt", "Relay", "RequestContext", "Flight", "Server")
 
 
 def census(number: int, frame: object) -> None:
--- a/tests/test_trace.py
+++ b/tests/test_trace.py
@@ -28,8 +28,8 @@
     StartAttempt,
 )
 from stepflow.traffic import Recorder
-from tests.test_daemon import command
-from tests.test_traffic import KEY, SERVER, SETTINGS, Kept
+from tests.daemon.test_daemon import command
+from tests.traffic.test_traffic import KEY, SERVER, SETTINGS, Kept
 
 BEGAN = 10_000_000
 
