--- /dev/null
+++ b/tests/node/clients/test_open_request.py
@@ -0,0 +1,39 @@
+"""The OPEN line of a client."""
+
+from __future__ import annotations
+
+from datetime import timedelta
+
+import pytest
+
+from stepflow.node.clients.connection import MalformedRequestError, parse_open_request
+
+
+def test_an_opening_changes_in_d_alone() -> None:
+    line = b"OPEN 0a 0b c=view,h=12.5,d=700,g=0c,r=1,again=1,z=?"
+    opening = parse_open_request(line, timedelta(seconds=10), {b"view": 4})
+    assert opening.line(timedelta(milliseconds=300)) == line.replace(b"d=700", b"d=300") + b"\r\n"
+    request = opening.request
+    assert (request.class_index, request.expires_us, request.load) == (4, 10_700_000, 12.5)
+    assert (request.idempotency_key, request.affinity_group, request.is_retry, request.is_migrated) == (
+        11,
+        12,
+        True,
+        True,
+    )
+
+
+@pytest.mark.parametrize(
+    "line", [b"", b"OPEN 1 2 c=view", b"OPEN 1 2 c=view,d=-5", b"OPEN 1 2 c=view,d=5,h=x"]
+)
+def test_an_opening_that_lacks_something_is_malformed(line: bytes) -> None:
+    with pytest.raises(MalformedRequestError):
+        parse_open_request(line, timedelta(0), {b"view": 0})
+
+
+@pytest.mark.parametrize(("told", "number"), [(b",t=acme", 1), (b",t=other", 2), (b"", 2)])
+def test_a_tenant_s_number_is_that_of_the_settings(told: bytes, number: int) -> None:
+    """`t` was left on the line: all clients were of the first tenant."""
+    line = b"OPEN 1 2 c=view,d=9" + told
+    tenants = {b"zeta": 0, b"acme": 1}
+    assert parse_open_request(line, timedelta(0), {b"view": 0}, tenants).request.tenant == number
--- /dev/null
+++ b/tests/upstream/__init__.py
@@ -0,0 +1,1 @@
+"""Tests of stepflow.upstream."""
