--- a/tests/policy/test_fault_scenarios.py
+++ b/tests/policy/test_fault_scenarios.py
@@ -32,8 +32,8 @@
     StartAttempt,
     TimerFired,
 )
+from tests.daemon.test_daemon import command
 from tests.policy.driver import SECOND, entry
-from tests.test_daemon import command
 
 DAYS = Path(__file__).resolve().parents[2] / "example" / "fleet"
 NAMES = ("calm", "roll", "herd", "zone", "split", "join")
