--- a/benchmarks/footprint.py
+++ b/benchmarks/footprint.py
@@ -47,7 +47,7 @@
 machinery._load_unlocked = load
 from stepflow import lazy_imports
 lazy_imports.begin()
-import stepflow.node.process.start, stepflow.node.process.service
+import stepflow.node.process.start, stepflow.node.process.run
 print(json.dumps([len(sys.modules), added]))
 """
 
--- a/stepflow/cli/check.py
+++ b/stepflow/cli/check.py
@@ -10,7 +10,7 @@
 
 from stepflow.daemon import read
 from stepflow.errors import InputError
-from stepflow.node.process.config import load
+from stepflow.node.process.config import load_config
 
 
 @click.command()
@@ -36,7 +36,7 @@
     """What is wrong with a file; None where it would be taken."""
     try:
         if file.endswith(".json"):
-            load({**os.environ, "GW_CONFIG": file})
+            load_config({**os.environ, "GW_CONFIG": file})
         else:
             read(file)
     except InputError as fault:
--- a/stepflow/node/clients/connection.py
+++ b/stepflow/node/clients/connection.py
@@ -5,7 +5,7 @@
 import re
 from collections.abc import Callable
 from datetime import timedelta
-from typing import Any, NamedTuple, cast
+from typing import NamedTuple, cast
 
 from twisted.internet.error import ConnectionDone
 from twisted.internet.interfaces import IAddress
@@ -21,6 +21,7 @@
 from stepflow.node.runtime.lines import LineProtocol, was_reset
 from stepflow.node.runtime.timers import Timer, Timers
 from stepflow.node.runtime.transports import Reactor, family, finish, flush, has_ended, has_unread
+from stepflow.node.session_transfer import BYTES_ENCODING, SessionTransfer
 from stepflow.node.upstreams.attempt import UpstreamAttempt, UpstreamConnections
 from stepflow.node.upstreams.dialer import Dial
 from stepflow.node.upstreams.liveness import LivenessMonitor
@@ -149,23 +150,23 @@
             return None
         return ClientConnection(self)
 
-    def adopt(self, told: dict[str, Any], client: int, peer: int) -> bool:
+    def adopt(self, session: SessionTransfer, client: int, peer: int) -> bool:
         """Take a session over from the process before; False leaves it there."""
-        cls, at = self.classes.get(str(told.get("class")).encode()), told.get("at")
-        if cls is None or not isinstance(at, str) or not self.make_room():
+        cls = self.classes.get(session.class_name.encode())
+        if cls is None or not self.make_room():
             return False
         families = family(client), family(peer)  # before anything counts
-        tenant = self.tenants.get(str(told.get("tenant", "")).encode(), len(self.tenants))
-        request = Request(0, cls, 0, told["load"], tenant, told["key"], told["group"])
+        tenant = self.tenants.get(session.tenant.encode(), len(self.tenants))
+        request = Request(0, cls, 0, session.load, tenant, session.idempotency_key, session.affinity_group)
         connection = ClientConnection(self)
-        context = self.core.adopt_session(request, connection, at)
+        context = self.core.adopt_session(request, connection, session.endpoint)
         if context is None:
             return False
         self.reactor.adoptStreamConnection(client, families[0], Dial(connection, lambda: None))
-        connection.stand(context, told["id"])
+        connection.stand(context, session.request_id)
         context.attempt = attempt = self.peers.adopt_session(context, peer)
         connection.session_established(attempt)
-        connection.go_on(told)
+        connection.go_on(session)
         return True
 
     def make_room(self) -> bool:
@@ -321,23 +322,25 @@
             context, self._context = self._context, None
             self._node.core.client_disconnected(context)
 
-    def offer(self) -> dict[str, Any] | None:
+    def offer(self) -> SessionTransfer | None:
         """What another process must know to go on with this session, once its sockets can be passed."""
         if self._relay is None or self._context is None or (passing := self._relay.offer()) is None:
             return None
         request = self._context.request
-        return {
-            **passing._asdict(),
-            "from_client": passing.from_client.decode("latin-1"),
-            "from_peer": passing.from_peer.decode("latin-1"),
-            "id": self._id,
-            "class": self._node.core.class_name(request.class_index),
-            "tenant": self._node.core.tenant_name(request.tenant),
-            "load": self._node.core.session_load(self._context),
-            "key": request.idempotency_key,
-            "group": request.affinity_group,
-            "at": self._context.endpoint,
-        }
+        return SessionTransfer(
+            client_descriptor=passing.client,
+            endpoint_descriptor=passing.peer,
+            from_client=passing.from_client.decode(BYTES_ENCODING),
+            from_endpoint=passing.from_peer.decode(BYTES_ENCODING),
+            echoes_owed=passing.owed,
+            request_id=cast(int, self._id),
+            class_name=self._node.core.class_name(request.class_index),
+            tenant=self._node.core.tenant_name(request.tenant),
+            load=self._node.core.session_load(self._context),
+            idempotency_key=request.idempotency_key,
+            affinity_group=request.affinity_group,
+            endpoint=self._context.endpoint,
+        )
 
     def taken(self, by_other: bool) -> None:
         if self._relay is not None:
@@ -379,10 +382,9 @@
         )
         peer.join(self._relay)
 
-    def go_on(self, told: dict[str, Any]) -> None:
+    def go_on(self, session: SessionTransfer) -> None:
         if self._relay is not None:
-            halves = (told["from_client"].encode("latin-1"), told["from_peer"].encode("latin-1"))
-            self._relay.go_on(*halves, told["owed"])
+            self._relay.go_on(*session.half_lines(), session.echoes_owed)
 
     def reject(self, retry_after: timedelta) -> None:
         wait = millis(retry_after)
--- a/stepflow/node/process/__init__.py
+++ b/stepflow/node/process/__init__.py
@@ -1,1 +1,1 @@
-"""The life of a node process: configuration, build, reload, graceful shutdown and hand-over."""
+"""The life of a node's process: configuration, build, start, reload, hand-over and graceful shutdown."""
--- a/stepflow/node/process/config.py
+++ b/stepflow/node/process/config.py
@@ -1,4 +1,9 @@
-"""The node's configuration: the file that GW_CONFIG names."""
+"""The node's configuration: the platform's file, which GW_CONFIG names.
+
+Responsible for reading the file whole, for what the environment says in place of it, and for whether it may
+replace the one before. Owns nothing. Errors: ConfigError, one line that begins with the file's path; it is
+marked transient where the file could not be read just now. Source: docs/settings.md.
+"""
 
 from __future__ import annotations
 
@@ -13,35 +18,22 @@
 from stepflow.errors import InputError, mark_read_error
 from stepflow.settings import NodeSettings, SettingsError, parse_node_settings
 
+DEFAULT_NAME = "node"
+LIST_KEY = "known"  # the endpoint list in the file: it may be long, and a reload doesn't take it
+
 
 class ConfigError(InputError):
     """What is wrong with the configuration, in one line."""
 
 
-def lacks(before: object, now: object, path: str = "") -> str:
-    """The first key that stands in one file and not in a later one, or stands there for another thing."""
-    if isinstance(before, dict):
-        if not isinstance(now, dict):
-            return path
-        pairs = [(before[key], now.get(key), f"{path}.{key}".lstrip(".")) for key in before if key != "known"]
-    elif isinstance(before, list) and before and all(isinstance(item, dict) for item in before):
-        if not isinstance(now, list) or not now:
-            return path
-        every = {key: item for item in before for key, item in item.items() if all(key in x for x in before)}
-        pairs = [(every, item, f"{path}.{i}") for i, item in enumerate(now)]
-    else:
-        return path if before is not None and type(now) is not type(before) else ""
-    return next(filter(None, (lacks(*pair) for pair in pairs)), "")
-
-
 class PlatformLimits(msgspec.Struct, frozen=True):
-    """What a process may hold; keys that are not named here pass."""
+    """What a process may hold; unknown keys are ignored."""
 
     sockets: Annotated[int, msgspec.Meta(ge=64)] = 4096
 
 
 class PlatformFile(msgspec.Struct, frozen=True):
-    """The form of the platform's file; keys that are not named here pass, absent ones have stand-ins."""
+    """The form of the platform's file; unknown keys are ignored, absent ones have defaults."""
 
     settings: dict[str, Any] = {}
     name: str = ""
@@ -53,18 +45,8 @@
     known: dict[str, Any] | None = None
 
 
-_PATH = re.compile(r" - at `\$\.?([^`]*)`$")
-
-
-def named(fault: msgspec.ValidationError) -> str:
-    """What the schema library found, the key first."""
-    text = str(fault)
-    found = _PATH.search(text)
-    return f"{found[1]}: {text[: found.start()]}" if found and found[1] else text
-
-
 class NodeConfig(NamedTuple):
-    """All that a node is told at its start."""
+    """All that a node is told at its start; the fields are named as the file's keys, which the log tells."""
 
     name: str
     listen: Address
@@ -72,12 +54,59 @@
     ops: Address | None  # the operators' address
     seed: int
     sockets: int
-    known: object  # in discovery's form
+    known: object  # the endpoint list, in discovery's form
     settings: NodeSettings
     tree: dict[str, object]  # the file itself, but for the list
 
 
-def load(environ: Mapping[str, str], before: NodeConfig | None = None) -> NodeConfig:
+class _Source(NamedTuple):
+    """The file and the environment that it is read under, which hold a node's configuration together."""
+
+    path: str
+    file: PlatformFile
+    environ: Mapping[str, str]
+
+    def text(self, key: str) -> str:
+        """What the file says, or the environment where the file says nothing."""
+        value: object = msgspec.structs.asdict(self.file)[key]
+        return str(value or self.environ.get(f"GW_{key.upper()}", ""))
+
+    def address(self, key: str) -> Address:
+        return self._parse_address(key, self.text(key))
+
+    def ops_address(self) -> Address | None:
+        # Two processes of a node may share the file, and each has an address of its own: what the environment
+        # says is this process's.
+        text = self.environ.get("GW_OPS") or self.file.ops
+        return self._parse_address("ops", text) if text else None
+
+    def seed(self) -> int:
+        try:
+            return int(self.file.seed or "0", 16)
+        except ValueError:
+            raise self.error(f"seed: {self.file.seed!r} is not hexadecimal") from None
+
+    def settings(self) -> NodeSettings:
+        try:
+            settings = parse_node_settings(self.file.settings)
+        except (SettingsError, ValueError) as error:
+            raise self.error(str(error)) from None
+        if not self.file.settings.get("classes"):
+            raise self.error("settings.classes: there is none")
+        return settings
+
+    def error(self, text: str) -> ConfigError:
+        """What is wrong with the file."""
+        return ConfigError(f"{self.path}: {text}")
+
+    def _parse_address(self, key: str, text: str) -> Address:
+        try:
+            return Address.parse(text)
+        except ValueError as error:
+            raise self.error(f"{key}: {error}") from None
+
+
+def load_config(environ: Mapping[str, str], replaced: NodeConfig | None = None) -> NodeConfig:
     """Read the file named by GW_CONFIG; GW_NAME, GW_LISTEN and GW_DISCOVERY stand in for what it lacks.
 
     A file that replaces another has to have all its keys: one that was cut short would bring defaults.
@@ -85,58 +114,69 @@
     path = environ.get("GW_CONFIG", "")
     if not path:
         raise ConfigError("GW_CONFIG names no configuration file")
-    try:
-        with open(path, "rb") as source:
-            tree = json.load(source)
-    except OSError as fault:
-        raise mark_read_error(ConfigError(f"{path}: {fault.strerror}"), fault) from None
-    except (ValueError, RecursionError) as fault:
-        raise ConfigError(f"{path}: not JSON: {fault}") from None
-    if not isinstance(tree, dict):
-        raise ConfigError(f"{path}: not a JSON object")
+    tree = _read_json_object(path)
     try:
         file = msgspec.convert(tree, PlatformFile)
-    except msgspec.ValidationError as fault:
-        raise ConfigError(f"{path}: {named(fault)}") from None
-
-    if before is not None and (key := lacks(before.tree, tree)):
+    except msgspec.ValidationError as error:
+        raise ConfigError(f"{path}: {_describe(error)}") from None
+    if replaced is not None and (key := find_missing_key(replaced.tree, tree)):
         raise ConfigError(f"{path}: {key} is missing, or not what it was")
-
-    def told(key: str) -> str:
-        return getattr(file, key) or environ.get(f"GW_{key.upper()}", "")
-
-    def endpoint(key: str) -> Address:
-        try:
-            return Address.parse(told(key))
-        except ValueError as fault:
-            raise ConfigError(f"{path}: {key}: {fault}") from None
-
-    # Two processes of a node may share the file, and each has an address of its own: what the environment
-    # says is this process's.
-    ops = environ.get("GW_OPS") or file.ops
-    try:
-        ops_endpoint = Address.parse(ops) if ops else None
-    except ValueError as fault:
-        raise ConfigError(f"{path}: ops: {fault}") from None
-    try:
-        seed = int(file.seed or "0", 16)
-    except ValueError:
-        raise ConfigError(f"{path}: seed: {file.seed!r} is not hexadecimal") from None
-    listen, discovery = endpoint("listen"), endpoint("discovery")
-    try:
-        settings = parse_node_settings(file.settings)
-    except (SettingsError, ValueError) as fault:
-        raise ConfigError(f"{path}: {fault}") from None
-    if not file.settings.get("classes"):
-        raise ConfigError(f"{path}: settings.classes: there is none")
+    source = _Source(path, file, environ)
+    # In the order in which faults have always been told: of several, the first is.
+    ops, seed = source.ops_address(), source.seed()
+    listen, discovery = source.address("listen"), source.address("discovery")
     return NodeConfig(
-        name=told("name") or "node",
+        name=source.text("name") or DEFAULT_NAME,
         listen=listen,
         discovery=discovery,
-        ops=ops_endpoint,
+        ops=ops,
         seed=seed,
         sockets=file.limits.sockets,
         known=file.known or {},
-        settings=settings,
-        tree={key: value for key, value in tree.items() if key != "known"},
+        settings=source.settings(),
+        tree={key: value for key, value in tree.items() if key != LIST_KEY},
     )
+
+
+def find_missing_key(before: object, now: object, path: str = "") -> str:
+    """The first key of one file that a later one lacks, or has with a value of another type; else empty."""
+    if isinstance(before, dict):
+        if not isinstance(now, dict):
+            return path
+        pairs = [
+            (before[key], now.get(key), f"{path}.{key}".lstrip(".")) for key in before if key != LIST_KEY
+        ]
+    elif isinstance(before, list) and before and all(isinstance(item, dict) for item in before):
+        if not isinstance(now, list) or not now:
+            return path
+        # Entries come and go: each new one needs the keys that all the old ones have.
+        common = {
+            key: item for entry in before for key, item in entry.items() if all(key in x for x in before)
+        }
+        pairs = [(common, item, f"{path}.{i}") for i, item in enumerate(now)]
+    else:
+        return path if before is not None and type(now) is not type(before) else ""
+    return next(filter(None, (find_missing_key(*pair) for pair in pairs)), "")
+
+
+def _read_json_object(path: str) -> dict[str, Any]:
+    try:
+        with open(path, "rb") as source:
+            tree = json.load(source)
+    except OSError as error:
+        raise mark_read_error(ConfigError(f"{path}: {error.strerror}"), error) from None
+    except (ValueError, RecursionError) as error:
+        raise ConfigError(f"{path}: not JSON: {error}") from None
+    if not isinstance(tree, dict):
+        raise ConfigError(f"{path}: not a JSON object")
+    return tree
+
+
+_ERROR_PATH = re.compile(r" - at `\$\.?([^`]*)`$")
+
+
+def _describe(error: msgspec.ValidationError) -> str:
+    """What the schema library found, with the key in front."""
+    text = str(error)
+    found = _ERROR_PATH.search(text)
+    return f"{found[1]}: {text[: found.start()]}" if found and found[1] else text
--- /dev/null
+++ b/stepflow/node/process/descriptors.py
@@ -0,0 +1,41 @@
+"""How the process's descriptors are shared out.
+
+Responsible for how many are left for clients: whatever is connected, descriptors for health checks, discovery
+and operators stay free. Owns nothing; it counts what others hold.
+"""
+
+from __future__ import annotations
+
+from stepflow.node.admin.site import MAX_CALLS
+from stepflow.node.core import Core
+from stepflow.node.process.handover import SOCKETS_OF_SESSION, Handover
+from stepflow.node.upstreams.attempt import UpstreamConnections
+
+# For discovery, listeners, standard streams, the reactor, operators' calls.
+RESERVED = 24 + MAX_CALLS
+RESERVED_FOR_HEALTH_CHECKS = 24  # at the least
+
+
+def session_slots(limit: int) -> int:
+    """How many requests can be open at once with so many descriptors."""
+    return max(1, (limit - RESERVED - RESERVED_FOR_HEALTH_CHECKS) // SOCKETS_OF_SESSION)
+
+
+class Descriptors:
+    """Counts the descriptors of the process against their limit."""
+
+    def __init__(self, limit: int, core: Core, upstreams: UpstreamConnections, handover: Handover) -> None:
+        self._limit, self._core, self._upstreams, self._handover = limit, core, upstreams, handover
+
+    def free(self, client_count: int) -> int:
+        """How many are left with so many clients, when every open request has its endpoint's."""
+        upstreams = self._upstreams
+        attempts = max(upstreams.attempts, self._core.open)
+        health_checks = max(upstreams.health_check_connections, RESERVED_FOR_HEALTH_CHECKS)
+        others = self._handover.other_descriptors
+        return self._limit - RESERVED - attempts - health_checks - client_count - others
+
+    def in_use(self, client_count: int) -> int:
+        """How many are open with so many clients, or reserved for what is not a client's."""
+        upstreams = self._upstreams
+        return RESERVED + upstreams.attempts + upstreams.health_check_connections + client_count
--- a/stepflow/node/process/handover.py
+++ b/stepflow/node/process/handover.py
@@ -1,272 +1,242 @@
-"""The channel between the two processes that a node is while it is replaced."""
+"""Hand-over: finding the predecessor at the start, and passing state and sessions to the successor.
+
+Responsible for which of the two processes listens on the Unix socket, and for the order of their messages
+(handover_messages.py has their form). Owns the channel, the socket's path, and descriptors that have come and
+are not adopted yet. Spans are timedeltas of the node's clock.
+"""
 
 from __future__ import annotations
 
-import json
 import os
 from collections import deque
 from collections.abc import Callable
 from contextlib import suppress
 from datetime import timedelta
-from typing import Any, Protocol, cast
+from typing import Any, Protocol
 
 from twisted.internet.error import CannotListenError
-from twisted.internet.interfaces import IFileDescriptorReceiver
-from twisted.internet.protocol import ClientFactory, connectionDone
-from twisted.protocols.basic import LineReceiver
-from twisted.python.failure import Failure
-from zope.interface import implementer  # type: ignore[import-untyped]
 
 from stepflow.logs import get_logger
+from stepflow.node.process.handover_channel import HandoverChannel, HandoverChannelFactory
+from stepflow.node.process.handover_messages import (
+    DescriptorCount,
+    HandoverMessageError,
+    HandoverState,
+    SessionAnswer,
+    SessionOffer,
+    SessionsComplete,
+    read_message,
+    read_session,
+    read_state,
+)
 from stepflow.node.runtime.timers import Timer, Timers
-from stepflow.node.runtime.transports import Port, Reactor, UnixTransport
+from stepflow.node.runtime.transports import Port, Reactor
+from stepflow.node.session_transfer import SessionTransfer
 from stepflow.os_errors import LOCAL_CONNECT_ERRORS, TRANSIENT_FILE_ERRORS, errno_of
 
 log = get_logger()
 
-FIND = timedelta(seconds=2)  # the most that a start waits for what the process before has to tell
-TELL_EVERY = timedelta(milliseconds=100)  # the other side's open descriptors are known this late
-AWAIT_AGAIN = timedelta(seconds=1)  # after the path could not be listened on
-MOST_PATH = 100  # bytes that a Unix socket's address can hold, less a few
+SEARCH_TIMEOUT = timedelta(seconds=2)  # the most that a start waits for the predecessor's state
+DESCRIPTORS_INTERVAL = timedelta(milliseconds=100)  # the other side's open descriptors are known this late
+LISTEN_RETRY_DELAY = timedelta(seconds=1)  # after the path could not be listened on
+MAX_PATH_BYTES = 100  # what a Unix socket's address can hold, less a few
+SOCKET_MODE = 0o600
+SOCKETS_OF_SESSION = 2  # the client's and the endpoint's
 
-Found = Callable[[int | None, dict[str, Any]], None]
+# Called once: the predecessor's listening socket, None where there is none, and its state.
+FoundPredecessor = Callable[[int | None, HandoverState], None]
 
 
-class Process(Protocol):
+class HandoverProcess(Protocol):
     """What the channel needs of its process."""
 
-    def handover_state(self) -> tuple[int, dict[str, Any]]:
+    def handover_state(self) -> tuple[int, HandoverState]:
         """The listening socket, and what a successor should know."""
 
-    def descriptors(self) -> int:
+    def open_descriptors(self) -> int:
         """How many this process holds open."""
 
-    def adopt(self, session: dict[str, Any], client: int, peer: int) -> bool:
+    def adopt_session(self, session: SessionTransfer, client: int, endpoint: int) -> bool:
         """Go on with a session whose sockets were passed; False leaves it to the other process."""
 
-    def taken(self, number: int, by_other: bool) -> None:
-        """What the other process made of the session that was passed under this number."""
-
-    def has_all(self) -> None:
-        """No session stands at the other process any more."""
-
-
-@implementer(IFileDescriptorReceiver)
-class _Channel(LineReceiver):
-    """One end, for lines of JSON."""
-
-    delimiter = b"\n"
-    MAX_LENGTH = 1 << 22
-
-    def __init__(self, owner: Handover) -> None:
-        self._owner = owner
-
-    @property
-    def wire(self) -> UnixTransport:
-        return cast(UnixTransport, self.transport)
-
-    def tell(self, message: dict[str, Any]) -> None:
-        self.wire.write(json.dumps(message).encode() + self.delimiter)
+    def session_answered(self, number: int, accepted: bool) -> None:
+        """The successor has answered the offer of this number."""
 
-    def connectionMade(self) -> None:
-        self._owner.joined(self)
-
-    def fileDescriptorReceived(self, descriptor: int) -> None:
-        self._owner.passed(descriptor)
-
-    def lineReceived(self, line: bytes) -> None:
-        try:
-            message = json.loads(line)
-        except ValueError:
-            message = None
-        if isinstance(message, dict):
-            self._owner.heard(self, message)
-        else:
-            self.wire.loseConnection()
-
-    def connectionLost(self, reason: Failure = connectionDone) -> None:
-        self._owner.lost(self)
+    def sessions_complete(self) -> None:
+        """The predecessor holds no session any more."""
 
 
 class Handover:
-    """Finds the process before this one, then waits for the one after it.
+    """Finds the predecessor, then waits for the successor.
 
-    Only one of a node's processes listens on the path at a time: the older stops as soon as it is found,
-    and the younger begins when the channel ends, so neither removes the other's socket.
+    Only one of a node's processes listens on the path at a time: the older stops as soon as it is found, and
+    the younger begins when the channel ends, so neither removes the other's socket.
     """
 
-    def __init__(self, reactor: Reactor, deadlines: Timers, process: Process, path: str) -> None:
-        self._reactor, self._deadlines, self._process = reactor, deadlines, process
-        if len(path) > MOST_PATH:
+    def __init__(self, reactor: Reactor, timers: Timers, process: HandoverProcess, path: str) -> None:
+        self._reactor, self._timers, self._process = reactor, timers, process
+        if len(path) > MAX_PATH_BYTES:
             log.warning("no successor will find a path as long as this", path=path)
             path = ""
         self._path = path
-        self._found: Found | None = None  # told once, then None
-        self._passed: deque[int] = deque()
-        self._channel: _Channel | None = None
+        self._found: FoundPredecessor | None = None  # called once, then None
+        self._descriptors: deque[int] = deque()  # that have come and belong to no message yet
+        self._channel: HandoverChannel | None = None
         self._port: Port | None = None
-        self._deadline: Timer | None = None
-        self._closed = self._inherited = False  # the process ends; it is the younger one of the channel's two
+        self._search_timer: Timer | None = None
+        self._closed = False  # the process ends
         self.has_successor = False  # a younger process is at the other end
         self.successor_serves = False  # and has said so
-        self.others = 0  # descriptors that the other process holds
+        self.other_descriptors = 0  # how many the other process holds
 
-    def find(self, found: Found) -> None:
+    def find_predecessor(self, found: FoundPredecessor) -> None:
         """Ask the process that serves, if there is one, for what it hands over."""
         self._found = found
-        self._deadline = self._deadlines.after(FIND, lambda: self._settle({}))
+        self._search_timer = self._timers.after(SEARCH_TIMEOUT, self.channel_failed)
         if not self._path or not os.path.exists(self._path):
-            self._settle({})
+            self._end_search(None)
             return
-        factory = _Factory(self)
-        self._reactor.connectUNIX(self._path, factory, timeout=FIND.total_seconds())
+        factory = HandoverChannelFactory(self)
+        self._reactor.connectUNIX(self._path, factory, timeout=SEARCH_TIMEOUT.total_seconds())
 
-    def begun(self) -> None:
-        """This process serves: tell the other so, or be there for the next."""
+    def start_serving(self) -> None:
+        """This process serves: tell the other so, or wait for the next."""
         if self._channel is None:
             self._await_successor()
         else:
-            self._tell()
+            self._send_descriptor_count()
 
-    def leave(self) -> None:
-        """The process ends: nobody follows it any more, but for the successor that it has."""
+    def stop_waiting(self) -> None:
+        """The process ends: it takes no successor any more, but keeps the one that it has."""
         self._closed = True
-        if self._port is not None:
-            self._port.stopListening()
-            self._port = None
+        self._stop_listening()
 
     def close(self) -> None:
         """The process exits."""
-        self.leave()
+        self.stop_waiting()
         if self._channel is not None:
-            self._channel.wire.loseConnection()
+            self._channel.close()
 
-    def _await_successor(self) -> None:
-        if not self._path or self._closed or self._port is not None or self._channel is not None:
-            return
-        with suppress(OSError):
-            os.unlink(self._path)  # a process that was killed left it
-        try:
-            self._port = self._reactor.listenUNIX(self._path, _Factory(self), mode=0o600)
-            log.info("waits for a successor")
-        except (CannotListenError, OSError) as fault:
-            log.warning("no successor can be told anything", fault=fault)
-            if errno_of(fault) in LOCAL_CONNECT_ERRORS | TRANSIENT_FILE_ERRORS:
-                self._deadlines.after(AWAIT_AGAIN, self._await_successor)
+    def offer_session(self, number: int, session: SessionTransfer) -> None:
+        """Pass a session to the successor; its answer follows, unless the channel ends."""
+        if self._channel is not None:
+            self._channel.send_descriptor(session.client_descriptor)
+            self._channel.send_descriptor(session.endpoint_descriptor)
+            self._channel.send(SessionOffer(number, session))
+
+    def send_sessions_complete(self) -> None:
+        """Tell the successor that this process holds no session any more."""
+        if self._channel is not None:
+            self._channel.send(SessionsComplete())
 
-    # What the channel tells.
+    # Events of the channel.
 
-    def joined(self, channel: _Channel) -> None:
+    def channel_connected(self, channel: HandoverChannel) -> None:
+        """A predecessor was found, or a successor has come."""
         if self._channel is not None or self._closed:
-            channel.wire.loseConnection()
+            channel.close()
             return
         self._channel = channel
         if self._port is None:
-            if self._found is None:  # it came too late
-                channel.wire.loseConnection()
+            if self._found is None:  # the predecessor answered after the search
+                channel.close()
             return
-        self._port.stopListening()
-        self._port = None
-        # From now on, not from its first word: SIGTERM may come sooner than that is read.
+        self._stop_listening()
+        # From now on, not from its first message: SIGTERM may come before that is read.
         self.has_successor = True
         descriptor, state = self._process.handover_state()
-        channel.wire.sendFileDescriptor(descriptor)
-        channel.tell(state)
-        self._tell()
+        channel.send_descriptor(descriptor)
+        channel.send(state)
+        self._send_descriptor_count()
 
-    def passed(self, descriptor: int) -> None:
-        self._passed.append(descriptor)  # they come in order, each before the line that speaks of it
+    def channel_failed(self) -> None:
+        """No process listens on the path any more, or none has answered in time."""
+        self._end_search(None)
 
-    def heard(self, channel: _Channel, message: dict[str, Any]) -> None:
+    def descriptor_received(self, descriptor: int) -> None:
+        """Keep a descriptor for the message that follows it."""
+        self._descriptors.append(descriptor)
+
+    def line_received(self, channel: HandoverChannel, fields: dict[str, Any]) -> None:
+        """Take the other process's next message."""
         if channel is not self._channel:
             return
         if self._found is not None:
-            self._settle(message)
-            return
-        if "session" in message:
-            channel.tell({"taken": message.get("number"), "by_other": self._adopt(message["session"])})
+            self._end_search(read_state(fields) if fields else None)
             return
-        if "all" in message:
-            self._process.has_all()
+        try:
+            message = read_message(fields)
+        except HandoverMessageError as error:
+            log.warning("a message of the other process can't be read", fault=error)
             return
-        if "taken" in message:
-            self._process.taken(message["taken"], message.get("by_other") is True)
+        if isinstance(message, SessionOffer):
+            channel.send(SessionAnswer(message.number, self._adopt(message.session)))
+        elif isinstance(message, SessionsComplete):
+            self._process.sessions_complete()
+        elif isinstance(message, SessionAnswer):
+            self._process.session_answered(message.number, message.accepted)
+        elif isinstance(message, DescriptorCount):
+            self.other_descriptors, self.successor_serves = message.descriptors, self.has_successor
+
+    def channel_lost(self, channel: HandoverChannel) -> None:
+        """The other process has ended, or has refused."""
+        if channel is not self._channel:
             return
-        told = message.get("descriptors")
-        if isinstance(told, int):
-            self.others, self.successor_serves = told, self.has_successor
+        self._channel, self.other_descriptors = None, 0
+        while self._descriptors:
+            os.close(self._descriptors.popleft())
+        self.has_successor = self.successor_serves = False
+        if self._found is not None:
+            self._end_search(None)
+        else:
+            self._await_successor()
 
-    def pass_on(self, number: int, session: dict[str, Any], client: int, peer: int) -> None:
-        """Pass a session to the successor; `taken` follows, unless the channel ends."""
-        if self._channel is not None:
-            self._channel.wire.sendFileDescriptor(client)
-            self._channel.wire.sendFileDescriptor(peer)
-            self._channel.tell({"number": number, "session": session})
+    def _await_successor(self) -> None:
+        if not self._path or self._closed or self._port is not None or self._channel is not None:
+            return
+        with suppress(OSError):
+            os.unlink(self._path)  # a process that was killed left it
+        try:
+            self._port = self._reactor.listenUNIX(self._path, HandoverChannelFactory(self), mode=SOCKET_MODE)
+            log.info("waits for a successor")
+        except (CannotListenError, OSError) as error:
+            log.warning("no successor can be told anything", fault=error)
+            if errno_of(error) in LOCAL_CONNECT_ERRORS | TRANSIENT_FILE_ERRORS:
+                self._timers.after(LISTEN_RETRY_DELAY, self._await_successor)
 
-    def passed_all(self) -> None:
-        """Tell the successor that no session stands here any more."""
-        if self._channel is not None:
-            self._channel.tell({"all": True})
+    def _stop_listening(self) -> None:
+        if self._port is not None:
+            self._port.stopListening()
+            self._port = None
 
-    def _adopt(self, session: dict[str, Any]) -> bool:
-        if len(self._passed) < 2:
+    def _adopt(self, offered: object) -> bool:
+        """Whether the process goes on with the session of an offer, whose sockets have come before."""
+        if len(self._descriptors) < SOCKETS_OF_SESSION:
             return False
-        client, peer = self._passed.popleft(), self._passed.popleft()
+        client, endpoint = self._descriptors.popleft(), self._descriptors.popleft()
         try:
-            return self._process.adopt(session, client, peer)
-        except (KeyError, TypeError, ValueError, AttributeError, OSError):
+            return self._process.adopt_session(read_session(offered), client, endpoint)
+        except (HandoverMessageError, ValueError, OSError):
             log.exception("a session that was passed can't be gone on with")
             return False
         finally:  # what was adopted has copies of its own
             os.close(client)
-            os.close(peer)
-
-    def lost(self, channel: _Channel) -> None:
-        if channel is not self._channel:
-            return
-        self._channel, self.others = None, 0
-        while self._passed:
-            os.close(self._passed.popleft())
-        self.has_successor = self.successor_serves = self._inherited = False
-        if self._found is not None:
-            self._settle({})
-        else:
-            self._await_successor()
+            os.close(endpoint)
 
-    def failed(self) -> None:
-        """Nobody listens on the path any more."""
-        self._settle({})
-
-    def _settle(self, state: dict[str, Any]) -> None:
-        """The one place that ends the search."""
+    def _end_search(self, state: HandoverState | None) -> None:
+        """End the search once, with the state of the predecessor where one was found."""
         found, self._found = self._found, None
         if found is None:
             return
-        if self._deadline is not None:
-            self._deadline.cancel()
-        descriptor = self._passed.popleft() if state and self._passed else None
-        self._inherited = descriptor is not None
-        if not self._inherited and self._channel is not None:
+        if self._search_timer is not None:
+            self._search_timer.cancel()
+        listener = self._descriptors.popleft() if state is not None and self._descriptors else None
+        if listener is None and self._channel is not None:
             channel, self._channel = self._channel, None
-            channel.wire.loseConnection()
-        found(descriptor, state)
+            channel.close()
+        found(listener, state or HandoverState())
 
-    def _tell(self) -> None:
+    def _send_descriptor_count(self) -> None:
         if self._channel is not None:
-            self._channel.tell({"descriptors": self._process.descriptors()})
-            self._deadlines.after(TELL_EVERY, self._tell)
-
-
-class _Factory(ClientFactory):
-    """Makes the channel's ends."""
-
-    noisy = False
-
-    def __init__(self, owner: Handover) -> None:
-        self._owner = owner
-
-    def buildProtocol(self, addr: object) -> _Channel:
-        return _Channel(self._owner)
-
-    def clientConnectionFailed(self, connector: object, reason: Failure) -> None:
-        self._owner.failed()
+            self._channel.send(DescriptorCount(self._process.open_descriptors()))
+            self._timers.after(DESCRIPTORS_INTERVAL, self._send_descriptor_count)
--- a/stepflow/node/process/service.py
+++ b/stepflow/node/process/service.py
@@ -1,354 +1,213 @@
-"""The node as a service: its parts put together, its start, its reloads, its signals."""
+"""The life of a node's process: its start, what it takes over, its service, and its end.
+
+Responsible for the order in which the parts begin and end (build.py joins them, reload.py replaces their
+settings, shutdown.py ends them). Owns the parts, the client listener and the exit code. Moments are
+timedeltas of the node's clock. Errors: a start that fails raises, or stops the process with exit code 1;
+whatever fails later is logged.
+"""
 
 from __future__ import annotations
 
-import os
-import signal
 import sys
-from collections.abc import Callable, Sequence
 from datetime import timedelta
-from typing import Any
 
 from twisted.internet.error import CannotListenError
 
 from stepflow.address import Address
 from stepflow.daemon import OperatorFile
-from stepflow.errors import InputError
-from stepflow.interface import RequestClass, Settings
-from stepflow.logs import close as close_logs
-from stepflow.logs import get_logger, print_plainly, set_up, take_twisted
-from stepflow.node.admin.metrics import Gauges, excluded, render
-from stepflow.node.admin.site import CALLS_KEPT, OpsSite
+from stepflow.logs import get_logger, print_plainly
+from stepflow.node.admin.metrics import Gauges, count_excluded, render
+from stepflow.node.admin.site import AdminSite
 from stepflow.node.admin.site import listen as listen_for_operators
-from stepflow.node.clients.connection import ClientFactory
 from stepflow.node.clients.listener import ClientListener, listen
-from stepflow.node.core import Core
-from stepflow.node.discovery import DiscoveryClient
+from stepflow.node.process.build import build_parts
 from stepflow.node.process.config import NodeConfig
-from stepflow.node.process.handover import Handover
-from stepflow.node.process.shutdown import Shutdown
+from stepflow.node.process.handover_messages import HandoverMessageError, HandoverState, read_snapshot
+from stepflow.node.process.reload import ReadFiles, Reloader
 from stepflow.node.process.snapshot import restore_snapshot, take_snapshot
-from stepflow.node.recording import DISK_WAIT, Recording
-from stepflow.node.runtime.clock import ZERO, Clock, micros
-from stepflow.node.runtime.counters import Counters
-from stepflow.node.runtime.garbage import GarbageCollection
-from stepflow.node.runtime.reactor import serving_reactor
-from stepflow.node.runtime.timers import Timers
+from stepflow.node.recording import DISK_WAIT
+from stepflow.node.runtime.clock import ZERO, micros
 from stepflow.node.runtime.transports import Reactor
-from stepflow.node.runtime.wall_clock import WallClockMonitor
-from stepflow.node.upstreams.attempt import UpstreamConnections
-from stepflow.node.upstreams.liveness import LivenessMonitor
-from stepflow.node.upstreams.load_reports import LoadReportClassifier
+from stepflow.node.session_transfer import SessionTransfer
 from stepflow.os_errors import LISTEN_RETRY_DELAY, LISTEN_RETRY_LIMIT, RESOURCE_SHORTAGE, errno_of
-from stepflow.policy import Policy
-from stepflow.settings import NodeSettings, merge_settings
-from stepflow.upstream import EndpointGroup, EndpointListError
+from stepflow.upstream import EndpointListError
 
 log = get_logger()
 
-OTHERS_KEPT = 24 + CALLS_KEPT  # descriptors for discovery, listeners, streams, the reactor, operators' calls
-PROBES_KEPT = 24  # and for the connections of probes, at the least
-
-# A file that can't be read just now is tried again; a new configuration counts as known 4 s after its signal.
-RELOAD_AGAIN, RELOAD_FOR = timedelta(milliseconds=50), timedelta(seconds=3)
-
-CHANGEABLE = (
-    "discovery",
-    "settings",
-    "tree",
-    "seed",
-    "known",
-    "ops",
-)  # the last three matter at a start only
-
-
-Reread = Callable[[NodeConfig], tuple[NodeConfig, OperatorFile]]  # in place of the files before
+EXIT_FAILED = 1
 
 
 class Node:
-    """Puts the parts together, and holds what changes over the life of the process."""
-
-    def __init__(self, config: NodeConfig, operators: OperatorFile, reactor: Reactor, reread: Reread) -> None:
-        self._config, self._operators, self._reactor, self._reread = config, operators, reactor, reread
-        self._settings = settings = config.settings.policy  # with the classes of all settings so far
-        self.counters = Counters()
-        self._clock = clock = Clock()
-        self._deadlines = Timers(clock, reactor, self.counters)
-        self._wall_clock = WallClockMonitor(self._deadlines, self.counters)
-        slots = max(1, (config.sockets - OTHERS_KEPT - PROBES_KEPT) // 2)  # a client's socket and a peer's
-        self._policy = Policy(settings, config.seed)
-        self._core = Core(self._policy, settings, clock, self._deadlines, self.counters, slots)
-        self._group = EndpointGroup(settings.zones, settings.kinds)
-        self._peers = UpstreamConnections(
-            reactor, self._core, clock, self._deadlines, self.counters, self._group, config.settings
-        )
-        self._notes = LoadReportClassifier(config.settings)
-        self._pulses = LivenessMonitor(
-            clock, self._core, self._deadlines, _late(settings.classes), self._notes
-        )
-        self._discovery = DiscoveryClient(
-            reactor, config.discovery, self._group, self._core, self._deadlines, self.counters
-        )
-        classes = _numbers(settings, settings)
-        self._factory = ClientFactory(
-            self._core,
-            clock,
-            self._deadlines,
-            self.counters,
-            self._pulses,
-            reactor,
-            self._peers,
-            classes,
-            _tenants(settings),
-            self._free,
-        )
-        folder = os.environ.get("TMPDIR", "")
-        path = os.path.join(folder, f"stepflow-{config.name}") if folder else ""
-        self._garbage = GarbageCollection(self._deadlines)
-        self._handover = Handover(reactor, self._deadlines, self, path)
-        self._recording = Recording(self._core, clock, self._deadlines, config.name)
-        self._shutdown = Shutdown(
-            config.name,
-            self._core,
-            self._factory,
-            clock,
-            self._deadlines,
-            self._handover,
-            self._longest_deadline,
-            self._stop,
-        )
-        self._port: ClientListener
-        self._ready = self._stopped = False
+    """One process of a node; `start` begins it, `terminate` ends it in order."""
+
+    def __init__(
+        self, config: NodeConfig, operators: OperatorFile, reactor: Reactor, read_files: ReadFiles
+    ) -> None:
+        self.name = config.name
+        self._config, self._reactor = config, reactor  # as it was at the start
+        self._parts = parts = build_parts(config, reactor, self)
+        self._runtime, self._decisions = parts.runtime, parts.decisions
+        self._connections, self._lifecycle = parts.connections, parts.lifecycle
+        self._reloader = Reloader(parts, config, operators, read_files)
+        self._listener: ClientListener | None = None
+        self._stopped = False
         self._started_at = ZERO
-        self._inherited: dict[str, Any] | None = None  # what the process before had learned
-        self._inherited_at = ZERO  # when it told that
+        self._predecessor: HandoverState | None = None  # until all of its sessions have come
+        self._predecessor_found_at = ZERO
         self.exit_code = 0
 
     def now(self) -> timedelta:
-        return self._clock.now()
+        """The time of the node's clock."""
+        return self._runtime.clock.now()
 
-    def _free(self) -> int:
-        """Descriptors left, when every request that is open has its peer's."""
-        peers = max(self._peers.attempts, self._core.open) + max(
-            self._peers.health_check_connections, PROBES_KEPT
-        )
-        return self._config.sockets - OTHERS_KEPT - peers - self._factory.open - self._handover.others
-
-    def descriptors(self) -> int:
-        """Descriptors that are open, or kept for what is not a client's."""
-        return OTHERS_KEPT + self._peers.attempts + self._peers.health_check_connections + self._factory.open
-
-    def handover_state(self) -> tuple[int, dict[str, Any]]:
-        return self._port.fileno(), {
-            "list": self._group.message(),
-            "learned": take_snapshot(self._policy, micros(self.now())),
-        }
+    # The start.
 
     def start(self) -> None:
         """Answer operators, and look for the process that this one is to replace."""
         self._started_at = self.now()
         if self._config.ops is not None:
             self._listen_for_operators(self._config.ops)
-        self._handover.find(self._begin)
+        self._lifecycle.handover.find_predecessor(self._begin)
 
     def _listen_for_operators(self, address: Address) -> None:
-        site = OpsSite(self._deadlines, self._can_serve, self._figures)
+        site = AdminSite(self._runtime.timers, self._can_serve, self._metrics)
         try:
             port = listen_for_operators(self._reactor, address, site).getHost().port
-        except (CannotListenError, OSError) as fault:
-            if not self._may_try_again(fault):
+        except (CannotListenError, OSError) as error:
+            if not self._may_listen_again(error):
                 raise
-            self._deadlines.after(LISTEN_RETRY_DELAY, lambda: self._listen_for_operators(address))
+            self._runtime.timers.after(LISTEN_RETRY_DELAY, lambda: self._listen_for_operators(address))
             return
         log.info("hears operators", address=Address(address.host, port))
 
-    def _may_try_again(self, fault: Exception) -> bool:
+    def _may_listen_again(self, error: Exception) -> bool:
         """Whether what failed at the start may succeed soon, and there is time left."""
-        return errno_of(fault) in RESOURCE_SHORTAGE and self.now() - self._started_at < LISTEN_RETRY_LIMIT
+        return errno_of(error) in RESOURCE_SHORTAGE and self.now() - self._started_at < LISTEN_RETRY_LIMIT
 
-    def _begin(self, listener: int | None, told: dict[str, Any]) -> None:
-        """Begin the module's life with the newest list there is, then take clients."""
+    def _begin(self, listener: int | None, state: HandoverState) -> None:
+        """Start the policy with the newest list there is, then accept clients."""
         try:
-            _, known = self._group.apply(told.get("list") or self._config.known)
-        except EndpointListError as fault:
-            log.warning("the known list is passed over", fault=fault)
+            _, known = self._decisions.endpoint_group.apply(state.endpoint_list or self._config.known)
+        except EndpointListError as error:
+            log.warning("the known list is passed over", fault=error)
             known = ()
-        self._core.start(self._peers, self._discovery, known)
-        if "learned" in told:
-            log.info("takes over from the process that serves", node=self._config.name)
-            self._inherited, self._inherited_at = told["learned"], self.now()
-            self._recall()
-        if self._settings.polls_endpoint_list:
+        discovery = self._connections.discovery
+        self._decisions.core.start(self._connections.upstreams, discovery, known)
+        if state.has_snapshot:
+            log.info("takes over from the process that serves", node=self.name)
+            self._predecessor, self._predecessor_found_at = state, self.now()
+            self._restore_snapshot(state)
+        if self._reloader.settings.polls_endpoint_list:
             self._listen(listener)
         else:
-            self._discovery.keep(lambda: self._listen(listener))
+            discovery.keep(lambda: self._listen(listener))
 
-    def _listen(self, listener: int | None) -> None:
-        """Take clients, from the socket of the process before if that has passed it."""
+    def _restore_snapshot(self, state: HandoverState) -> None:
         try:
-            self._port = listen(self._reactor, self._config.listen, self._factory, self.counters, listener)
-        except OSError as fault:
-            if self._may_try_again(fault):
-                self._deadlines.after(LISTEN_RETRY_DELAY, lambda: self._listen(listener))
-                return
-            print(f"stepflow: {self._config.listen}: {fault.strerror}", file=sys.stderr)
-            self.exit_code = 1
-            self._stop()
+            snapshot = read_snapshot(state.snapshot)
+        except HandoverMessageError as error:
+            log.warning("what the process before has learned can't be read", fault=repr(error))
             return
-        address = Address(self._config.listen.host, self._port.getHost().port)
-        self._ready = True
-        log.info("listens", address=address, node=self._config.name)
-        self._recording.follow(self._operators.record, self._settings)
-        self._garbage.begin()
-        self._wall_clock.begin()
-        self._handover.begun()
-
-    def _recall(self) -> None:
+        restore_snapshot(self._decisions.policy, snapshot, micros(self._predecessor_found_at))
+
+    def _listen(self, inherited: int | None) -> None:
+        """Accept clients, from the predecessor's socket where it has passed that."""
+        address, clients = self._config.listen, self._connections.clients
         try:
-            restore_snapshot(self._policy, self._inherited or {}, micros(self._inherited_at))
-        except (KeyError, TypeError, ValueError, AttributeError) as fault:
-            log.warning("what the process before has learned can't be read", fault=repr(fault))
-
-    def has_all(self) -> None:
-        """Reports were held against part of the sessions while those came: their costs are far too high."""
-        if self._inherited is not None:
-            self._recall()
-            self._inherited = None
-            log.info(
-                "has all sessions", sessions=len(self._core.established_sessions()), node=self._config.name
-            )
+            listener = listen(self._reactor, address, clients, self._runtime.counters, inherited)
+        except OSError as error:
+            if self._may_listen_again(error):
+                self._runtime.timers.after(LISTEN_RETRY_DELAY, lambda: self._listen(inherited))
+                return
+            print(f"stepflow: {address}: {error.strerror}", file=sys.stderr)
+            self.exit_code = EXIT_FAILED
+            self.stop()
+            return
+        self._listener = listener
+        log.info("listens", address=Address(address.host, listener.getHost().port), node=self.name)
+        self._reloader.follow_recording()
+        self._lifecycle.garbage.begin()
+        self._lifecycle.wall_clock.begin()
+        self._lifecycle.handover.start_serving()
 
-    def _can_serve(self) -> bool:
-        return self._ready and not self._shutdown.begun
+    # While it serves.
 
-    def _figures(self) -> bytes:
-        gauges = Gauges(self._core.open, len(self._group), excluded(self._policy.model.endpoints.values()))
-        return render(self.counters, gauges)
+    def _can_serve(self) -> bool:
+        return self._listener is not None and not self._lifecycle.shutdown.has_begun
+
+    def _metrics(self) -> bytes:
+        decisions = self._decisions
+        gauges = Gauges(
+            in_flight=decisions.core.open,
+            map_servers_known=len(decisions.endpoint_group),
+            map_servers_excluded=count_excluded(decisions.policy.model.endpoints.values()),
+        )
+        return render(self._runtime.counters, gauges)
 
     def reload(self) -> None:
         """Read the configuration again and go on with it, as far as it can change while the node runs."""
-        self._reload(self.now() + RELOAD_FOR)
+        self._reloader.reload()
 
-    def _reload(self, until: timedelta) -> None:
-        if self._shutdown.begun:
-            return
-        try:
-            told, operators = self._reread(self._config)
-        except InputError as fault:
-            if fault.is_transient and self.now() < until:
-                self._deadlines.after(RELOAD_AGAIN, lambda: self._reload(until))
-                return
-            self.counters.reloads_failed += 1
-            log.warning("reload turned down, the old configuration goes on", fault=fault)
+    def print_counters(self) -> None:
+        """Print the counters to standard error, whatever the log's level."""
+        print_plainly(f"counters: {self._runtime.counters}")
+
+    # Hand-over, as its channel asks (handover.py).
+
+    def handover_state(self) -> tuple[int, HandoverState]:
+        """The listening socket, and what a successor should know."""
+        assert self._listener is not None  # a successor is waited for once clients are accepted
+        snapshot = take_snapshot(self._decisions.policy, micros(self.now()))
+        state = HandoverState(endpoint_list=self._decisions.endpoint_group.message(), snapshot=snapshot)
+        return self._listener.fileno(), state
+
+    def open_descriptors(self) -> int:
+        """How many this process holds open, or reserves."""
+        return self._connections.descriptors.in_use(self._connections.clients.open)
+
+    def adopt_session(self, session: SessionTransfer, client: int, endpoint: int) -> bool:
+        """Go on with a session of the predecessor; False leaves it there."""
+        return self._can_serve() and self._connections.clients.adopt(session, client, endpoint)
+
+    def sessions_complete(self) -> None:
+        """The predecessor has passed all its sessions: restore its snapshot once more.
+
+        Load reports were held against part of the sessions while those came: costs are far too high by now.
+        """
+        if self._predecessor is None:
             return
-        old, self._config = (
-            self._config,
-            self._config._replace(discovery=told.discovery, settings=told.settings, tree=told.tree),
-        )
-        for name in old._fields:
-            if name not in CHANGEABLE and getattr(told, name) != getattr(old, name):
-                log.warning("reload passes over what can't change while the node runs", key=name)
-        if operators.log != self._operators.log:
-            set_up(operators.log.form, operators.log.level)
-        self._operators = operators
-        if told.settings != old.settings:
-            self._retune(told.settings)
-        self._recording.follow(operators.record, self._settings)
-        if told.discovery != old.discovery:
-            self._discovery.move(told.discovery)
-        self.counters.reloads += 1
-        log.info("reloaded", discovery=told.discovery)
-
-    def _retune(self, told: NodeSettings) -> None:
-        """Hand new settings to all who hold the old ones, in one step."""
-        self._settings = merge_settings(self._settings, told.policy)
-        self._core.update_settings(self._settings)
-        self._peers.settings = told._replace(policy=self._settings)
-        self._pulses.update_latency_objective(_late(told.policy.classes))
-        self._notes.update_settings(told)
-        self._factory.classes = _numbers(self._settings, told.policy)
-        self._factory.tenants = _tenants(self._settings)
-        log.info("takes settings", classes=",".join(cls.name for cls in told.policy.classes))
-
-    def terminate(self, told: timedelta | None = None) -> None:
-        """Leave in order, from the moment that the signal came."""
-        listener = self._port if self._ready else None
-        self._shutdown.begin(self.now() if told is None else told, listener)
-
-    def taken(self, number: int, by_other: bool) -> None:
-        """What the successor made of a session that was passed to it."""
-        self._shutdown.taken(number, by_other)
-
-    def adopt(self, session: dict[str, Any], client: int, peer: int) -> bool:
-        """Go on with a session of the process before."""
-        return self._can_serve() and self._factory.adopt(session, client, peer)
-
-    def _longest_deadline(self) -> timedelta:
-        longest = max(cls.deadline_us for cls in self._config.settings.policy.classes)
+        self._restore_snapshot(self._predecessor)
+        self._predecessor = None
+        sessions = len(self._decisions.core.established_sessions())
+        log.info("has all sessions", sessions=sessions, node=self.name)
+
+    def session_answered(self, number: int, accepted: bool) -> None:
+        """The successor has answered the offer of this number."""
+        self._lifecycle.shutdown.session_answered(number, accepted)
+
+    # The end.
+
+    def terminate(self, signalled_at: timedelta | None = None) -> None:
+        """Begin the graceful shutdown, counted from the moment that the signal came."""
+        begun = self.now() if signalled_at is None else signalled_at
+        self._lifecycle.shutdown.begin(begun, self._listener)
+
+    def longest_deadline(self) -> timedelta:
+        """The longest deadline of a class, as the settings have it now."""
+        longest = max(cls.deadline_us for cls in self._reloader.config.settings.policy.classes)
         return timedelta(microseconds=longest)
 
-    def _stop(self) -> None:
+    def stop(self) -> None:
+        """Stop the reactor; may be called again."""
         if not self._stopped:
             self._stopped = True
             self._reactor.stop()
 
     def close(self) -> None:
         """Give back what outlives the clients."""
-        left = self._shutdown.time_left() if self._shutdown.begun else DISK_WAIT
-        self._recording.end(max(left, DISK_WAIT))
-        self._handover.close()
-        self._discovery.close()
-        self._peers.close()
-
-    def print_counters(self) -> None:
-        print_plainly(f"counters: {self.counters}")
-
-
-def _numbers(settings: Settings, told: Settings) -> dict[bytes, int]:
-    """The classes that clients may name, by their numbers in the table."""
-    return {cls.name.encode(): settings.classes.index(cls) for cls in told.classes}
-
-
-def _tenants(settings: Settings) -> dict[bytes, int]:
-    """The tenants that clients may name, by their numbers."""
-    return {tenant.name.encode(): number for number, tenant in enumerate(settings.tenants)}
-
-
-def _late(classes: tuple[RequestClass, ...]) -> timedelta:
-    """Messages that take longer are noted: a third of the shortest message aim."""
-    aims = [cls.message_latency_objective_us for cls in classes if cls.message_latency_objective_us > 0]
-    return timedelta(microseconds=min(aims)) / 3 if aims else timedelta(days=1)
-
-
-def run(config: NodeConfig, operators: OperatorFile, reread: Reread, reloads: Sequence[int] = ()) -> int:
-    """Run the node until SIGTERM or SIGINT; `reloads` holds the SIGHUPs that came before."""
-    take_twisted()
-    reactor = serving_reactor()
-    node = Node(config, operators, reactor, reread)
-    calls: dict[int, Callable[[timedelta], None]] = {
-        signal.SIGTERM: node.terminate,
-        signal.SIGINT: node.terminate,
-        signal.SIGHUP: lambda told: node.reload(),
-        signal.SIGUSR1: lambda told: node.print_counters(),
-    }
-
-    def on_signal(number: int, frame: object) -> None:
-        # From a signal handler as from a thread: nothing else is safe.
-        reactor.callFromThread(calls[number], node.now())
-
-    for number in calls:
-        signal.signal(number, on_signal)
-    if reloads:
-        reactor.callLater(0, node.reload)
-    try:  # with the signals heard from before the log's word that it listens
-        node.start()
-    except Exception as fault:
-        print(f"stepflow: {config.listen}: {fault}", file=sys.stderr)
-        return 1
-    reactor.addSystemEventTrigger("before", "shutdown", node.close)
-    reactor.run(installSignalHandlers=False)
-    node.print_counters()
-    for number in calls:  # the interpreter, as it ends, would make a further signal deadly again
-        signal.signal(number, signal.SIG_IGN)
-    close_logs()
-    return node.exit_code
+        shutdown = self._lifecycle.shutdown
+        left = shutdown.time_left() if shutdown.has_begun else DISK_WAIT
+        self._lifecycle.recording.end(max(left, DISK_WAIT))
+        self._lifecycle.handover.close()
+        self._connections.discovery.close()
+        self._connections.upstreams.close()
--- a/stepflow/node/process/shutdown.py
+++ b/stepflow/node/process/shutdown.py
@@ -1,13 +1,14 @@
-"""The life of a process after SIGTERM: it serves on, hands its sessions over or moves them, and answers.
+"""Graceful shutdown after SIGTERM: the process passes or migrates its sessions, answers, and exits.
 
-`leaving.py` says when; docs/endings.md says what is owed at each moment.
+Responsible for the order of those steps (shutdown_schedule.py has their moments, docs/endings.md what is owed
+at each). Owns the offers that the successor has not answered yet. Moments are timedeltas of the node's clock.
 """
 
 from __future__ import annotations
 
-from collections.abc import Callable
 from datetime import timedelta
-from typing import cast
+from functools import partial
+from typing import Protocol, cast
 
 from stepflow.logs import get_logger
 from stepflow.node.clients.connection import ClientConnection, ClientFactory
@@ -25,152 +26,165 @@
 
 log = get_logger()
 
-PASS_EVERY = timedelta(milliseconds=20)  # between two looks for sessions that a successor can have
-MOST_OFFERED = 32  # at a time: each holds two descriptors in both processes until it is answered
-LOOK_EVERY = timedelta(milliseconds=50)  # whether all have been read
+OFFER_INTERVAL = timedelta(milliseconds=20)  # between two looks for sessions that a successor can have
+MAX_OPEN_OFFERS = 32  # each holds two descriptors in both processes until it is answered
+CLIENTS_CHECK_INTERVAL = timedelta(milliseconds=50)  # whether all have read their answer
+
+
+class StoppableProcess(Protocol):
+    """What the shutdown needs of its process."""
+
+    @property
+    def name(self) -> str:
+        """The node's name, for the log."""
+
+    def longest_deadline(self) -> timedelta:
+        """The longest deadline of a class, as the settings have it now."""
+
+    def stop(self) -> None:
+        """Stop the reactor; may be called again."""
 
 
 class Shutdown:
-    """Ends the process in order, once; `stop` is called at its end."""
+    """Ends the process in order, once."""
 
     def __init__(
         self,
-        name: str,
+        process: StoppableProcess,
         core: Core,
-        factory: ClientFactory,
+        clients: ClientFactory,
         clock: Clock,
-        deadlines: Timers,
+        timers: Timers,
         handover: Handover,
-        longest_deadline: Callable[[], timedelta],
-        stop: Callable[[], None],
     ) -> None:
-        self._name, self._core, self._factory, self._clock = name, core, factory, clock
-        self._deadlines, self._handover, self._stop = deadlines, handover, stop
-        self._longest_deadline = longest_deadline
-        self.begun = self._ending = self._listener_closed = False
-        self._told = ZERO  # when the signal came
-        self._offered: dict[int, RequestContext] = {}  # sessions on their way to the successor
-        self._offers = 0
-        self._told_all = False
-
-    def begin(self, told: timedelta, listener: ClientListener | None) -> None:
-        """Leave in order; all moments count from when the signal came, which a busy process hears of late.
-
-        Without a listener nobody was taken yet, and nothing is owed.
+        self._process, self._core, self._clients = process, core, clients
+        self._clock, self._timers, self._handover = clock, timers, handover
+        self.has_begun = self._ending = self._listener_closed = False
+        self._signalled_at = ZERO
+        self._offers: dict[int, RequestContext] = {}  # sessions that the successor has not answered for
+        self._offer_count = 0
+        self._sent_complete = False
+
+    def begin(self, signalled_at: timedelta, listener: ClientListener | None) -> None:
+        """Begin the shutdown; all moments count from the signal, which a busy process hears of late.
+
+        Without a listener no client was accepted yet, and nothing is owed.
         """
-        if self.begun:
+        if self.has_begun:
             return
-        self.begun, self._told = True, told
-        log.info("leaves", connections=len(self._core.established_sessions()), node=self._name)
+        self.has_begun, self._signalled_at = True, signalled_at
+        log.info("leaves", connections=len(self._core.established_sessions()), node=self._process.name)
         if listener is None:
-            self._stop()
+            self._process.stop()
             return
         self._listener = listener
-        self._deadlines.at(told + self._plan().end, self._end)
-        self._handover.leave()
-        self._give_over()
+        self._timers.at(signalled_at + self._schedule().sessions_end, self._end_sessions)
+        self._handover.stop_waiting()
+        self._begin_with_or_without_successor()
 
     def time_left(self) -> timedelta:
         """Until the process has to be gone; below zero once that is past."""
-        return self._told + self._plan().stop - self._clock.now()
+        return self._signalled_at + self._schedule().exit - self._clock.now()
 
-    def _plan(self) -> ShutdownSchedule:
-        return shutdown_schedule(self._longest_deadline())
+    def _schedule(self) -> ShutdownSchedule:
+        return shutdown_schedule(self._process.longest_deadline())
 
     # With a successor.
 
-    def _give_over(self) -> None:
-        """Serve on for a while, or until the successor does: it holds the listener, but may be half begun."""
+    def _begin_with_or_without_successor(self) -> None:
+        """Serve on for a while, or until the successor does: it may still be starting."""
         if self._ending:
             return
         if not self._handover.has_successor:
-            self._deadlines.at(self._told + self._plan().shut, self._leave)
+            listener_end = self._signalled_at + self._schedule().listener_end
+            self._timers.at(listener_end, self._leave_without_successor)
         elif not self._handover.successor_serves:
-            self._deadlines.after(PASS_EVERY, self._give_over)
+            self._timers.after(OFFER_INTERVAL, self._begin_with_or_without_successor)
         else:
-            # It accepts from the same queue; whoever was accepted here is still heard here. The listener
-            # stays open in this process too, unheard: its queue would go with a successor that dies.
+            # It accepts from the same queue; whoever was accepted here is still served here. The listener
+            # stays open in this process too, unread: its queue would go with a successor that dies.
             self._listener.stop_hearing()
-            log.info("listens no more", node=self._name)
-            self._pass_on()
-            self._look()
+            log.info("listens no more", node=self._process.name)
+            self._offer_sessions()
+            self._stop_without_clients()
 
-    def _pass_on(self) -> None:
-        """Offer what stands to the successor, some at a time, and look again for what comes up later."""
+    def _offer_sessions(self) -> None:
+        """Offer sessions to the successor, some at a time, and look again for those established later."""
         if self._ending:
             return
         if not self._handover.has_successor:
-            self._take_back()
-            self._leave()
+            self._withdraw_offers()
+            self._leave_without_successor()
             return
         for context in self._core.established_sessions():
-            if len(self._offered) >= MOST_OFFERED:
+            if len(self._offers) >= MAX_OPEN_OFFERS:
                 break
             session = cast(ClientConnection, context.downstream).offer()
             if session is not None:
-                self._offers += 1
-                self._offered[self._offers] = context
-                self._handover.pass_on(self._offers, session, session["client"], session["peer"])
-        if not self._told_all and not self._core.established_sessions():
-            self._told_all = True
-            self._handover.passed_all()
-        self._deadlines.after(PASS_EVERY, self._pass_on)
-
-    def _take_back(self) -> None:
-        """Go on with what was offered: no answer will come, or none in time."""
-        for number in tuple(self._offered):
-            self.taken(number, False)
-
-    def taken(self, number: int, by_other: bool) -> None:
-        """What the successor made of the session that was offered under this number."""
-        context = self._offered.pop(number, None)
+                self._offer_count += 1
+                self._offers[self._offer_count] = context
+                self._handover.offer_session(self._offer_count, session)
+        if not self._sent_complete and not self._core.established_sessions():
+            self._sent_complete = True
+            self._handover.send_sessions_complete()
+        self._timers.after(OFFER_INTERVAL, self._offer_sessions)
+
+    def _withdraw_offers(self) -> None:
+        """Go on with the offered sessions: no answer will come, or none in time."""
+        for number in tuple(self._offers):
+            self.session_answered(number, False)
+
+    def session_answered(self, number: int, accepted: bool) -> None:
+        """The successor has answered the offer of this number; a session that it refuses is migrated."""
+        context = self._offers.pop(number, None)
         if context is not None:
-            cast(ClientConnection, context.downstream).taken(by_other)
-            if not by_other:
+            cast(ClientConnection, context.downstream).taken(accepted)
+            if not accepted:
                 self._core.migrate(context)
 
     # Without one.
 
-    def _leave(self) -> None:
+    def _leave_without_successor(self) -> None:
         """With nobody to take over: the clients go to other nodes."""
         if self._ending:
             return
         self._core.reject_pending()
         self._close_listener()
-        # A session is served here until it is moved, and its client may find no other node: those of a fleet
-        # that restarts in turn are back before this one's end. So the moves take all the time there is.
-        left = self._told + self._plan().end - self._clock.now()
-        standing = self._core.established_sessions()
-        waits = migration_delays(left, len(standing), MIGRATION_START_SHARE)
-        for wait, context in zip(waits, standing, strict=True):
-            self._deadlines.after(wait, lambda context=context: self._core.migrate(context))  # type: ignore[misc]
+        # A session is served here until it is migrated, and its client may find no other node: those of a
+        # fleet that restarts in turn are back before this one's end. So the migrations take all the time
+        # there is.
+        left = self._signalled_at + self._schedule().sessions_end - self._clock.now()
+        sessions = self._core.established_sessions()
+        delays = migration_delays(left, len(sessions), MIGRATION_START_SHARE)
+        for delay, context in zip(delays, sessions, strict=True):
+            self._timers.after(delay, partial(self._core.migrate, context))
 
     def _close_listener(self) -> None:
-        """Take all that the kernel has accepted, unless a successor does, and nothing from then on."""
+        """Accept all that wait in the kernel, unless a successor does, and nobody from then on."""
         if self._listener_closed:
             return
         self._listener_closed = True
         if self._handover.successor_serves:  # and the log has said that this process listens no more
             self._listener.close_now()
         else:
-            self._listener.end(lambda: log.info("listens no more", node=self._name))
+            self._listener.end(lambda: log.info("listens no more", node=self._process.name))
 
     # The end.
 
-    def _end(self) -> None:
-        """Answer and move whoever is left; stop once the last clients have read that."""
+    def _end_sessions(self) -> None:
+        """Answer and migrate whoever is left; stop once the last clients have read that."""
         self._ending = True
-        self._take_back()
+        self._withdraw_offers()
         self._core.answer_pending()
         self._close_listener()
-        self._factory.turn_away()
+        self._clients.turn_away()
         for context in self._core.established_sessions():
             self._core.migrate(context)
-        self._deadlines.at(self._told + self._plan().stop, self._stop)
-        self._look()
+        self._timers.at(self._signalled_at + self._schedule().exit, self._process.stop)
+        self._stop_without_clients()
 
-    def _look(self) -> None:
-        if self._factory.open:
-            self._deadlines.after(LOOK_EVERY, self._look)
+    def _stop_without_clients(self) -> None:
+        if self._clients.open:
+            self._timers.after(CLIENTS_CHECK_INTERVAL, self._stop_without_clients)
         else:
-            self._stop()
+            self._process.stop()
--- a/stepflow/node/process/snapshot.py
+++ b/stepflow/node/process/snapshot.py
@@ -1,62 +1,73 @@
-"""What the decision module has learned, in a form that a successor can take over."""
+"""What the policy has learned, taken for a successor and restored in it.
 
-from __future__ import annotations
+Responsible for the two directions between a policy and a `Snapshot`; handover_messages.py has the stored
+form. Owns nothing. Moments are microseconds of the process's clock; a snapshot holds ages in their place,
+since the clocks of two processes may have begun at different moments.
+"""
 
-from typing import Any
+from __future__ import annotations
 
+from stepflow.node.process.handover_messages import REPORT_NEVER_CAME, EndpointSnapshot, Snapshot
 from stepflow.policy import EndpointState, Policy
 
-NEVER = -1  # the age of a report that has not come
-
-# Of each server: its cost, and what the weights' controller holds.
-_SERVER = ("cost", "health", "weight", "error_sum", "last_error")
-_AGE = "report_age_us"  # since its last report; the two processes may count moments from different ones
-_POLICY = ("wait_us", "probe_wait_us")
-# The name "cost_in_means" tells the unit of all costs: a process that counts in another can't read these.
 
-
-def take_snapshot(policy: Policy, now_us: int) -> dict[str, Any]:
-    """All of it, as JSON can hold it; classes go by name, for the two processes may number them apart."""
+def take_snapshot(policy: Policy, now_us: int) -> Snapshot:
+    """All that a successor can take over."""
     model = policy.model
-    names = [cls.name for cls in policy.settings.classes]
-    return {
-        "loads_told": model.loads.count,
-        "mean_load": model.loads.mean,
-        "class_load": {names[cls]: load for cls, load in model.loads.by_class.items()},
-        "cost_in_means": {str(kind): cost for kind, cost in model.kind_cost.items()},
-        "servers": {str(server.id): _row(server, now_us) for server in model.endpoints.values()},
-        **{name: getattr(policy, name) for name in _POLICY},
-    }
-
+    class_names = [request_class.name for request_class in policy.settings.classes]
+    return Snapshot(
+        loads_counted=model.loads.count,
+        mean_load=model.loads.mean,
+        class_loads={class_names[index]: load for index, load in model.loads.by_class.items()},
+        kind_costs=dict(model.kind_cost),
+        endpoints={
+            str(endpoint.id): _take_endpoint(endpoint, now_us) for endpoint in model.endpoints.values()
+        },
+        wait_us=policy.wait_us,
+        probe_wait_us=policy.probe_wait_us,
+    )
 
-def _row(server: EndpointState, now_us: int) -> dict[str, float]:
-    age = now_us - server.seen_us if server.seen_us else NEVER
-    return {**{name: getattr(server, name) for name in _SERVER}, _AGE: age}
 
+def restore_snapshot(policy: Policy, snapshot: Snapshot, now_us: int) -> None:
+    """Take over what another process has learned, once the endpoint list is there.
 
-def restore_snapshot(policy: Policy, told: dict[str, Any], now_us: int) -> None:
-    """Take it over, once the list is there; raises before anything is changed where it can't be read."""
+    Classes and endpoints that this process doesn't know are passed over.
+    """
     model = policy.model
-    numbers = {cls.name: i for i, cls in enumerate(policy.settings.classes)}
-    loads = {numbers[name]: float(load) for name, load in told["class_load"].items() if name in numbers}
-    kinds = {int(kind): float(cost) for kind, cost in told["cost_in_means"].items()}
-    rows = {
-        id: ({name: float(row[name]) for name in _SERVER}, int(row[_AGE]))
-        for id, row in told["servers"].items()
-    }
-    plain = {name: float(told[name]) for name in _POLICY}
-    model.loads.count, model.loads.mean = int(told["loads_told"]), float(told["mean_load"])
-    model.loads.by_class.update(loads)
-    model.kind_cost.update(kinds)
-    for server in model.endpoints.values():
-        if (row := rows.get(str(server.id))) is None:
-            continue
-        values, age = row
-        for name, value in values.items():
-            setattr(server, name, value)
-        server.seen_us = max(0, now_us - max(0, age)) if age != NEVER else 0
-    for name, value in plain.items():
-        setattr(policy, name, value)
-    # What follows from these changes at once: a cost in one unit times a load in another refuses everybody.
+    class_indexes = {request_class.name: i for i, request_class in enumerate(policy.settings.classes)}
+    model.loads.count, model.loads.mean = snapshot.loads_counted, snapshot.mean_load
+    model.loads.by_class.update(
+        {class_indexes[name]: load for name, load in snapshot.class_loads.items() if name in class_indexes}
+    )
+    model.kind_cost.update(snapshot.kind_costs)
+    for endpoint in model.endpoints.values():
+        if (learned := snapshot.endpoints.get(str(endpoint.id))) is not None:
+            _restore_endpoint(endpoint, learned, now_us)
+    policy.wait_us, policy.probe_wait_us = snapshot.wait_us, snapshot.probe_wait_us
+    # Predictions and weights follow at once: a cost in one unit times a load in another would reject
+    # everybody.
     model.predict(list(model.endpoints.values()), 0.0)
     policy.controller.tabulate(policy.now)
+
+
+def _take_endpoint(endpoint: EndpointState, now_us: int) -> EndpointSnapshot:
+    return EndpointSnapshot(
+        cost=endpoint.cost,
+        health=endpoint.health,
+        weight=endpoint.weight,
+        error_sum=endpoint.error_sum,
+        last_error=endpoint.last_error,
+        report_age_us=now_us - endpoint.seen_us if endpoint.seen_us else REPORT_NEVER_CAME,
+    )
+
+
+def _restore_endpoint(endpoint: EndpointState, learned: EndpointSnapshot, now_us: int) -> None:
+    endpoint.cost = learned.cost
+    endpoint.health = learned.health
+    endpoint.weight = learned.weight
+    endpoint.error_sum = learned.error_sum
+    endpoint.last_error = learned.last_error
+    if learned.report_age_us == REPORT_NEVER_CAME:
+        endpoint.seen_us = 0
+    else:
+        endpoint.seen_us = max(0, now_us - max(0, learned.report_age_us))
--- a/tests/test_code_shape.py
+++ b/tests/test_code_shape.py
@@ -20,7 +20,6 @@
     "stepflow/fleet/trace.py",
     "stepflow/node/clients/connection.py",
     "stepflow/node/core.py",
-    "stepflow/node/process/service.py",
     "stepflow/node/upstreams/attempt.py",
     "stepflow/policy/decide.py",
 }
@@ -31,14 +30,11 @@
     "stepflow/fleet/fit.py:_servers",
     "stepflow/fleet/traffic.py:draw",
     "stepflow/fleet/world.py:World.__init__",
-    "stepflow/node/process/config.py:load",
-    "stepflow/node/process/service.py:Node.__init__",
     "stepflow/policy/decide.py:Policy.on_attempt_ended",
     "stepflow/settings.py:_settings",
 }
 WIDE_CONSTRUCTORS = {
     "stepflow/node/clients/connection.py:ClientFactory.__init__",
-    "stepflow/node/process/shutdown.py:Shutdown.__init__",
     "stepflow/node/relay.py:Relay.__init__",
     "stepflow/node/upstreams/attempt.py:UpstreamConnections.__init__",
     "stepflow/node/upstreams/liveness.py:EndpointLiveness.__init__",
--- a/tests/test_failing_calls.py
+++ b/tests/test_failing_calls.py
@@ -17,7 +17,8 @@
 import pytest
 
 from standins.preload import Call, Machine
-from stepflow.node.process import service, start
+from stepflow.node.process import run as run_module
+from stepflow.node.process import start
 from stepflow.node.process.shutdown_schedule import CLIENT_LINGER
 from tests.node_kit import PATIENCE, Discovery, Node, Peer, opening
 from tests.test_crossings import let_pass
@@ -129,8 +130,8 @@
         return 0
 
     before = signal.getsignal(signal.SIGHUP)
-    monkeypatch.setattr(start, "load", load)
-    monkeypatch.setattr(service, "run", run)
+    monkeypatch.setattr(start, "load_config", load)
+    monkeypatch.setattr(run_module, "run", run)
     try:
         assert start.start() == 0
     finally:
--- a/tests/test_format_files.py
+++ b/tests/test_format_files.py
@@ -18,7 +18,7 @@
 from stepflow.cli import main
 from stepflow.daemon import read_text
 from stepflow.interface import Settings
-from stepflow.node.process.config import ConfigError, load
+from stepflow.node.process.config import ConfigError, load_config
 from stepflow.settings import parse_node_settings, parse_settings
 from tests.test_simhost import batch, boot, host
 
@@ -100,7 +100,7 @@
 def platform_by_key(environ: Mapping[str, str], before: Mapping[str, str] | None = None) -> dict[str, object]:
     """The platform's file, read, or the line that turns it down; `before`: what was read before it."""
     try:
-        found = load(environ, None if before is None else load(before))
+        found = load_config(environ, None if before is None else load_config(before))
     except ConfigError as fault:
         return {"fault": str(fault)}
     return {
--- a/tests/test_learned_form.py
+++ b/tests/test_learned_form.py
@@ -5,6 +5,7 @@
 import json
 from typing import Any
 
+import msgspec
 import pytest
 
 from stepflow.interface import (
@@ -21,6 +22,7 @@
     Started,
     TimerFired,
 )
+from stepflow.node.process.handover_messages import HandoverMessageError, read_snapshot
 from stepflow.node.process.snapshot import restore_snapshot, take_snapshot
 from stepflow.policy import Policy
 from stepflow.settings import parse_node_settings
@@ -102,10 +104,11 @@
 
     def store(self, now_us: int) -> Any:
         """What it has learned, as the other process reads it."""
-        return json.loads(json.dumps(take_snapshot(self._policy, now_us)))
+        snapshot = take_snapshot(self._policy, now_us)
+        return json.loads(json.dumps(msgspec.to_builtins(snapshot, str_keys=True)))
 
     def take_over(self, stored: dict[str, Any], now_us: int) -> None:
-        restore_snapshot(self._policy, stored, now_us)
+        restore_snapshot(self._policy, read_snapshot(stored), now_us)
 
 
 def flat(value: Any, path: str = "") -> dict[str, Any]:
@@ -169,7 +172,7 @@
     module, now = Module("view", "edit"), 40 * SECOND
     module.list_servers(now, s_1=0, s_2=1, s_3=0)
     before = module.store(now)
-    with pytest.raises(KeyError, match=key):
+    with pytest.raises(HandoverMessageError, match=f"missing required field `{key}`"):
         module.take_over({name: item for name, item in STORED.items() if name != key}, now)
     assert module.store(now) == before
 
@@ -180,7 +183,7 @@
     module.list_servers(now, s_1=0, s_2=1, s_3=0)
     before, broken = module.store(now), json.loads(json.dumps(STORED))
     del broken["servers"]["s-2"][key]
-    with pytest.raises(KeyError, match=key):
+    with pytest.raises(HandoverMessageError, match=f"missing required field `{key}`"):
         module.take_over(broken, now)
     assert module.store(now) == before
 
--- a/tests/test_ops.py
+++ b/tests/test_ops.py
@@ -9,7 +9,7 @@
 import pytest
 
 from stepflow.node.admin.metrics import Gauges, render
-from stepflow.node.admin.site import CALLS_KEPT
+from stepflow.node.admin.site import MAX_CALLS
 from stepflow.node.runtime.counters import Counters
 from tests.node_kit import PATIENCE, Line, Node, Peer, opening
 
@@ -39,7 +39,7 @@
 def test_callers_with_no_whole_call_keep_no_others_out(part: bytes) -> None:
     """Each of them has its place for a while only, and the node's clients lose none to them."""
     with Node(Peer("s-1")) as node:
-        held = [Line(socket.create_connection(node.ops_address)) for _ in range(3 * CALLS_KEPT)]
+        held = [Line(socket.create_connection(node.ops_address)) for _ in range(3 * MAX_CALLS)]
         for line in held:
             with suppress(ConnectionError):  # a later caller may have taken its place by now
                 line.sock.sendall(part)
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -160,12 +160,12 @@
     longest = timedelta(milliseconds=milliseconds)
     until_kill = min(longest, timedelta(seconds=3)) + timedelta(milliseconds=700)
     plan = shutdown_schedule(longest)
-    assert timedelta(milliseconds=400) < plan.shut <= plan.end < plan.stop
-    assert plan.stop <= until_kill - timedelta(milliseconds=150)
-    assert plan.stop - plan.end >= timedelta(milliseconds=100)
-    waits = migration_delays(plan.end - plan.shut, 50, MIGRATION_START_SHARE)
-    assert len(waits) == 50 and waits == sorted(waits) and plan.shut + waits[-1] == plan.end
-    assert waits[0] >= (min(longest, timedelta(seconds=3)) - plan.shut) / 2
+    assert timedelta(milliseconds=400) < plan.listener_end <= plan.sessions_end < plan.exit
+    assert plan.exit <= until_kill - timedelta(milliseconds=150)
+    assert plan.exit - plan.sessions_end >= timedelta(milliseconds=100)
+    waits = migration_delays(plan.sessions_end - plan.listener_end, 50, MIGRATION_START_SHARE)
+    assert len(waits) == 50 and waits == sorted(waits) and plan.listener_end + waits[-1] == plan.sessions_end
+    assert waits[0] >= (min(longest, timedelta(seconds=3)) - plan.listener_end) / 2
 
 
 def reader(load: bool = True, delay: bool = True) -> LoadReportClassifier:
--- a/tests/test_terms.py
+++ b/tests/test_terms.py
@@ -108,7 +108,7 @@
 
 LEAN = (
     "from stepflow import lazy_imports; lazy_imports.install(); "
-    "import stepflow.node.process.start, stepflow.node.process.service"
+    "import stepflow.node.process.start, stepflow.node.process.run"
 )
 
 
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -13,6 +13,7 @@
 from contextlib import contextmanager
 from typing import Any
 
+import msgspec
 import pytest
 
 from stepflow.interface import (
@@ -24,6 +25,7 @@
     ListUpdateKind,
     Request,
 )
+from stepflow.node.process.handover_messages import HandoverMessageError, read_snapshot
 from stepflow.node.process.snapshot import restore_snapshot, take_snapshot
 from stepflow.policy import Policy
 from stepflow.settings import parse_node_settings
@@ -201,6 +203,17 @@
         assert node.client(opening()).read() == "UP r1"
 
 
+def stored(policy: Policy, now_us: int) -> dict[str, Any]:
+    """What a policy has learned, as it stands on the channel."""
+    snapshot = msgspec.to_builtins(take_snapshot(policy, now_us), str_keys=True)
+    message: dict[str, Any] = json.loads(json.dumps(snapshot))
+    return message
+
+
+def restore(policy: Policy, told: dict[str, Any], now_us: int) -> None:
+    restore_snapshot(policy, read_snapshot(told), now_us)
+
+
 @pytest.mark.parametrize("broken", ["cost_in_means", "mean_load", "class_load", "servers"])
 def test_what_was_learned_goes_on_and_what_cannot_be_read_changes_nothing(broken: str) -> None:
     settings = parse_node_settings(SETTINGS).policy
@@ -211,20 +224,20 @@
     old.handle(2_000_000, Request(64, 0, 9_000_000, load=7000.0))
     old.handle(3_000_000, HealthCheckEnded("s-1", AttemptResult.OK, 1000, (0.4, 0.0, 0.4)))
     now = 3_000_000
-    told = json.loads(json.dumps(take_snapshot(old, now)))
-    restore_snapshot(new, told, now)
-    assert take_snapshot(new, now) == told != take_snapshot(other, now)
+    told = stored(old, now)
+    restore(new, told, now)
+    assert stored(new, now) == told != stored(other, now)
     # Predictions were at 2 where the process before had 0.8: reports came before its sessions had.
     new.handle(3_500_000, HealthCheckEnded("s-1", AttemptResult.OK, 1000, (0.8, 0.0, 0.8)))
-    assert take_snapshot(new, now) != told
-    restore_snapshot(new, told, now)
-    assert take_snapshot(new, now)["servers"] == told["servers"]
+    assert stored(new, now) != told
+    restore(new, told, now)
+    assert stored(new, now)["servers"] == told["servers"]
     # Its first requests were refused: the plain cost was in the unit of a process that knows no load.
     assert new.model.plain_cost < 1 > new.model.endpoints["s-1"].predicted > 0
-    before = take_snapshot(other, now)
-    with pytest.raises((TypeError, ValueError, AttributeError)):
-        restore_snapshot(other, {**told, broken: "x"}, now)
-    assert take_snapshot(other, now) == before
+    before = stored(other, now)
+    with pytest.raises(HandoverMessageError, match=rf"`\$\.{broken}`"):
+        restore(other, {**told, broken: "x"}, now)
+    assert stored(other, now) == before
 
 
 @pytest.mark.parametrize("apart_s", [-3600, 0, 3600])
@@ -237,8 +250,8 @@
     old.handle(then, EndpointListUpdate(ListUpdateKind.FULL, (entry,)))
     new.handle(now, EndpointListUpdate(ListUpdateKind.FULL, (entry,)))
     old.handle(then + 100_000, HealthCheckEnded("s-1", AttemptResult.OK, 1000, (0.4, 0.0, 0.4)))
-    told = json.loads(json.dumps(take_snapshot(old, then + 600_000)))
-    restore_snapshot(new, told, now + 600_000)
+    told = stored(old, then + 600_000)
+    restore(new, told, now + 600_000)
     assert new.model.endpoints["s-1"].seen_us == now + 100_000
     new.handle(now + 700_000, HealthCheckEnded("s-1", AttemptResult.OK, 1000, (0.8, 0.0, 0.8)))
     cost = new.model.endpoints["s-1"].cost
