--- a/stepflow/__main__.py
+++ b/stepflow/__main__.py
@@ -1,4 +1,7 @@
-"""Starts stepflow: without a word one real node, with one the command line's."""
+"""The program's entry: without a command it runs one node, with one the command line.
+
+A node loads nothing of the command line: two hundred of them share a machine.
+"""
 
 from __future__ import annotations
 
@@ -6,14 +9,15 @@
 
 
 def main() -> int:
-    words = sys.argv[1:]
-    if words in ([], ["run"]):
+    """Run the command of the program's arguments; returns its exit code."""
+    arguments = sys.argv[1:]
+    if arguments in ([], ["run"]):
         from stepflow.node import run_node
 
         return run_node()
-    from stepflow.cli import main as command_line  # which `run` has no room for
+    from stepflow.cli import main as run_command
 
-    return command_line(words)
+    return run_command(arguments)
 
 
 if __name__ == "__main__":
--- a/stepflow/cli/__init__.py
+++ b/stepflow/cli/__init__.py
@@ -1,4 +1,9 @@
-"""The command line: each command's words and printing; what it does stands in the packages below."""
+"""The command line: the group of all commands, and how errors become lines and exit codes.
+
+Responsible for arguments and printing; the packages below do the work, and a command imports what it needs
+when it runs. Owns nothing. Errors: bad input is one line and exit code 2, a missing extra one line and exit
+code 1.
+"""
 
 from __future__ import annotations
 
@@ -8,12 +13,13 @@
 import click
 
 from stepflow import __version__
-from stepflow.cli.check import check
+from stepflow.cli.check import EXIT_BAD_INPUT, check
 from stepflow.cli.fleet import fleet
+from stepflow.cli.fleet_studies import EXIT_FAILED  # which adds its commands to the group
 from stepflow.errors import InputError
 
-EXIT_BAD_INPUT, EXIT_FAILED = 2, 1
-EXTRA = ("numpy", "pyarrow", "scipy")  # what the extra `fleet` brings
+EXIT_INTERRUPTED = 130  # as a shell tells of a program that SIGINT has ended
+EXTRA_PACKAGES = ("numpy", "pyarrow", "scipy")  # what the extra `fleet` brings
 
 
 @click.group(
@@ -37,21 +43,21 @@
 stepflow.add_command(fleet)
 
 
-def main(words: Sequence[str]) -> int:
-    """Carry out a command; bad input gets one line and exit code 2."""
+def main(arguments: Sequence[str]) -> int:
+    """Carry out a command and return its exit code; bad input gets one line and exit code 2."""
     try:
-        ended = stepflow.main(list(words), prog_name="stepflow", standalone_mode=False)
-    except InputError as fault:
-        click.echo(f"stepflow: {fault}", err=True)
+        result = stepflow.main(list(arguments), prog_name="stepflow", standalone_mode=False)
+    except InputError as error:
+        click.echo(f"stepflow: {error}", err=True)
         return EXIT_BAD_INPUT
-    except ModuleNotFoundError as fault:
-        if (fault.name or "").split(".")[0] not in EXTRA:
+    except ModuleNotFoundError as error:
+        if (error.name or "").split(".")[0] not in EXTRA_PACKAGES:
             raise
-        click.echo(f"stepflow: {fault.name} is missing: pip install 'stepflow[fleet]'", err=True)
+        click.echo(f"stepflow: {error.name} is missing: pip install 'stepflow[fleet]'", err=True)
         return EXIT_FAILED
     except click.exceptions.Abort:
-        return 130
-    except click.ClickException as fault:
-        fault.show()
-        return fault.exit_code
-    return ended if isinstance(ended, int) else 0  # the code of an Exit
+        return EXIT_INTERRUPTED
+    except click.ClickException as error:
+        error.show()
+        return error.exit_code
+    return result if isinstance(result, int) else 0  # the code of an Exit
--- a/stepflow/node/process/build.py
+++ b/stepflow/node/process/build.py
@@ -7,9 +7,8 @@
 from __future__ import annotations
 
 import os
-from dataclasses import dataclass
 from datetime import timedelta
-from typing import Protocol
+from typing import NamedTuple, Protocol
 
 from stepflow.interface import RequestClass, Settings
 from stepflow.node.clients.connection import ClientFactory
@@ -36,122 +35,52 @@
 NEVER_LATE = timedelta(days=1)
 
 
-@dataclass(frozen=True, slots=True)
-class Runtime:
-    """What all parts share."""
+class NodeParts(NamedTuple):
+    """All parts of a node, each after those that it is given."""
 
+    # What all share.
     reactor: Reactor
     clock: Clock
     counters: Counters
     timers: Timers
-
-
-@dataclass(frozen=True, slots=True)
-class Decisions:
-    """The policy, what it knows of endpoints, and the core that carries out its actions."""
-
+    # The decisions, what they are made of, and what carries them out.
     policy: Policy
     endpoint_group: EndpointGroup
     core: Core
-
-
-@dataclass(frozen=True, slots=True)
-class Connections:
-    """The node's sides: toward endpoints, clients and discovery."""
-
+    # The connections: toward endpoints, discovery, the other process, and clients.
     upstreams: UpstreamConnections
     load_reports: LoadReportClassifier
     liveness: LivenessMonitor
     discovery: DiscoveryClient
-    clients: ClientFactory
-    descriptors: Descriptors
-
-
-@dataclass(frozen=True, slots=True)
-class Lifecycle:
-    """What begins, follows and ends the process."""
-
     handover: Handover
+    descriptors: Descriptors
+    clients: ClientFactory
+    # What follows and ends the process.
     shutdown: Shutdown
     recording: Recording
     garbage: GarbageCollection
     wall_clock: WallClockMonitor
 
 
-@dataclass(frozen=True, slots=True)
-class NodeParts:
-    """All parts of a node."""
-
-    runtime: Runtime
-    decisions: Decisions
-    connections: Connections
-    lifecycle: Lifecycle
-
-
 class Process(HandoverProcess, StoppableProcess, Protocol):
     """What parts ask of the process that holds them."""
 
 
 def build_parts(config: NodeConfig, reactor: Reactor, process: Process) -> NodeParts:
-    """Build the parts of a node; none of them begins anything yet."""
-    runtime = _build_runtime(reactor)
-    decisions = _build_decisions(config, runtime)
-    handover = Handover(reactor, runtime.timers, process, handover_path(config.name))
-    connections = _build_connections(config, runtime, decisions, handover)
-    shutdown = Shutdown(process, decisions.core, connections.clients, runtime.clock, runtime.timers, handover)
-    lifecycle = Lifecycle(
-        handover=handover,
-        shutdown=shutdown,
-        recording=Recording(decisions.core, runtime.clock, runtime.timers, config.name),
-        garbage=GarbageCollection(runtime.timers),
-        wall_clock=WallClockMonitor(runtime.timers, runtime.counters),
-    )
-    return NodeParts(runtime, decisions, connections, lifecycle)
-
-
-def handover_path(node_name: str) -> str:
-    """The Unix socket that a node's processes find each other by; empty without a folder for it."""
-    folder = os.environ.get("TMPDIR", "")
-    return os.path.join(folder, f"stepflow-{node_name}") if folder else ""
-
-
-def class_indexes(settings: Settings, current: Settings) -> dict[bytes, int]:
-    """The classes that clients may name, by name: those of the current file, in the table of all so far."""
-    return {cls.name.encode(): settings.classes.index(cls) for cls in current.classes}
-
-
-def tenant_indexes(settings: Settings) -> dict[bytes, int]:
-    """The tenants that clients may name, by name."""
-    return {tenant.name.encode(): index for index, tenant in enumerate(settings.tenants)}
-
-
-def late_after(classes: tuple[RequestClass, ...]) -> timedelta:
-    """How long a message takes that is late: a part of the shortest latency objective of messages."""
-    objectives = [cls.message_latency_objective_us for cls in classes if cls.message_latency_objective_us > 0]
-    return timedelta(microseconds=min(objectives)) / LATE_MESSAGE_DIVISOR if objectives else NEVER_LATE
-
+    """Build the parts of a node; none of them begins anything yet.
 
-def _build_runtime(reactor: Reactor) -> Runtime:
-    clock, counters = Clock(), Counters()
-    return Runtime(reactor, clock, counters, Timers(clock, reactor, counters))
-
-
-def _build_decisions(config: NodeConfig, runtime: Runtime) -> Decisions:
+    Long: one call a part, in the order in which parts are given to each other.
+    """
     settings = config.settings.policy
+    clock, counters = Clock(), Counters()
+    timers = Timers(clock, reactor, counters)
     policy = Policy(settings, config.seed)
-    slots = session_slots(config.sockets)
-    core = Core(policy, settings, runtime.clock, runtime.timers, runtime.counters, slots)
-    return Decisions(policy, EndpointGroup(settings.zones, settings.kinds), core)
-
-
-def _build_connections(
-    config: NodeConfig, runtime: Runtime, decisions: Decisions, handover: Handover
-) -> Connections:
-    reactor, clock, counters, timers = runtime.reactor, runtime.clock, runtime.counters, runtime.timers
-    core, group, settings = decisions.core, decisions.endpoint_group, config.settings.policy
+    core = Core(policy, settings, clock, timers, counters, session_slots(config.sockets))
+    group = EndpointGroup(settings.zones, settings.kinds)
     upstreams = UpstreamConnections(reactor, core, clock, timers, counters, group, config.settings)
     load_reports = LoadReportClassifier(config.settings)
     liveness = LivenessMonitor(clock, core, timers, late_after(settings.classes), load_reports)
+    handover = Handover(reactor, timers, process, handover_path(config.name))
     descriptors = Descriptors(config.sockets, core, upstreams, handover)
     clients = ClientFactory(
         core,
@@ -165,11 +94,45 @@
         tenant_indexes(settings),
         lambda: descriptors.free(clients.open),
     )
-    return Connections(
+    return NodeParts(
+        reactor=reactor,
+        clock=clock,
+        counters=counters,
+        timers=timers,
+        policy=policy,
+        endpoint_group=group,
+        core=core,
         upstreams=upstreams,
         load_reports=load_reports,
         liveness=liveness,
         discovery=DiscoveryClient(reactor, config.discovery, group, core, timers, counters),
-        clients=clients,
+        handover=handover,
         descriptors=descriptors,
+        clients=clients,
+        shutdown=Shutdown(process, core, clients, clock, timers, handover),
+        recording=Recording(core, clock, timers, config.name),
+        garbage=GarbageCollection(timers),
+        wall_clock=WallClockMonitor(timers, counters),
     )
+
+
+def handover_path(node_name: str) -> str:
+    """The Unix socket that a node's processes find each other by; empty without a folder for it."""
+    folder = os.environ.get("TMPDIR", "")
+    return os.path.join(folder, f"stepflow-{node_name}") if folder else ""
+
+
+def class_indexes(settings: Settings, current: Settings) -> dict[bytes, int]:
+    """The classes that clients may name, by name: those of the current file, in the table of all so far."""
+    return {cls.name.encode(): settings.classes.index(cls) for cls in current.classes}
+
+
+def tenant_indexes(settings: Settings) -> dict[bytes, int]:
+    """The tenants that clients may name, by name."""
+    return {tenant.name.encode(): index for index, tenant in enumerate(settings.tenants)}
+
+
+def late_after(classes: tuple[RequestClass, ...]) -> timedelta:
+    """How long a message takes that is late: a part of the shortest latency objective of messages."""
+    objectives = [cls.message_latency_objective_us for cls in classes if cls.message_latency_objective_us > 0]
+    return timedelta(microseconds=min(objectives)) / LATE_MESSAGE_DIVISOR if objectives else NEVER_LATE
--- a/stepflow/node/process/config.py
+++ b/stepflow/node/process/config.py
@@ -59,12 +59,11 @@
     tree: dict[str, object]  # the file itself, but for the list
 
 
-class _Source(NamedTuple):
+class _Source:
     """The file and the environment that it is read under, which hold a node's configuration together."""
 
-    path: str
-    file: PlatformFile
-    environ: Mapping[str, str]
+    def __init__(self, path: str, file: PlatformFile, environ: Mapping[str, str]) -> None:
+        self.path, self.file, self.environ = path, file, environ
 
     def text(self, key: str) -> str:
         """What the file says, or the environment where the file says nothing."""
--- a/stepflow/node/process/reload.py
+++ b/stepflow/node/process/reload.py
@@ -40,27 +40,27 @@
 
     def follow_recording(self) -> None:
         """Record traffic as the operators' file says now."""
-        self._parts.lifecycle.recording.follow(self._operators.record, self.settings)
+        self._parts.recording.follow(self._operators.record, self.settings)
 
     def reload(self) -> None:
         """Read the files again and go on with them, as far as they can change while the node runs."""
-        self._reload(self._parts.runtime.clock.now() + READ_RETRY_LIMIT)
+        self._reload(self._parts.clock.now() + READ_RETRY_LIMIT)
 
     def _reload(self, until: timedelta) -> None:
-        runtime = self._parts.runtime
-        if self._parts.lifecycle.shutdown.has_begun:
+        parts = self._parts
+        if self._parts.shutdown.has_begun:
             return
         try:
             config, operators = self._read_files(self.config)
         except InputError as error:
-            if error.is_transient and runtime.clock.now() < until:
-                runtime.timers.after(READ_RETRY_DELAY, lambda: self._reload(until))
+            if error.is_transient and parts.clock.now() < until:
+                parts.timers.after(READ_RETRY_DELAY, lambda: self._reload(until))
                 return
-            runtime.counters.reloads_failed += 1
+            parts.counters.reloads_failed += 1
             log.warning("reload turned down, the old configuration goes on", fault=error)
             return
         self._apply(config, operators)
-        runtime.counters.reloads += 1
+        parts.counters.reloads += 1
         log.info("reloaded", discovery=config.discovery)
 
     def _apply(self, config: NodeConfig, operators: OperatorFile) -> None:
@@ -76,16 +76,16 @@
             self._update_settings(config.settings)
         self.follow_recording()
         if config.discovery != old.discovery:
-            self._parts.connections.discovery.move(config.discovery)
+            self._parts.discovery.move(config.discovery)
 
     def _update_settings(self, update: NodeSettings) -> None:
         """Hand new settings to all who hold the old ones, in one step."""
-        connections = self._parts.connections
+        parts = self._parts
         self.settings = merge_settings(self.settings, update.policy)
-        self._parts.decisions.core.update_settings(self.settings)
-        connections.upstreams.settings = update._replace(policy=self.settings)
-        connections.liveness.update_latency_objective(late_after(update.policy.classes))
-        connections.load_reports.update_settings(update)
-        connections.clients.classes = class_indexes(self.settings, update.policy)
-        connections.clients.tenants = tenant_indexes(self.settings)
+        self._parts.core.update_settings(self.settings)
+        parts.upstreams.settings = update._replace(policy=self.settings)
+        parts.liveness.update_latency_objective(late_after(update.policy.classes))
+        parts.load_reports.update_settings(update)
+        parts.clients.classes = class_indexes(self.settings, update.policy)
+        parts.clients.tenants = tenant_indexes(self.settings)
         log.info("takes settings", classes=",".join(cls.name for cls in update.policy.classes))
--- a/stepflow/node/process/service.py
+++ b/stepflow/node/process/service.py
@@ -45,10 +45,8 @@
     ) -> None:
         self.name = config.name
         self._config, self._reactor = config, reactor  # as it was at the start
-        self._parts = parts = build_parts(config, reactor, self)
-        self._runtime, self._decisions = parts.runtime, parts.decisions
-        self._connections, self._lifecycle = parts.connections, parts.lifecycle
-        self._reloader = Reloader(parts, config, operators, read_files)
+        self._parts = build_parts(config, reactor, self)
+        self._reloader = Reloader(self._parts, config, operators, read_files)
         self._listener: ClientListener | None = None
         self._stopped = False
         self._started_at = ZERO
@@ -58,7 +56,7 @@
 
     def now(self) -> timedelta:
         """The time of the node's clock."""
-        return self._runtime.clock.now()
+        return self._parts.clock.now()
 
     # The start.
 
@@ -67,16 +65,16 @@
         self._started_at = self.now()
         if self._config.ops is not None:
             self._listen_for_operators(self._config.ops)
-        self._lifecycle.handover.find_predecessor(self._begin)
+        self._parts.handover.find_predecessor(self._begin)
 
     def _listen_for_operators(self, address: Address) -> None:
-        site = AdminSite(self._runtime.timers, self._can_serve, self._metrics)
+        site = AdminSite(self._parts.timers, self._can_serve, self._metrics)
         try:
             port = listen_for_operators(self._reactor, address, site).getHost().port
         except (CannotListenError, OSError) as error:
             if not self._may_listen_again(error):
                 raise
-            self._runtime.timers.after(LISTEN_RETRY_DELAY, lambda: self._listen_for_operators(address))
+            self._parts.timers.after(LISTEN_RETRY_DELAY, lambda: self._listen_for_operators(address))
             return
         log.info("hears operators", address=Address(address.host, port))
 
@@ -87,12 +85,12 @@
     def _begin(self, listener: int | None, state: HandoverState) -> None:
         """Start the policy with the newest list there is, then accept clients."""
         try:
-            _, known = self._decisions.endpoint_group.apply(state.endpoint_list or self._config.known)
+            _, known = self._parts.endpoint_group.apply(state.endpoint_list or self._config.known)
         except EndpointListError as error:
             log.warning("the known list is passed over", fault=error)
             known = ()
-        discovery = self._connections.discovery
-        self._decisions.core.start(self._connections.upstreams, discovery, known)
+        discovery = self._parts.discovery
+        self._parts.core.start(self._parts.upstreams, discovery, known)
         if state.has_snapshot:
             log.info("takes over from the process that serves", node=self.name)
             self._predecessor, self._predecessor_found_at = state, self.now()
@@ -108,16 +106,16 @@
         except HandoverMessageError as error:
             log.warning("what the process before has learned can't be read", fault=repr(error))
             return
-        restore_snapshot(self._decisions.policy, snapshot, micros(self._predecessor_found_at))
+        restore_snapshot(self._parts.policy, snapshot, micros(self._predecessor_found_at))
 
     def _listen(self, inherited: int | None) -> None:
         """Accept clients, from the predecessor's socket where it has passed that."""
-        address, clients = self._config.listen, self._connections.clients
+        address, clients = self._config.listen, self._parts.clients
         try:
-            listener = listen(self._reactor, address, clients, self._runtime.counters, inherited)
+            listener = listen(self._reactor, address, clients, self._parts.counters, inherited)
         except OSError as error:
             if self._may_listen_again(error):
-                self._runtime.timers.after(LISTEN_RETRY_DELAY, lambda: self._listen(inherited))
+                self._parts.timers.after(LISTEN_RETRY_DELAY, lambda: self._listen(inherited))
                 return
             print(f"stepflow: {address}: {error.strerror}", file=sys.stderr)
             self.exit_code = EXIT_FAILED
@@ -126,23 +124,23 @@
         self._listener = listener
         log.info("listens", address=Address(address.host, listener.getHost().port), node=self.name)
         self._reloader.follow_recording()
-        self._lifecycle.garbage.begin()
-        self._lifecycle.wall_clock.begin()
-        self._lifecycle.handover.start_serving()
+        self._parts.garbage.begin()
+        self._parts.wall_clock.begin()
+        self._parts.handover.start_serving()
 
     # While it serves.
 
     def _can_serve(self) -> bool:
-        return self._listener is not None and not self._lifecycle.shutdown.has_begun
+        return self._listener is not None and not self._parts.shutdown.has_begun
 
     def _metrics(self) -> bytes:
-        decisions = self._decisions
+        parts = self._parts
         gauges = Gauges(
-            in_flight=decisions.core.open,
-            map_servers_known=len(decisions.endpoint_group),
-            map_servers_excluded=count_excluded(decisions.policy.model.endpoints.values()),
+            in_flight=parts.core.open,
+            map_servers_known=len(parts.endpoint_group),
+            map_servers_excluded=count_excluded(parts.policy.model.endpoints.values()),
         )
-        return render(self._runtime.counters, gauges)
+        return render(self._parts.counters, gauges)
 
     def reload(self) -> None:
         """Read the configuration again and go on with it, as far as it can change while the node runs."""
@@ -150,24 +148,24 @@
 
     def print_counters(self) -> None:
         """Print the counters to standard error, whatever the log's level."""
-        print_plainly(f"counters: {self._runtime.counters}")
+        print_plainly(f"counters: {self._parts.counters}")
 
     # Hand-over, as its channel asks (handover.py).
 
     def handover_state(self) -> tuple[int, HandoverState]:
         """The listening socket, and what a successor should know."""
         assert self._listener is not None  # a successor is waited for once clients are accepted
-        snapshot = take_snapshot(self._decisions.policy, micros(self.now()))
-        state = HandoverState(endpoint_list=self._decisions.endpoint_group.message(), snapshot=snapshot)
+        snapshot = take_snapshot(self._parts.policy, micros(self.now()))
+        state = HandoverState(endpoint_list=self._parts.endpoint_group.message(), snapshot=snapshot)
         return self._listener.fileno(), state
 
     def open_descriptors(self) -> int:
         """How many this process holds open, or reserves."""
-        return self._connections.descriptors.in_use(self._connections.clients.open)
+        return self._parts.descriptors.in_use(self._parts.clients.open)
 
     def adopt_session(self, session: SessionTransfer, client: int, endpoint: int) -> bool:
         """Go on with a session of the predecessor; False leaves it there."""
-        return self._can_serve() and self._connections.clients.adopt(session, client, endpoint)
+        return self._can_serve() and self._parts.clients.adopt(session, client, endpoint)
 
     def sessions_complete(self) -> None:
         """The predecessor has passed all its sessions: restore its snapshot once more.
@@ -178,19 +176,19 @@
             return
         self._restore_snapshot(self._predecessor)
         self._predecessor = None
-        sessions = len(self._decisions.core.established_sessions())
+        sessions = len(self._parts.core.established_sessions())
         log.info("has all sessions", sessions=sessions, node=self.name)
 
     def session_answered(self, number: int, accepted: bool) -> None:
         """The successor has answered the offer of this number."""
-        self._lifecycle.shutdown.session_answered(number, accepted)
+        self._parts.shutdown.session_answered(number, accepted)
 
     # The end.
 
     def terminate(self, signalled_at: timedelta | None = None) -> None:
         """Begin the graceful shutdown, counted from the moment that the signal came."""
         begun = self.now() if signalled_at is None else signalled_at
-        self._lifecycle.shutdown.begin(begun, self._listener)
+        self._parts.shutdown.begin(begun, self._listener)
 
     def longest_deadline(self) -> timedelta:
         """The longest deadline of a class, as the settings have it now."""
@@ -205,9 +203,9 @@
 
     def close(self) -> None:
         """Give back what outlives the clients."""
-        shutdown = self._lifecycle.shutdown
+        shutdown = self._parts.shutdown
         left = shutdown.time_left() if shutdown.has_begun else DISK_WAIT
-        self._lifecycle.recording.end(max(left, DISK_WAIT))
-        self._lifecycle.handover.close()
-        self._connections.discovery.close()
-        self._connections.upstreams.close()
+        self._parts.recording.end(max(left, DISK_WAIT))
+        self._parts.handover.close()
+        self._parts.discovery.close()
+        self._parts.upstreams.close()
--- a/tests/test_code_shape.py
+++ b/tests/test_code_shape.py
@@ -25,7 +25,6 @@
 }
 # Functions that have not been split yet, and constructors that take more arguments, by file and name.
 LONG_FUNCTIONS = {
-    "stepflow/cli/fleet.py:compare",
     "stepflow/fleet/fit.py:_classes",
     "stepflow/fleet/fit.py:_servers",
     "stepflow/fleet/traffic.py:draw",
