--- /dev/null
+++ b/stepflow/node/process/build.py
@@ -0,0 +1,138 @@
+"""The parts of a node, built and joined.
+
+Responsible for what each part is given; the parts work from `Node.start` on. Owns nothing: `Node` holds the
+parts.
+"""
+
+from __future__ import annotations
+
+import os
+from datetime import timedelta
+from typing import NamedTuple, Protocol
+
+from stepflow.interface import RequestClass, Settings
+from stepflow.node.clients.connection import ClientFactory
+from stepflow.node.core import Core
+from stepflow.node.discovery import DiscoveryClient
+from stepflow.node.process.config import NodeConfig
+from stepflow.node.process.descriptors import Descriptors, session_slots
+from stepflow.node.process.handover import Handover, HandoverProcess
+from stepflow.node.process.shutdown import Shutdown, StoppableProcess
+from stepflow.node.recording import Recording
+from stepflow.node.runtime.clock import Clock
+from stepflow.node.runtime.counters import Counters
+from stepflow.node.runtime.garbage import GarbageCollection
+from stepflow.node.runtime.timers import Timers
+from stepflow.node.runtime.transports import Reactor
+from stepflow.node.runtime.wall_clock import WallClockMonitor
+from stepflow.node.upstreams.attempt import UpstreamConnections
+from stepflow.node.upstreams.liveness import LivenessMonitor
+from stepflow.node.upstreams.load_reports import LoadReportClassifier
+from stepflow.policy import Policy
+from stepflow.upstream import EndpointGroup
+
+LATE_MESSAGE_DIVISOR = 3  # a message is late after this part of the shortest objective
+NEVER_LATE = timedelta(days=1)
+
+
+class NodeParts(NamedTuple):
+    """All parts of a node, each after those that it is given."""
+
+    # What all share.
+    reactor: Reactor
+    clock: Clock
+    counters: Counters
+    timers: Timers
+    # The decisions, what they are made of, and what carries them out.
+    policy: Policy
+    endpoint_group: EndpointGroup
+    core: Core
+    # The connections: toward endpoints, discovery, the other process, and clients.
+    upstreams: UpstreamConnections
+    load_reports: LoadReportClassifier
+    liveness: LivenessMonitor
+    discovery: DiscoveryClient
+    handover: Handover
+    descriptors: Descriptors
+    clients: ClientFactory
+    # What follows and ends the process.
+    shutdown: Shutdown
+    recording: Recording
+    garbage: GarbageCollection
+    wall_clock: WallClockMonitor
+
+
+class Process(HandoverProcess, StoppableProcess, Protocol):
+    """What parts ask of the process that holds them."""
+
+
+def build_parts(config: NodeConfig, reactor: Reactor, process: Process) -> NodeParts:
+    """Build the parts of a node; none of them begins anything yet.
+
+    Long: one call a part, in the order in which parts are given to each other.
+    """
+    settings = config.settings.policy
+    clock, counters = Clock(), Counters()
+    timers = Timers(clock, reactor, counters)
+    policy = Policy(settings, config.seed)
+    core = Core(policy, settings, clock, timers, counters, session_slots(config.sockets))
+    group = EndpointGroup(settings.zones, settings.kinds)
+    upstreams = UpstreamConnections(reactor, core, clock, timers, counters, group, config.settings)
+    load_reports = LoadReportClassifier(config.settings)
+    liveness = LivenessMonitor(clock, core, timers, late_after(settings.classes), load_reports)
+    handover = Handover(reactor, timers, process, handover_path(config.name))
+    descriptors = Descriptors(config.sockets, core, upstreams, handover)
+    clients = ClientFactory(
+        core,
+        clock,
+        timers,
+        counters,
+        liveness,
+        reactor,
+        upstreams,
+        class_indexes(settings, settings),
+        tenant_indexes(settings),
+        lambda: descriptors.free(clients.open),
+    )
+    return NodeParts(
+        reactor=reactor,
+        clock=clock,
+        counters=counters,
+        timers=timers,
+        policy=policy,
+        endpoint_group=group,
+        core=core,
+        upstreams=upstreams,
+        load_reports=load_reports,
+        liveness=liveness,
+        discovery=DiscoveryClient(reactor, config.discovery, group, core, timers, counters),
+        handover=handover,
+        descriptors=descriptors,
+        clients=clients,
+        shutdown=Shutdown(process, core, clients, clock, timers, handover),
+        recording=Recording(core, clock, timers, config.name),
+        garbage=GarbageCollection(timers),
+        wall_clock=WallClockMonitor(timers, counters),
+    )
+
+
+def handover_path(node_name: str) -> str:
+    """The Unix socket that a node's processes find each other by; empty without a folder for it."""
+    folder = os.environ.get("TMPDIR", "")
+    return os.path.join(folder, f"stepflow-{node_name}") if folder else ""
+
+
+def class_indexes(settings: Settings, current: Settings) -> dict[bytes, int]:
+    """The classes that clients may name, by name: those of the current file, in the table of all so far."""
+    return {cls.name.encode(): settings.classes.index(cls) for cls in current.classes}
+
+
+def tenant_indexes(settings: Settings) -> dict[bytes, int]:
+    """The tenants that clients may name, by name."""
+    return {tenant.name.encode(): index for index, tenant in enumerate(settings.tenants)}
+
+
+def late_after(classes: tuple[RequestClass, ...]) -> timedelta:
+    """How long a message takes that is late: a part of the shortest latency objective of messages."""
+    objectives = [cls.message_latency_objective_us for cls in classes if cls.message_latency_objective_us > 0]
+    return timedelta(microseconds=min(objectives)) / LATE_MESSAGE_DIVISOR if objectives else NEVER_LATE
--- a/tests/test_code_shape.py
+++ b/tests/test_code_shape.py
@@ -19,22 +19,17 @@
     "stepflow/fleet/fit.py",
     "stepflow/fleet/trace.py",
     "stepflow/node/clients/connection.py",
-    "stepflow/node/process/service.py",
     "stepflow/node/upstreams/attempt.py",
 }
 # Functions that have not been split yet, and constructors that take more arguments, by file and name.
 LONG_FUNCTIONS = {
-    "stepflow/cli/fleet.py:compare",
     "stepflow/fleet/fit.py:_classes",
     "stepflow/fleet/fit.py:_servers",
     "stepflow/fleet/traffic.py:draw",
     "stepflow/fleet/world.py:World.__init__",
-    "stepflow/node/process/config.py:load",
-    "stepflow/node/process/service.py:Node.__init__",
 }
 WIDE_CONSTRUCTORS = {
     "stepflow/node/clients/connection.py:ClientFactory.__init__",
-    "stepflow/node/process/shutdown.py:Shutdown.__init__",
     "stepflow/node/relay.py:Relay.__init__",
     "stepflow/node/upstreams/attempt.py:UpstreamConnections.__init__",
     "stepflow/node/upstreams/liveness.py:EndpointLiveness.__init__",
