--- /dev/null
+++ b/stepflow/node/clients/factory.py
@@ -0,0 +1,97 @@
+"""Makes the protocols of client connections: of new ones, and of sessions that another process hands over.
+
+It owns what all client connections of the node share: their admission by descriptors, the ids of open
+requests, and the names that clients may use. A connection that can't be admitted is closed by the listener; a
+session that can't be taken over stays with the process that offered it.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Callable, Mapping
+from datetime import timedelta
+from typing import Any
+
+from twisted.internet.interfaces import IAddress
+from twisted.internet.protocol import Factory
+
+from stepflow.interface import Request
+from stepflow.node.clients.admission import DescriptorAdmission
+from stepflow.node.clients.connection import ClientConnection, ClientServices
+from stepflow.node.clients.open_request import OpenRequest, parse_open_request, tenant_index
+from stepflow.node.runtime.transports import Reactor, family
+from stepflow.node.upstreams.attempt import UpstreamConnections
+from stepflow.node.upstreams.dialer import Dial
+
+
+class ClientFactory(Factory):
+    """Twisted's factory of client connections, as many as there are descriptors for.
+
+    `classes` and `tenants` map the names that clients may use to their indices in the settings; a reload
+    replaces them. `free_descriptors` tells how many descriptors are left if each open request has one for its
+    endpoint.
+    """
+
+    noisy = False
+
+    def __init__(
+        self,
+        services: ClientServices,
+        reactor: Reactor,
+        upstreams: UpstreamConnections,
+        classes: Mapping[bytes, int],
+        tenants: Mapping[bytes, int],
+        free_descriptors: Callable[[], int],
+    ) -> None:
+        self.classes, self.tenants = classes, tenants
+        self._services, self._reactor, self._upstreams = services, reactor, upstreams
+        self._admission = DescriptorAdmission(free_descriptors, services.counters)
+        self._request_ids: set[int] = set()  # of the requests that are open
+
+    @property
+    def open(self) -> int:
+        """Client connections that are open."""
+        return self._admission.open_connections
+
+    def buildProtocol(self, addr: IAddress | None) -> ClientConnection | None:
+        """Make the protocol of an accepted connection.
+
+        None has the listener close the socket: with no descriptor left there is none to answer BUSY on.
+        """
+        if not self._admission.make_room():
+            self._services.counters.table_full += 1
+            return None
+        return self._new_connection()
+
+    def adopt(self, told: dict[str, Any], client: int, peer: int) -> bool:
+        """Take a session over from the process before; False leaves it there.
+
+        `client` and `peer` are the descriptors of its two sockets.
+        """
+        cls, at = self.classes.get(str(told.get("class")).encode()), told.get("at")
+        if cls is None or not isinstance(at, str) or not self._admission.make_room():
+            return False
+        families = family(client), family(peer)  # raises for a closed socket, before anything is counted
+        tenant = tenant_index(self.tenants, str(told.get("tenant", "")).encode())
+        request = Request(0, cls, 0, told["load"], tenant, told["key"], told["group"])
+        connection = self._new_connection()
+        context = self._services.core.adopt_session(request, connection, at)
+        if context is None:
+            return False
+        self._reactor.adoptStreamConnection(client, families[0], Dial(connection, lambda: None))
+        connection.adopt_request(context, told["id"])
+        context.attempt = attempt = self._upstreams.adopt_session(context, peer)
+        connection.session_established(attempt)
+        connection.go_on(told)
+        return True
+
+    def turn_away(self) -> None:
+        """Answer BUSY to all clients that have not opened: a request may be on its way."""
+        for client in self._admission.eviction_order():
+            client.reject(timedelta(0))
+
+    def _new_connection(self) -> ClientConnection:
+        return ClientConnection(self._services, self._admission, self._request_ids, self._parse)
+
+    def _parse(self, line: bytes) -> OpenRequest:
+        """Parse an OPEN line by the settings as they are now."""
+        return parse_open_request(line, self._services.clock.now(), self.classes, self.tenants)
--- a/stepflow/node/process/service.py
+++ b/stepflow/node/process/service.py
@@ -20,7 +20,8 @@
 from stepflow.node.admin.metrics import Gauges, excluded, render
 from stepflow.node.admin.site import CALLS_KEPT, OpsSite
 from stepflow.node.admin.site import listen as listen_for_operators
-from stepflow.node.clients.connection import ClientFactory
+from stepflow.node.clients.connection import ClientServices
+from stepflow.node.clients.factory import ClientFactory
 from stepflow.node.clients.listener import ClientListener, listen
 from stepflow.node.core import Core
 from stepflow.node.discovery import DiscoveryClient
@@ -89,19 +90,9 @@
         self._discovery = DiscoveryClient(
             reactor, config.discovery, self._group, self._core, self._deadlines, self.counters
         )
+        services = ClientServices(self._core, clock, self._deadlines, self.counters, self._pulses)
         classes = _numbers(settings, settings)
-        self._factory = ClientFactory(
-            self._core,
-            clock,
-            self._deadlines,
-            self.counters,
-            self._pulses,
-            reactor,
-            self._peers,
-            classes,
-            _tenants(settings),
-            self._free,
-        )
+        self._factory = ClientFactory(services, reactor, self._peers, classes, _tenants(settings), self._free)
         folder = os.environ.get("TMPDIR", "")
         path = os.path.join(folder, f"stepflow-{config.name}") if folder else ""
         self._garbage = GarbageCollection(self._deadlines)
--- a/stepflow/node/process/shutdown.py
+++ b/stepflow/node/process/shutdown.py
@@ -10,7 +10,8 @@
 from typing import cast
 
 from stepflow.logs import get_logger
-from stepflow.node.clients.connection import ClientConnection, ClientFactory
+from stepflow.node.clients.connection import ClientConnection
+from stepflow.node.clients.factory import ClientFactory
 from stepflow.node.clients.listener import ClientListener
 from stepflow.node.core import Core, RequestContext
 from stepflow.node.process.handover import Handover
--- a/tests/test_code_shape.py
+++ b/tests/test_code_shape.py
@@ -18,9 +18,7 @@
 LONG_FILES = {
     "stepflow/fleet/fit.py",
     "stepflow/fleet/trace.py",
-    "stepflow/node/clients/connection.py",
     "stepflow/node/core.py",
-    "stepflow/node/process/service.py",
     "stepflow/node/upstreams/attempt.py",
     "stepflow/policy/decide.py",
 }
@@ -37,7 +35,6 @@
     "stepflow/settings.py:_settings",
 }
 WIDE_CONSTRUCTORS = {
-    "stepflow/node/clients/connection.py:ClientFactory.__init__",
     "stepflow/node/process/shutdown.py:Shutdown.__init__",
     "stepflow/node/relay.py:Relay.__init__",
     "stepflow/node/upstreams/attempt.py:UpstreamConnections.__init__",
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -13,7 +13,7 @@
 
 import pytest
 
-from stepflow.node.clients.connection import FIRST_LINE
+from stepflow.node.clients.connection import FIRST_LINE_TIMEOUT
 from stepflow.node.relay import SILENCE
 from tests.node_kit import PATIENCE, Discovery, Node, Peer, opening
 
@@ -146,7 +146,7 @@
 
 def test_a_client_that_writes_slowly_is_heard_though_a_silent_crowd_came_after_it() -> None:
     """It was the oldest that had not opened, and went first; 2 s to write, which some need, ended it too."""
-    assert timedelta(seconds=2.5) < FIRST_LINE < timedelta(seconds=2.8)
+    assert timedelta(seconds=2.5) < FIRST_LINE_TIMEOUT < timedelta(seconds=2.8)
 
     def limit(config: dict[str, Any]) -> None:
         config["limits"]["sockets"] = 128
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -13,7 +13,7 @@
 from twisted.internet.task import Clock as TwistedClock
 
 from stepflow.interface import Request, SessionReportKind
-from stepflow.node.clients.connection import MalformedRequestError, parse_open_request
+from stepflow.node.clients.open_request import MalformedRequestError, parse_open_request
 from stepflow.node.core import Core, Downstream, RequestContext
 from stepflow.node.process.shutdown_schedule import MIGRATION_START_SHARE, migration_delays, shutdown_schedule
 from stepflow.node.runtime.clock import Clock
@@ -97,7 +97,7 @@
 def test_an_opening_changes_in_d_alone() -> None:
     line = b"OPEN 0a 0b c=view,h=12.5,d=700,g=0c,r=1,again=1,z=?"
     opening = parse_open_request(line, timedelta(seconds=10), {b"view": 4})
-    assert opening.line(timedelta(milliseconds=300)) == line.replace(b"d=700", b"d=300") + b"\r\n"
+    assert opening.line_for_attempt(timedelta(milliseconds=300)) == line.replace(b"d=700", b"d=300") + b"\r\n"
     request = opening.request
     assert (request.class_index, request.expires_us, request.load) == (4, 10_700_000, 12.5)
     assert (request.idempotency_key, request.affinity_group, request.is_retry, request.is_migrated) == (
