--- a/stepflow/node/clients/listener.py
+++ b/stepflow/node/clients/listener.py
@@ -1,6 +1,14 @@
-"""The listening socket: accepts clients whatever accept(2) fails with, and ends without resetting any."""
+"""The listening socket: accepts clients whatever accept(2) fails with, and closes without resetting any.
 
-# Twisted's ports have no types.
+It owns the listening socket, which two processes may hold during a hand-over. A failure of accept(2) that
+concerns one connection is passed over; any other is counted as `accept_failures`, and accepting goes on after
+`ACCEPT_RETRY_DELAY`. An exception while a client's protocol is made is logged and counted as a fault, and
+costs this client alone. `listen` raises OSError where the address can't be bound.
+
+docs/endings.md lists what is owed to clients that wait in the kernel's queue when the socket closes.
+"""
+
+# Twisted's ports have no type annotations.
 # mypy: disallow-untyped-calls=False
 
 from __future__ import annotations
@@ -24,52 +32,61 @@
 
 log = get_logger()
 
-BACKLOG = 4096  # all clients of a node that died come at once
-MOST_AT_ONCE = 200  # accepted in one turn of the reactor
+BACKLOG = 4096  # connections; all clients of a node that died come at once
+MAX_ACCEPTS_PER_TURN = 200  # of the reactor, which has other sockets to serve too
 
 
 class ClientListener(Protocol):
-    """A listening socket, as the node sees it."""
+    """A listening socket, as the rest of the node sees it."""
+
+    def getHost(self) -> Any:
+        """Twisted's address of the socket, with its `port`."""
+
+    def fileno(self) -> int:
+        """Its descriptor."""
+
+    def stop_hearing(self) -> None:
+        """Accept no more, but keep the socket open."""
 
-    def getHost(self) -> Any: ...
-    def fileno(self) -> int: ...
-    def stop_hearing(self) -> None: ...
-    def end(self, ended: Callable[[], None]) -> None: ...
-    def close_now(self) -> None: ...
+    def end(self, ended: Callable[[], None]) -> None:
+        """Accept all clients that wait in the kernel's queue, close the socket, then call `ended`."""
+
+    def close_now(self) -> None:
+        """Close the socket in this turn of the reactor."""
 
 
 class ClientPort(tcp.Port):
-    """Twisted's port, but for its accepting.
+    """Twisted's port with an accept loop of its own.
 
-    Twisted's own closes clients unheard where descriptors run out, and asks without a pause where memory
-    does.
+    Twisted's loop closes clients without an answer when descriptors run out, and retries without a delay when
+    memory does.
     """
 
-    counters: Counters
-    heard = True  # whether this process accepts at all: another may hold the socket too
+    counters: Counters  # set by `listen`, since Twisted makes the port
+    heard = True  # False once this process has stopped accepting: another may hold the socket too
     _pausing = False
 
     def doRead(self) -> None:
-        """Accept what waits; the reactor's call."""
-        for _ in range(MOST_AT_ONCE):
+        """Accept the clients that wait; the reactor calls this when the socket is readable."""
+        for _ in range(MAX_ACCEPTS_PER_TURN):
             try:
                 accepted, address = self.socket.accept()
-            except OSError as fault:
-                if fault.errno in SINGLE_CONNECTION_ERRORS:
+            except OSError as error:
+                if error.errno in SINGLE_CONNECTION_ERRORS:
                     continue
-                if fault.errno not in (errno.EAGAIN, errno.EINTR):
+                if error.errno not in (errno.EAGAIN, errno.EINTR):
                     self.counters.accept_failures += 1
                     self._pause()
                 return
             try:
                 self._serve(accepted, address)
             except Exception:
-                # One client's trouble must not reach the reactor, which would close the listener for it.
+                # The reactor would close the listener for an exception that reaches it.
                 self.counters.faults += 1
                 log.exception("a client could not be taken")
 
     def _serve(self, accepted: socket.socket, address: tuple[Any, ...]) -> None:
-        """Make the connection's protocol and transport."""
+        """Connect an accepted socket to a protocol of the factory; close it where the factory makes none."""
         protocol: Any = cast(Factory, self.factory).buildProtocol(self._buildAddr(address[:2]))
         if protocol is None:
             accepted.close()
@@ -79,37 +96,39 @@
         protocol.makeConnection(transport)
 
     def _pause(self) -> None:
+        """Stop accepting for `ACCEPT_RETRY_DELAY`."""
         if not self._pausing:
             self._pausing = True
             self.stopReading()
-            self.reactor.callLater(ACCEPT_RETRY_DELAY.total_seconds(), self._go_on)
+            self.reactor.callLater(ACCEPT_RETRY_DELAY.total_seconds(), self._resume)
 
-    def _go_on(self) -> None:
+    def _resume(self) -> None:
         self._pausing = False
         if self.connected and not self.disconnecting and self.heard:
             self.startReading()
 
     def stop_hearing(self) -> None:
-        """Leave what waits to another process that holds the socket."""
+        """Accept no more: the clients that wait go to another process that holds the socket."""
         self.heard = False
         self.stopReading()
 
     def end(self, ended: Callable[[], None]) -> None:
-        """Accept all that the kernel holds, then close: closed with it, it would be reset, requests and all.
+        """Accept all clients that wait in the kernel's queue, close the socket, then call `ended`.
 
-        `ended` follows; where a shortage keeps some waiting, that takes until it is over.
+        The kernel resets connections that are in the queue at the close. While a shortage keeps accept(2)
+        from succeeding, this is tried again every `ACCEPT_RETRY_DELAY`, and `ended` waits.
         """
         while self.connected and has_unread(self):
-            before = self.sessionno
+            accepted_before = self.sessionno
             self.doRead()
-            if self.sessionno == before and self._pausing:
+            if self.sessionno == accepted_before and self._pausing:
                 self.reactor.callLater(ACCEPT_RETRY_DELAY.total_seconds(), self.end, ended)
                 return
         self.close_now()
         ended()
 
     def close_now(self) -> None:
-        """Close in this turn: what comes between the last accept and the close is reset."""
+        """Close in this turn of the reactor: clients that come after the last accept are reset."""
         if self.connected:
             self.heard = False
             self.stopReading()
@@ -117,29 +136,35 @@
 
 
 def listen(
-    reactor: Reactor, address: Address, factory: Factory, counters: Counters, passed: int | None = None
+    reactor: Reactor, address: Address, factory: Factory, counters: Counters, inherited: int | None = None
 ) -> ClientListener:
-    """Accept clients from a listening socket that was passed, else from a new one; an OSError says why not.
+    """Accept clients at the address, from the listening socket `inherited` if there is one.
+
+    `inherited` is a descriptor that the process before has passed; it is closed here once it is duplicated.
 
-    Two processes may hold the socket, and Twisted shuts down what it closes unless it was adopted: that
-    would end it for both.
+    Raises:
+        OSError: the address can't be bound.
     """
     family = socket.AF_INET6 if ":" in address.host else socket.AF_INET
-    with _bound(address, family) if passed is None else socket.socket(fileno=os.dup(passed)) as sock:
-        sock.setblocking(False)
-        port = ClientPort._fromListeningDescriptor(reactor, sock.fileno(), family, factory)
+    bound = _bind(address, family) if inherited is None else socket.socket(fileno=os.dup(inherited))
+    with bound:
+        bound.setblocking(False)
+        # Twisted shuts down a socket that it has made itself when it closes it, and that would end the
+        # listening of another process that holds it too. One that it adopts it only closes.
+        port = ClientPort._fromListeningDescriptor(reactor, bound.fileno(), family, factory)
     port.counters = counters
     port.startListening()
-    if passed is not None:
-        os.close(passed)
+    if inherited is not None:
+        os.close(inherited)
     return cast(ClientListener, port)
 
 
-def _bound(address: Address, family: int) -> socket.socket:
+def _bind(address: Address, family: int) -> socket.socket:
     """A new socket that listens at the address."""
     sock = socket.socket(family)
     try:
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+        # A next process that got no socket handed over binds the same address while this one still listens.
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
         sock.bind((address.host, address.port))
         sock.listen(BACKLOG)
