--- a/stepflow/node/clients/factory.py
+++ b/stepflow/node/clients/factory.py
@@ -48,7 +48,7 @@
         self._request_ids: set[int] = set()  # of the requests that are open
 
     @property
-    def open(self) -> int:
+    def open_connections(self) -> int:
         """Client connections that are open."""
         return self._admission.open_connections
 
@@ -84,7 +84,7 @@
         connection.go_on(told)
         return True
 
-    def turn_away(self) -> None:
+    def reject_unopened(self) -> None:
         """Answer BUSY to all clients that have not opened: a request may be on its way."""
         for client in self._admission.eviction_order():
             client.reject(timedelta(0))
--- a/stepflow/node/clients/listener.py
+++ b/stepflow/node/clients/listener.py
@@ -45,11 +45,11 @@
     def fileno(self) -> int:
         """Its descriptor."""
 
-    def stop_hearing(self) -> None:
+    def stop_accepting(self) -> None:
         """Accept no more, but keep the socket open."""
 
-    def end(self, ended: Callable[[], None]) -> None:
-        """Accept all clients that wait in the kernel's queue, close the socket, then call `ended`."""
+    def close_gracefully(self, on_closed: Callable[[], None]) -> None:
+        """Accept all clients that wait in the kernel's queue, close the socket, then call `on_closed`."""
 
     def close_now(self) -> None:
         """Close the socket in this turn of the reactor."""
@@ -63,8 +63,8 @@
     """
 
     counters: Counters  # set by `listen`, since Twisted makes the port
-    heard = True  # False once this process has stopped accepting: another may hold the socket too
-    _pausing = False
+    is_accepting = True  # False once this process has stopped accepting: another may hold the socket too
+    _is_paused = False
 
     def doRead(self) -> None:
         """Accept the clients that wait; the reactor calls this when the socket is readable."""
@@ -97,40 +97,40 @@
 
     def _pause(self) -> None:
         """Stop accepting for `ACCEPT_RETRY_DELAY`."""
-        if not self._pausing:
-            self._pausing = True
+        if not self._is_paused:
+            self._is_paused = True
             self.stopReading()
             self.reactor.callLater(ACCEPT_RETRY_DELAY.total_seconds(), self._resume)
 
     def _resume(self) -> None:
-        self._pausing = False
-        if self.connected and not self.disconnecting and self.heard:
+        self._is_paused = False
+        if self.connected and not self.disconnecting and self.is_accepting:
             self.startReading()
 
-    def stop_hearing(self) -> None:
+    def stop_accepting(self) -> None:
         """Accept no more: the clients that wait go to another process that holds the socket."""
-        self.heard = False
+        self.is_accepting = False
         self.stopReading()
 
-    def end(self, ended: Callable[[], None]) -> None:
-        """Accept all clients that wait in the kernel's queue, close the socket, then call `ended`.
+    def close_gracefully(self, on_closed: Callable[[], None]) -> None:
+        """Accept all clients that wait in the kernel's queue, close the socket, then call `on_closed`.
 
         The kernel resets connections that are in the queue at the close. While a shortage keeps accept(2)
-        from succeeding, this is tried again every `ACCEPT_RETRY_DELAY`, and `ended` waits.
+        from succeeding, this is tried again every `ACCEPT_RETRY_DELAY`, and `on_closed` waits.
         """
         while self.connected and has_unread(self):
             accepted_before = self.sessionno
             self.doRead()
-            if self.sessionno == accepted_before and self._pausing:
-                self.reactor.callLater(ACCEPT_RETRY_DELAY.total_seconds(), self.end, ended)
+            if self.sessionno == accepted_before and self._is_paused:
+                self.reactor.callLater(ACCEPT_RETRY_DELAY.total_seconds(), self.close_gracefully, on_closed)
                 return
         self.close_now()
-        ended()
+        on_closed()
 
     def close_now(self) -> None:
         """Close in this turn of the reactor: clients that come after the last accept are reset."""
         if self.connected:
-            self.heard = False
+            self.is_accepting = False
             self.stopReading()
             self.connectionLost(Failure(ConnectionDone()))
 
--- a/stepflow/node/process/service.py
+++ b/stepflow/node/process/service.py
@@ -123,11 +123,22 @@
         peers = max(self._peers.attempts, self._core.open) + max(
             self._peers.health_check_connections, PROBES_KEPT
         )
-        return self._config.sockets - OTHERS_KEPT - peers - self._factory.open - self._handover.others
+        return (
+            self._config.sockets
+            - OTHERS_KEPT
+            - peers
+            - self._factory.open_connections
+            - self._handover.others
+        )
 
     def descriptors(self) -> int:
         """Descriptors that are open, or kept for what is not a client's."""
-        return OTHERS_KEPT + self._peers.attempts + self._peers.health_check_connections + self._factory.open
+        return (
+            OTHERS_KEPT
+            + self._peers.attempts
+            + self._peers.health_check_connections
+            + self._factory.open_connections
+        )
 
     def handover_state(self) -> tuple[int, dict[str, Any]]:
         return self._port.fileno(), {
--- a/stepflow/node/process/shutdown.py
+++ b/stepflow/node/process/shutdown.py
@@ -91,7 +91,7 @@
         else:
             # It accepts from the same queue; whoever was accepted here is still heard here. The listener
             # stays open in this process too, unheard: its queue would go with a successor that dies.
-            self._listener.stop_hearing()
+            self._listener.stop_accepting()
             log.info("listens no more", node=self._name)
             self._pass_on()
             self._look()
@@ -154,7 +154,7 @@
         if self._handover.successor_serves:  # and the log has said that this process listens no more
             self._listener.close_now()
         else:
-            self._listener.end(lambda: log.info("listens no more", node=self._name))
+            self._listener.close_gracefully(lambda: log.info("listens no more", node=self._name))
 
     # The end.
 
@@ -164,14 +164,14 @@
         self._take_back()
         self._core.answer_pending()
         self._close_listener()
-        self._factory.turn_away()
+        self._factory.reject_unopened()
         for context in self._core.established_sessions():
             self._core.migrate(context)
         self._deadlines.at(self._told + self._plan().stop, self._stop)
         self._look()
 
     def _look(self) -> None:
-        if self._factory.open:
+        if self._factory.open_connections:
             self._deadlines.after(LOOK_EVERY, self._look)
         else:
             self._stop()
--- a/tests/test_code_shape.py
+++ b/tests/test_code_shape.py
@@ -19,6 +19,7 @@
     "stepflow/fleet/fit.py",
     "stepflow/fleet/trace.py",
     "stepflow/node/core.py",
+    "stepflow/node/process/service.py",
     "stepflow/node/upstreams/attempt.py",
     "stepflow/policy/decide.py",
 }
