--- a/tests/test_held_up.py
+++ b/tests/node/test_suspended_process.py
@@ -7,8 +7,8 @@
 
 import queue
 
+from tests.node.test_races import Gate, dialling, let_pass, set_class
 from tests.node_kit import PATIENCE, Discovery, Line, Node, Peer, opening
-from tests.test_crossings import Gate, dialling, let_pass, set_class
 
 
 def held_by(node: Node) -> Line:
--- a/tests/test_failing_calls.py
+++ b/tests/test_failing_calls.py
@@ -19,8 +19,8 @@
 from standins.preload import Call, Machine
 from stepflow.node.process import service, start
 from stepflow.node.process.shutdown_schedule import CLIENT_LINGER
+from tests.node.test_races import let_pass
 from tests.node_kit import PATIENCE, Discovery, Node, Peer, opening
-from tests.test_crossings import let_pass
 from tests.test_wall_clock import on
 
 EMPTY = '{"rev":1,"all":false,"targets":[]}'
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -27,8 +27,8 @@
 from stepflow.node.process.snapshot import restore_snapshot, take_snapshot
 from stepflow.policy import Policy
 from stepflow.settings import parse_node_settings
+from tests.node.test_races import Listening
 from tests.node_kit import PATIENCE, SETTINGS, Discovery, Line, Node, Peer, opening
-from tests.test_crossings import Listening
 
 
 def long_waits(config: dict[str, Any]) -> None:
