--- /dev/null
+++ b/tests/node/clients/test_first_line.py
@@ -0,0 +1,78 @@
+"""The first line of a client connection, over loopback: what is malformed, and what comes too late."""
+
+from __future__ import annotations
+
+import signal
+from contextlib import suppress
+
+import pytest
+
+from tests.node_kit import PATIENCE, Node, Peer, opening
+
+
+@pytest.mark.parametrize(
+    "line",
+    [
+        "HELLO",
+        "OPEN",
+        opening().replace("c=view", "c=chat"),
+        opening(extra=",c=view"),
+        opening().replace("d=1000", "d=soon"),
+        opening().replace("7f3a9c21e0b4d655", "key"),
+        opening().replace("OPEN 0", "OPEN +"),
+        opening().replace("OPEN 00", "OPEN 0_"),
+        opening().replace("7f3a9c21e0b4d655", "0x7f"),
+        opening().replace("7f3a9c21e0b4d655", "f" * 400),
+        opening(extra=",\x00=1"),
+        opening(extra=",h=nan"),
+        opening(extra=",h=inf"),
+        opening(extra=",h=-1"),
+        opening(extra=",h=1e999"),
+        opening(d=-1),
+        opening(d=999_999_999),
+        opening().replace(",g=", ",g=-"),
+        opening(extra="," + "x" * 5000 + "=1"),
+        opening(9) + "\r\n" + opening(8),  # a client waits after its line
+        opening(9) + "\r\nM 1",
+        "PING\r\n" * 300,
+        "x" * 3_000_000,  # the answer must not be lost in a reset
+    ],
+)
+def test_malformed_first_line_is_answered_and_reaches_no_endpoint(line: str) -> None:
+    with Node(peer := Peer("s-1")) as node:
+        client = node.client()
+        with suppress(OSError):  # the node may stop reading
+            client.send(line)
+        assert client.read() == "ERR malformed"
+        assert node.client(opening()).read() == "UP r1"  # the node serves on
+        assert peer.lines.get(timeout=PATIENCE).startswith("OPEN 0000000000000001 ")
+
+
+def test_id_of_another_open_request_is_malformed() -> None:
+    with Node(Peer("s-1")) as node:
+        client = node.client(opening())
+        assert client.read() == "UP r1"
+        assert node.client(opening()).read() == "ERR malformed"
+        client.send("M 1 unharmed")
+        assert client.read() == "M 1 unharmed"
+
+
+def test_data_before_the_answer_cancels_the_request() -> None:
+    with Node(peer := Peer("s-1", OPEN=None)) as node:
+        client = node.client(opening(d=30_000))
+        assert peer.lines.get(timeout=PATIENCE).startswith("OPEN ")
+        client.send("M 1")
+        assert client.read() == "ERR malformed"
+        node.process.send_signal(signal.SIGUSR1)
+        node.wait_log("counters: .* malformed=1 .* left=1 ")
+
+
+@pytest.mark.parametrize("part", ["", "OPEN 00", "PING\r\n"])
+def test_client_without_a_whole_line_times_out(part: str) -> None:
+    with Node(Peer("s-1")) as node:
+        client = node.client()
+        client.sock.sendall(part.encode())
+        assert client.read() == ("PONG" if "PING" in part else "ERR too slow")
+        if "PING" in part:
+            assert client.read() == "ERR too slow"
+        assert client.read() == ""
--- /dev/null
+++ b/tests/node/race_kit.py
@@ -0,0 +1,96 @@
+"""What tests of races share: changes of the settings, slow and silent listeners, a check of silence."""
+
+from __future__ import annotations
+
+import queue
+import select
+import socket
+import time
+from collections.abc import Callable, Iterator
+from contextlib import contextmanager
+from pathlib import Path
+from typing import Any
+
+from tests.node_kit import PATIENCE, Discovery, Line, Listener, Node, list_entry, opening
+
+
+def set_class(**settings: Any) -> Callable[[dict[str, Any]], None]:
+    """A change of the configuration that gives its class these settings."""
+
+    def change(config: dict[str, Any]) -> None:
+        config["settings"]["classes"][0].update(settings)
+
+    return change
+
+
+def few_sockets(config: dict[str, Any]) -> None:
+    """Change the configuration to a limit that 150 clients exceed."""
+    config["limits"]["sockets"] = 128
+
+
+def expect_silence(seconds: float, *silent: Line) -> None:
+    """Let this time pass, and fail if anything comes on one of these connections."""
+    assert not select.select([line.sock for line in silent], [], [], seconds)[0]
+
+
+class SilentListener(Listener):
+    """Accepts connections and never answers."""
+
+    def __init__(self) -> None:
+        self.called: queue.Queue[str] = queue.Queue()
+        super().__init__()
+
+    def serve(self, line: Line) -> None:
+        self.called.put(line.read())
+        line.read()
+
+
+class LateEndpoint:
+    """A map server's address whose connections come up late: its queue is full until `open` empties it.
+
+    The kernel sends a SYN that finds the queue full again a second later, so each connect takes that long.
+    """
+
+    def __init__(self, uid: str) -> None:
+        self.uid, self._sock = uid, socket.create_server(("127.0.0.1", 0), backlog=0)
+        self.address = f"127.0.0.1:{self._sock.getsockname()[1]}"
+        self._filler = socket.create_connection(self._sock.getsockname())
+
+    def entry(self, state: str = "Ready") -> dict[str, Any]:
+        """Its entry in discovery's list."""
+        return list_entry(self.uid, self.address, state)
+
+    def open(self, patience: float = PATIENCE) -> Line:
+        """Let the next connection come up, and accept it."""
+        self._sock.settimeout(patience)
+        self._sock.accept()[0].close()
+        return Line(self._sock.accept()[0])
+
+    def wait_for_connect(self) -> None:
+        """Wait until the kernel shows a connect that is under way (state 02, SYN_SENT)."""
+        syn_sent = f"0100007F:{int(self.address.rpartition(':')[2]):04X} 02"
+        until = time.monotonic() + PATIENCE
+        while syn_sent not in Path("/proc/net/tcp").read_text():
+            assert time.monotonic() < until
+
+    def close(self) -> None:
+        self._filler.close()
+        self._sock.close()
+
+
+def slow_connects(config: dict[str, Any]) -> None:
+    """Change the configuration so that connects may take 8 s, and load reports cause none."""
+    config["settings"]["policy_limits"].update(connect_timeout_us=8_000_000, probing=False)
+    config["settings"]["classes"][0]["give_up_us"] = 9_000_000
+
+
+@contextmanager
+def connecting(endpoint: LateEndpoint) -> Iterator[tuple[Node, Discovery, Line]]:
+    """A node that is connecting to the endpoint for a client."""
+    with Node(discovery=(discovery := Discovery()), change=slow_connects) as node:
+        assert discovery.calls.get(timeout=PATIENCE)
+        discovery.tell(endpoint.entry())
+        client = node.client(opening(d=9000))
+        endpoint.wait_for_connect()
+        yield node, discovery, client
+    endpoint.close()
--- /dev/null
+++ b/tests/node/test_node_configuration.py
@@ -0,0 +1,80 @@
+"""The configuration of a real node: its errors, its reload, and the counters it prints."""
+
+from __future__ import annotations
+
+import signal
+import subprocess
+import sys
+
+import pytest
+
+from tests.node_kit import PATIENCE, Discovery, Node, Peer, opening
+
+
+@pytest.mark.parametrize(
+    ("text", "said"),
+    [
+        ("", "not JSON"),
+        ("[]", "not a JSON object"),
+        ("{}", "listen: '' is not HOST:PORT"),
+        ('{"listen":"127.0.0.1:0","discovery":"127.0.0.1:x"}', "discovery: "),
+        ('{"listen":"127.0.0.1:0","discovery":"127.0.0.1:1","settings":{"tick_us":"x"}}', "setting tick_us"),
+    ],
+)
+def test_bad_configuration_is_reported_in_one_line(text: str, said: str, tmp_path: object) -> None:
+    path = f"{tmp_path}/config.json"
+    with open(path, "w") as file:
+        file.write(text)
+    done = subprocess.run(
+        [sys.executable, "-m", "stepflow"],
+        env={"GW_CONFIG": path},
+        capture_output=True,
+        text=True,
+        check=False,
+    )
+    assert done.returncode == 2 and said in done.stderr and done.stderr.count("\n") == 1
+
+
+@pytest.mark.parametrize("refuse", [0, 1])
+def test_reload_changes_discovery_and_keeps_sessions(refuse: int) -> None:
+    """SIGHUP by default would end the process, and all its sessions."""
+    second = Discovery('{"rev":8,"all":false,"targets":[]}', refuse)
+    old = Discovery('{"rev":7,"all":false,"targets":[]}')
+    with Node(first := Peer("s-1"), Peer("s-2"), discovery=old) as node:
+        assert old.calls.get(timeout=PATIENCE) == "/v1/servers?watch=1&from=1"
+        client = node.client(opening(extra=",at=s-1"))
+        assert client.read() == "UP r1"
+        node.reload(discovery=second.address)
+        node.wait_log("event=reloaded discovery=" + second.address)
+        assert second.calls.get(timeout=PATIENCE) == "/v1/servers?watch=1&from=7"
+        second.tell(first.entry("Terminating"))
+        second.tell({"uid": "s-9", "state": "Nonsense"})  # ends the watch: the next one is from rev 9
+        assert second.calls.get(timeout=PATIENCE) == "/v1/servers?watch=1&from=9"
+        assert node.client(opening(2)).read() == "UP r1" and first.lines.qsize() == 1  # the new one is heeded
+        client.send("M 1 still here")
+        assert client.read() == "M 1 still here"
+        node.terminate()
+        node.wait_log(f"counters: .* lists_failed={refuse + 1} reloads=1 reloads_failed=0 faults=0")
+        assert old.calls.empty() and node.process.wait(PATIENCE) == 0
+
+
+@pytest.mark.parametrize("text", ["", "[]", "[" * 100_000, '{"listen":"127.0.0.1:0","discovery":"x"}'])
+def test_reload_of_a_bad_file_keeps_the_old_configuration(text: str) -> None:
+    with Node(Peer("s-1"), discovery=(discovery := Discovery())) as node:
+        assert discovery.calls.get(timeout=PATIENCE)
+        node.reload(text)
+        node.wait_log("reload turned down, the old configuration goes on")
+        assert node.client(opening()).read() == "UP r1"
+        assert "edge_gw.reloads_failed:1|c" in node.ops("/v1/metrics")[1].split()
+        node.reload(listen="127.0.0.1:1")
+        node.wait_log("can't change while the node runs.* key=listen")
+        node.terminate()
+        node.process.send_signal(signal.SIGHUP)  # amid a SIGTERM it changes nothing
+        assert node.process.wait(PATIENCE) == 0
+
+
+def test_sigusr1_prints_the_counters() -> None:
+    with Node(Peer("s-1")) as node:
+        assert node.client(opening()).read() == "UP r1"
+        node.process.send_signal(signal.SIGUSR1)
+        node.wait_log("counters: clients=1 requests=1 .* served=1 ")
--- /dev/null
+++ b/tests/node/test_node_shutdown.py
@@ -0,0 +1,156 @@
+"""Shutdown at SIGTERM over loopback: what is still answered, migrated and passed on."""
+
+from __future__ import annotations
+
+import json
+import os
+import signal
+import subprocess
+import sys
+from shutil import rmtree
+from typing import Any
+
+import pytest
+
+from stepflow.node.process.shutdown_schedule import CLIENT_LINGER
+from tests.node.race_kit import SilentListener, expect_silence, set_class
+from tests.node_kit import PATIENCE, Node, Peer, opening
+
+
+def test_sigterm_migrates_sessions_and_prints_the_counters() -> None:
+    with Node(Peer("s-1")) as node:
+        standing = [node.client(opening(number)) for number in range(3)]
+        assert [client.read() for client in standing] == ["UP r1"] * 3
+        node.terminate()
+        node.wait_log("event=leaves connections=3")
+        standing.append(node.client(opening(9)))
+        assert standing[-1].read() == "UP r1"  # clients keep coming for a while
+        assert [client.read() for client in standing] == ["MOVE"] * 4
+        node.wait_log("counters: .* requests=4 .* served=4 .* moved=4 ")
+        assert node.process.wait(PATIENCE) == 0
+
+
+def test_sigterm_serves_a_session_while_there_is_time() -> None:
+    """In a rolling restart a session that is migrated at once meets a node that leaves as well."""
+
+    def wait_long(config: dict[str, Any]) -> None:
+        config["settings"]["classes"][0]["give_up_us"] = 60_000_000
+
+    with Node(Peer("s-1"), change=wait_long) as node:
+        client = node.client(opening())
+        assert client.read() == "UP r1"
+        node.terminate()
+        node.wait_log("listens no more")
+        client.send("M 1 still here")
+        assert [client.read(), client.read()] == ["M 1 still here", "MOVE"]
+        client.close()
+        assert node.process.wait(PATIENCE) == 0
+
+
+def test_sigterm_answers_requests_in_the_accept_queue() -> None:
+    """The kernel resets what is in the queue of a listener that is closed."""
+    with Node(Peer("s-1")) as node:
+        node.terminate()
+        node.wait_log("event=leaves")
+        node.freeze()
+        waiting = [node.client(opening(number)) for number in range(60)]
+        expect_silence(CLIENT_LINGER.total_seconds() + 0.05, *waiting)  # the listener's end is due
+        node.thaw()
+        assert [(line.read(), line.read()) for line in waiting] == [("BUSY", "")] * 60
+        assert node.process.wait(PATIENCE) == 0
+
+
+@pytest.mark.parametrize("effect", ["once", "by_key"])
+def test_sigterm_does_not_reject_a_request_that_may_have_taken_effect(effect: str) -> None:
+    """BUSY says that a retry is harmless, but its endpoint may have the request."""
+    change = set_class(effect=effect, key_scope="cell", key_ttl_us=5_000_000, give_up_us=3_000_000)
+    with Node(peer := Peer("s-1", OPEN=None), change=change) as node:
+        taken, left = node.client(opening(1, d=3000)), node.client(opening(2, d=3000))
+        held = [peer.held.get(timeout=PATIENCE) for _ in range(2)]
+        first = peer.lines.get(timeout=PATIENCE).split(" ")[1]
+        node.terminate()
+        node.wait_log("listens no more")
+        held[0].send("UP r7")
+        served, other = (taken, left) if first == f"{1:016x}" else (left, taken)
+        assert [served.read(), served.read()] == ["UP r7", "MOVE"]
+        assert [other.read(), other.read()] == ["ERR", ""]
+        assert node.process.wait(PATIENCE) == 0
+
+
+def test_sigterm_rejects_an_idempotent_request_and_cancels_its_attempt() -> None:
+    with Node(peer := Peer("s-1", OPEN=None), change=set_class(give_up_us=3_000_000)) as node:
+        client = node.client(opening(d=3000))
+        peer.held.get(timeout=PATIENCE)
+        node.terminate()
+        assert [client.read(), client.read()] == ["BUSY", ""]
+        assert node.process.wait(PATIENCE) == 0
+
+
+@pytest.mark.parametrize("part", ["", "PING\r\n", "OPEN 00"])
+def test_sigterm_answers_unopened_clients_without_a_reset(part: str) -> None:
+    """A request may be on its way when the process exits."""
+    with Node(Peer("s-1")) as node:
+        resting = node.client()
+        resting.sock.sendall(part.encode())
+        if "PING" in part:
+            assert resting.read() == "PONG"
+        node.terminate()
+        assert resting.read() == "BUSY"
+        resting.send(opening()[len(part) if "OPEN" in part else 0 :])
+        assert resting.read() in ("", "RESET")  # never sent on
+        assert node.process.wait(PATIENCE) == 0 and node.peers[0].lines.empty()
+
+
+def test_sigterm_migrates_a_session_at_the_end_of_its_line() -> None:
+    with Node(peer := Peer("s-1", X=None)) as node:
+        client = node.client(opening())
+        assert client.read() == "UP r1"
+        pieces = peer.standing.get(timeout=PATIENCE)
+        pieces.sock.sendall(b"X ha")
+        assert client.sock.recv(4) == b"X ha"
+        node.terminate()
+        node.wait_log("listens no more")
+        expect_silence(0.9, client)  # the last moves are over, the exit is not
+        pieces.sock.sendall(b"lf\r\n")
+        assert [client.read(), client.read(), client.read()] == ["lf", "MOVE", ""]
+        assert node.process.wait(PATIENCE) == 0
+
+
+def test_sigterm_exits_before_the_kill_with_short_deadlines() -> None:
+    """At 200 ms SIGKILL may come after 0.9 s; a client that does not read must not delay the exit."""
+    with Node(Peer("s-1"), change=set_class(give_up_us=200_000)) as node:
+        client = node.client(opening(d=2000))
+        assert client.read() == "UP r1"
+        node.terminate()
+        assert node.process.wait(0.9) == 0  # the client holds its side open
+        assert client.read() == "MOVE"
+
+
+def test_repeated_signals_end_the_process_once() -> None:
+    with Node(Peer("s-1")) as node:
+        client = node.client(opening())
+        assert client.read() == "UP r1"
+        for number in (signal.SIGTERM, signal.SIGHUP, signal.SIGTERM, signal.SIGINT):
+            node.process.send_signal(number)
+        assert [client.read(), client.read()] == ["MOVE", ""]
+        assert node.process.wait(PATIENCE) == 0
+        assert node.process.stderr is not None and " faults=0" in node.process.stderr.read()
+
+
+def test_sigterm_before_listening_exits_at_once() -> None:
+    """Its agent never answers, so it does not listen for half a second."""
+    agent = SilentListener()
+    node = Node(change=lambda config: config["settings"].update(discovery="pushed"))
+    node.write(json.dumps({**node.config, "discovery": agent.address}))
+    with subprocess.Popen(
+        [sys.executable, "-m", "stepflow"],
+        env={**os.environ, "GW_CONFIG": node._path, **node.env},
+        stderr=subprocess.PIPE,
+        text=True,
+    ) as process:
+        agent.called.get(timeout=PATIENCE)
+        process.send_signal(signal.SIGTERM)
+        said = process.communicate(timeout=PATIENCE)[1]
+    assert process.returncode == 0 and "listens address" not in said and " faults=0" in said
+    agent.close()
+    rmtree(node.folder)
--- a/tests/node_kit.py
+++ b/tests/node_kit.py
@@ -107,16 +107,7 @@
         super().__init__()
 
     def entry(self, state: str = "Ready") -> dict[str, Any]:
-        return {
-            "uid": self.uid,
-            "endpoint": self.address,
-            "az": "a",
-            "model": "k",
-            "pod_group": 0,
-            "state": state,
-            "capacity_hint": 1.0,
-            "boot_ms": 0,
-        }
+        return list_entry(self.uid, self.address, state)
 
     def serve(self, line: Line) -> None:
         stood = opened = False
@@ -307,3 +298,17 @@
 
 def opening(number: int = 1, extra: str = "", d: int = 1000, group: int = 0x5C0F6E1A2B3D4C59) -> str:
     return f"OPEN {number:016x} 7f3a9c21e0b4d655 c=view,d={d}{extra},g={group:016x}"
+
+
+def list_entry(uid: str, address: str, state: str = "Ready") -> dict[str, Any]:
+    """A map server's entry in discovery's list."""
+    return {
+        "uid": uid,
+        "endpoint": address,
+        "az": "a",
+        "model": "k",
+        "pod_group": 0,
+        "state": state,
+        "capacity_hint": 1.0,
+        "boot_ms": 0,
+    }
--- a/tests/test_failing_calls.py
+++ b/tests/test_failing_calls.py
@@ -19,7 +19,7 @@
 from standins.preload import Call, Machine
 from stepflow.node.process import service, start
 from stepflow.node.process.shutdown_schedule import CLIENT_LINGER
-from tests.node.test_races import let_pass
+from tests.node.race_kit import expect_silence
 from tests.node_kit import PATIENCE, Discovery, Node, Peer, opening
 from tests.test_wall_clock import on
 
@@ -43,7 +43,7 @@
     with on(machine, Node(Peer("s-1"))) as node:
         machine.fail(Call.ACCEPT, 1.0, [error])
         clients = [node.client(opening(number)) for number in range(20)]
-        let_pass(0.1, *clients)
+        expect_silence(0.1, *clients)
         machine.fail(Call.ACCEPT, 0.5, [error])  # the next call may be the one that succeeds
         time.sleep(0.2)
         machine.heal()
@@ -68,7 +68,7 @@
         node.wait_log("event=leaves")
         machine.fail(Call.ACCEPT, 1.0, [errno.ENFILE])
         waiting = [node.client(opening(number)) for number in range(20)]
-        let_pass(CLIENT_LINGER.total_seconds() + 0.6, *waiting)
+        expect_silence(CLIENT_LINGER.total_seconds() + 0.6, *waiting)
         machine.heal()
         assert [(line.read(), line.read()) for line in waiting] == [("BUSY", "")] * 20
         assert node.process.wait(PATIENCE) == 0
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -27,7 +27,7 @@
 from stepflow.node.process.snapshot import restore_snapshot, take_snapshot
 from stepflow.policy import Policy
 from stepflow.settings import parse_node_settings
-from tests.node.test_races import Listening
+from tests.node.race_kit import SilentListener
 from tests.node_kit import PATIENCE, SETTINGS, Discovery, Line, Node, Peer, opening
 
 
@@ -141,7 +141,7 @@
 @contextmanager
 def half_begun(old: Node) -> Iterator[subprocess.Popen[bytes]]:
     """A successor that holds the listener, and stands still before it takes anybody: its agent is silent."""
-    agent = Listening()
+    agent = SilentListener()
     settings = {**old.config["settings"], "discovery": "pushed"}
     old.write(json.dumps({**old.config, "discovery": agent.address, "settings": settings}))
     env = {**os.environ, "GW_CONFIG": old._path, **old.env, "GW_OPS": "127.0.0.2:0"}
