--- a/stepflow/node/clients/connection.py
+++ b/stepflow/node/clients/connection.py
@@ -21,9 +21,10 @@
 from stepflow.node.runtime.lines import LineProtocol, was_reset
 from stepflow.node.runtime.timers import Timer, Timers
 from stepflow.node.runtime.transports import Reactor, family, finish, flush, has_ended, has_unread
-from stepflow.node.upstreams.attempt import UpstreamAttempt, UpstreamConnections
+from stepflow.node.upstreams.attempt import UpstreamAttempt
 from stepflow.node.upstreams.dialer import Dial
 from stepflow.node.upstreams.liveness import LivenessMonitor
+from stepflow.node.upstreams.pool import UpstreamConnections
 
 # From the connection's first moment, whatever comes: neither a drip of bytes nor PINGs put it off, or a
 # crowd that sends those would hold the node's sockets. True clients may write for 2 s; bad ones are owed
--- a/stepflow/node/process/service.py
+++ b/stepflow/node/process/service.py
@@ -36,9 +36,9 @@
 from stepflow.node.runtime.timers import Timers
 from stepflow.node.runtime.transports import Reactor
 from stepflow.node.runtime.wall_clock import WallClockMonitor
-from stepflow.node.upstreams.attempt import UpstreamConnections
 from stepflow.node.upstreams.liveness import LivenessMonitor
-from stepflow.node.upstreams.load_reports import LoadReportClassifier
+from stepflow.node.upstreams.pool import UpstreamConnections
+from stepflow.node.upstreams.session_reports import LoadReportClassifier
 from stepflow.os_errors import LISTEN_RETRY_DELAY, LISTEN_RETRY_LIMIT, RESOURCE_SHORTAGE, errno_of
 from stepflow.policy import Policy
 from stepflow.settings import NodeSettings, merge_settings
--- a/stepflow/node/upstreams/attempt.py
+++ b/stepflow/node/upstreams/attempt.py
@@ -1,62 +1,25 @@
-"""Connections to peers: attempts, each on one of its own, and probes on kept ones."""
+"""Attempts, each on a connection of its own."""
 
 from __future__ import annotations
 
-import math
-from collections.abc import Callable
 from datetime import timedelta
-from typing import Protocol, cast
+from typing import TYPE_CHECKING, Protocol, cast
 
 from twisted.internet.protocol import connectionDone
 from twisted.python.failure import Failure
 
 from stepflow.address import Address
 from stepflow.interface import AttemptResult
-from stepflow.node.core import Core, RequestContext
+from stepflow.node.core import RequestContext
 from stepflow.node.relay import Relay
-from stepflow.node.runtime.clock import Clock
-from stepflow.node.runtime.counters import Counters
 from stepflow.node.runtime.lines import LineProtocol, was_reset
-from stepflow.node.runtime.timers import Timer, Timers
-from stepflow.node.runtime.transports import Reactor, family, flush
-from stepflow.node.upstreams.connection import adopt, network_failed
+from stepflow.node.runtime.transports import flush
+from stepflow.node.upstreams.connection import network_failed
 from stepflow.node.upstreams.dialer import Dial
-from stepflow.settings import NodeSettings
+from stepflow.node.upstreams.load_report import parse_report
 
-PROBE_WAIT = timedelta(milliseconds=250)  # the most that a probe waits for its answer
-
-_FIELD_ALIASES = {
-    "outstanding": "inflight",
-    "backlog": "queue",
-    "utilization": "util",
-    "recent_ms": "latency_ms",
-    "throughput": "qps",
-    "errors_per_s": "eps",
-}
-
-
-def parse_report(text: bytes, fields: tuple[str, ...]) -> tuple[float, ...]:
-    """The values of a load report in the settings' order; empty where any is missing or no number."""
-    told: dict[str, float] = {}
-    try:
-        for item in text.decode("ascii").split(","):
-            name, _, value = item.strip().partition("=")
-            told[_FIELD_ALIASES.get(name, name)] = float(value)
-    except ValueError:
-        return ()
-    if not fields or any(not math.isfinite(told.get(name, math.nan)) for name in fields):
-        return ()
-    return tuple(told[name] for name in fields)
-
-
-def _nothing() -> None:
-    """What follows a connection's failure where it has been made already."""
-
-
-class AddressBook(Protocol):
-    """Where the peers are."""
-
-    def address_of(self, peer: str) -> Address | None: ...
+if TYPE_CHECKING:
+    from stepflow.node.upstreams.pool import UpstreamConnections
 
 
 class OpeningFront(Protocol):
@@ -65,73 +28,6 @@
     def opening_line(self, wait: timedelta) -> bytes: ...
 
 
-class UpstreamConnections:
-    """The node's uplink: makes attempts and keeps the probes' connections."""
-
-    def __init__(
-        self,
-        reactor: Reactor,
-        core: Core,
-        clock: Clock,
-        deadlines: Timers,
-        counters: Counters,
-        directory: AddressBook,
-        settings: NodeSettings,
-    ) -> None:
-        self.reactor, self.core, self.clock, self.deadlines = reactor, core, clock, deadlines
-        self.counters, self.directory, self.settings = counters, directory, settings
-        self._links: dict[str, HealthCheckConnection] = {}
-        self.attempts = 0  # sockets of attempts, from the first SYN until they are closed
-
-    @property
-    def health_check_connections(self) -> int:
-        """Sockets of probes."""
-        return len(self._links)
-
-    def start_attempt(self, context: RequestContext, peer: str, wait: timedelta) -> UpstreamAttempt | None:
-        endpoint = self.directory.address_of(peer)
-        if endpoint is None:
-            return None
-        attempt = UpstreamAttempt(self, context, wait)
-        attempt.dial(endpoint)
-        return attempt
-
-    def adopt_session(self, context: RequestContext, descriptor: int) -> UpstreamAttempt:
-        """An attempt that came up in the process before this one."""
-        attempt = UpstreamAttempt(self, context, timedelta(0))
-        attempt.stand()
-        adopt(self.reactor, descriptor, family(descriptor), Dial(attempt, _nothing))
-        return attempt
-
-    def start_health_check(self, peer: str) -> None:
-        endpoint = self.directory.address_of(peer)
-        if endpoint is None:
-            self.core.health_check_ended(peer, AttemptResult.CONNECT_FAILED, timedelta(0))
-            return
-        link = self._links.get(peer)
-        if link is None or link.endpoint != endpoint:
-            if link is not None:
-                link.close()
-            link = self._links[peer] = HealthCheckConnection(self, peer, endpoint)
-        if not link.busy:  # else the answer to the one that is out will do
-            self.counters.probes += 1
-            link.probe()
-
-    def close_idle(self, peer: str) -> None:
-        link = self._links.get(peer)
-        if link is not None and not link.busy:
-            link.close()
-
-    def dropped(self, link: HealthCheckConnection) -> None:
-        """A probes' connection is closed."""
-        if self._links.get(link.peer) is link:
-            del self._links[link.peer]
-
-    def close(self) -> None:
-        for link in tuple(self._links.values()):
-            link.close()
-
-
 class UpstreamAttempt(LineProtocol):
     """One attempt of a request, on a connection of its own.
 
@@ -282,83 +178,3 @@
         if self._relay is not None and not self._detached:
             self._detached = True
             self._peers.core.attempt_ended(self._context, self._relay.result)
-
-
-class HealthCheckConnection(LineProtocol):
-    """A kept connection to a peer for its probes, one at a time; closes after a while without any."""
-
-    def __init__(self, peers: UpstreamConnections, peer: str, endpoint: Address) -> None:
-        super().__init__()
-        self._peers, self.peer, self.endpoint = peers, peer, endpoint
-        self._made = self._closed = self.busy = False
-        self._asked = peers.clock.now()
-        self._deadline: Timer | None = None
-        self._dial = Dial(self, self._connect_failed)
-        self._dial.begin(peers.reactor, endpoint)
-
-    def probe(self) -> None:
-        """Ask for a load report; the module asks again only after the answer."""
-        self.busy, self._asked = True, self._peers.clock.now()
-        self._set_deadline(PROBE_WAIT, self._late)
-        if self._made:
-            self.wire.write(b"STATS\r\n")
-
-    def connectionMade(self) -> None:
-        super().connectionMade()
-        self._made = True
-        if self.busy:
-            self.wire.write(b"STATS\r\n")
-
-    def lineReceived(self, line: memoryview) -> None:
-        word, _, rest = bytes(line).partition(b" ")
-        if not self.busy:
-            self.close()  # an answer to nothing: the stream is out of step
-        elif word == b"PONG":
-            self._settle(AttemptResult.OK, parse_report(rest, self._peers.settings.policy.load_report_fields))
-            self._set_deadline(self._peers.settings.idle_close, self.close)
-        else:
-            self._settle(AttemptResult.FULL if word == b"BUSY" else AttemptResult.ERROR)
-            self.close()
-
-    def lineLengthExceeded(self) -> None:
-        self.close(AttemptResult.ERROR)
-
-    def _late(self) -> None:
-        self.close(AttemptResult.TIMEOUT if self._made else AttemptResult.CONNECT_FAILED)
-
-    def _connect_failed(self) -> None:
-        self._peers.reactor.callLater(0, self._dropped, AttemptResult.CONNECT_FAILED)
-
-    def connectionLost(self, reason: Failure = connectionDone) -> None:
-        self._dropped(AttemptResult.RESET)
-
-    def close(self, result: AttemptResult = AttemptResult.CANCELLED) -> None:
-        """Close the socket; a probe that is out ends with this result."""
-        if self._closed:
-            return
-        self._dropped(result)
-        if self._made:
-            self.wire.abortConnection()
-        else:
-            self._dial.stop()
-
-    def _dropped(self, result: AttemptResult) -> None:
-        if not self._closed:
-            self._closed = True
-            if self._deadline is not None:
-                self._deadline.cancel()
-            self._peers.dropped(self)
-        self._settle(result)
-
-    def _settle(self, result: AttemptResult, report: tuple[float, ...] = ()) -> None:
-        """The one place that ends a probe."""
-        if self.busy:
-            self.busy = False
-            self._peers.core.health_check_ended(
-                self.peer, result, self._peers.clock.now() - self._asked, report
-            )
-
-    def _set_deadline(self, span: timedelta, call: Callable[[], None]) -> None:
-        if self._deadline is not None:
-            self._deadline.cancel()
-        self._deadline = self._peers.deadlines.after(span, call)
--- a/stepflow/node/upstreams/liveness.py
+++ b/stepflow/node/upstreams/liveness.py
@@ -11,7 +11,7 @@
 from stepflow.node.core import Core, RequestContext
 from stepflow.node.runtime.clock import ZERO, Clock
 from stepflow.node.runtime.timers import Timer, Timers
-from stepflow.node.upstreams.load_reports import LoadReportClassifier
+from stepflow.node.upstreams.session_reports import LoadReportClassifier
 
 log = get_logger()
 
--- a/tests/test_code_shape.py
+++ b/tests/test_code_shape.py
@@ -21,7 +21,6 @@
     "stepflow/node/clients/connection.py",
     "stepflow/node/core.py",
     "stepflow/node/process/service.py",
-    "stepflow/node/upstreams/attempt.py",
     "stepflow/policy/decide.py",
 }
 # Functions that have not been split yet, and constructors that take more arguments, by file and name.
@@ -40,7 +39,7 @@
     "stepflow/node/clients/connection.py:ClientFactory.__init__",
     "stepflow/node/process/shutdown.py:Shutdown.__init__",
     "stepflow/node/relay.py:Relay.__init__",
-    "stepflow/node/upstreams/attempt.py:UpstreamConnections.__init__",
+    "stepflow/node/upstreams/pool.py:UpstreamConnections.__init__",
     "stepflow/node/upstreams/liveness.py:EndpointLiveness.__init__",
 }
 
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -22,9 +22,9 @@
 from stepflow.node.runtime.slots import SlotTable
 from stepflow.node.runtime.timers import COMPACT_FROM, Timers
 from stepflow.node.runtime.transports import Reactor
-from stepflow.node.upstreams.attempt import parse_report
 from stepflow.node.upstreams.liveness import LivenessMonitor
-from stepflow.node.upstreams.load_reports import LoadReportClassifier
+from stepflow.node.upstreams.load_report import parse_report
+from stepflow.node.upstreams.session_reports import LoadReportClassifier
 from stepflow.settings import parse_node_settings, parse_settings
 from stepflow.upstream import EndpointGroup, EndpointListError
 from tests.node_kit import SETTINGS
--- /dev/null
+++ b/tests/upstream/test_json_stream.py
@@ -0,0 +1,61 @@
+"""JSON values as they are read off a stream, in pieces of any size."""
+
+from __future__ import annotations
+
+import json
+import time
+
+import pytest
+from hypothesis import given
+from hypothesis import strategies as st
+
+from stepflow.upstream import JsonStream, JsonStreamError
+
+JSON = st.recursive(
+    st.none() | st.booleans() | st.integers() | st.text(),
+    lambda inner: st.lists(inner) | st.dictionaries(st.text(), inner),
+    max_leaves=12,
+)
+
+
+@given(
+    st.lists(st.lists(JSON) | st.dictionaries(st.text(), JSON), max_size=4),
+    st.sampled_from([None, 1, 4]),
+    st.sampled_from(["", "\n", "\r\n", "\r\n\r\n \t"]),
+    st.lists(st.integers(1, 40)),
+)
+def test_values_come_whole_whatever_the_space_and_the_pieces(
+    values: list[object], indent: int | None, between: str, cuts: list[int]
+) -> None:
+    text = between.join([json.dumps(value, indent=indent) for value in values] + [""]).encode()
+    stream = JsonStream()
+    found: list[object] = []
+    for cut in cuts:
+        found += stream.feed(text[:cut])
+        text = text[cut:]
+    found += stream.feed(text)
+    assert found == values and not stream.amid
+
+
+@pytest.mark.parametrize(
+    "text", [b"null", b"x{}", b"{]}", b'{"a"}', b"[" * 40, b'{"a":"\xff"}', b"[" + b"9" * 5000 + b"]", b"]"]
+)
+def test_what_is_no_value_ends_the_stream(text: bytes) -> None:
+    with pytest.raises(JsonStreamError):
+        list(JsonStream().feed(text))
+
+
+def test_a_value_is_bounded_however_it_comes() -> None:
+    stream = JsonStream(most=1000)
+    with pytest.raises(JsonStreamError):
+        for _ in range(30):
+            list(stream.feed(b'["' + b"x" * 100 if not stream.amid else b"x" * 100))
+
+
+def test_a_large_value_in_small_pieces_is_looked_at_once() -> None:
+    """Looked at anew at each piece, 4 MB in pieces of 1,400 bytes take minutes."""
+    text = json.dumps(["x" * 100] * 30_000).encode()
+    stream, begun, found = JsonStream(), time.process_time(), 0
+    for at in range(0, len(text), 1400):
+        found += len(list(stream.feed(text[at : at + 1400])))
+    assert found == 1 and time.process_time() - begun < 5
--- /dev/null
+++ b/tests/upstream/test_start_times.py
@@ -0,0 +1,50 @@
+"""When an endpoint has started, by the node's own clock."""
+
+from __future__ import annotations
+
+import pytest
+
+from stepflow.interface import Availability, Endpoint
+from stepflow.upstream.start_times import NEWS_US, StartTimes
+
+BOOT = 1_800_000_000_000_000  # microseconds of Unix time
+SECOND = 1_000_000
+
+
+def started(uid: str, boot_us: int) -> Endpoint:
+    return Endpoint(uid, 0, 0, 0, Availability.READY, 1.0, boot_us)
+
+
+@pytest.mark.parametrize("ahead_s", [-3600, -3, 0, 3, 3600])
+def test_a_server_is_held_little_warmer_than_it_is_whatever_the_own_clock_says(ahead_s: int) -> None:
+    """After a step of the wall clock before its start, a process held each cold server for warm, or for hours
+    to come for cold."""
+    times, ahead = StartTimes(), ahead_s * SECOND
+    times.localize(BOOT + ahead, True, (started("s-0", 0),))
+    for number, lag in enumerate((2 * SECOND, SECOND, 3 * SECOND)):
+        boot = BOOT + 60 * SECOND * (number + 1)
+        now = boot + lag + ahead
+        [entry] = times.localize(now, False, (started(f"s-{number + 1}", boot),))
+        age = now - entry.started_us
+        # Seconds ahead can't be told from slow news, but for what is over the usual time.
+        assert 0 <= age <= lag + min(NEWS_US, max(0, ahead_s * SECOND))
+        if ahead_s == 0:
+            assert age == lag
+        [again] = times.localize(now + 9 * SECOND, False, (started(f"s-{number + 1}", boot),))
+        assert again == entry  # the same start, told again
+
+
+def test_start_times_of_a_first_list_are_taken_where_they_can_be_true() -> None:
+    recent, future, ancient = BOOT - 3 * SECOND, BOOT + 3600 * SECOND, BOOT - 3600 * SECOND
+    entries = (started("a", recent), started("b", future), started("c", ancient), started("d", 0))
+    found = StartTimes().localize(BOOT, True, entries)
+    assert [entry.started_us for entry in found] == [recent, BOOT, BOOT, 0]
+
+
+def test_a_restart_is_news_and_a_server_that_left_the_list_is_forgotten() -> None:
+    times = StartTimes()
+    times.localize(BOOT, True, (started("a", 0), started("b", BOOT - SECOND)))
+    [entry] = times.localize(BOOT + 9 * SECOND, False, (started("b", BOOT + 8 * SECOND),))
+    assert entry.started_us == BOOT + 8 * SECOND
+    times.localize(BOOT + 10 * SECOND, True, (started("a", 0),))
+    assert times._local == {}
