--- a/stepflow/node/clients/connection.py
+++ b/stepflow/node/clients/connection.py
@@ -15,14 +15,14 @@
 from stepflow.interface import Request
 from stepflow.logs import get_logger
 from stepflow.node.core import Attempt, Core, RequestContext
-from stepflow.node.relay import Relay
+from stepflow.node.relay import Relay, RelayServices
 from stepflow.node.runtime.clock import Clock, micros, millis
 from stepflow.node.runtime.counters import Counters
 from stepflow.node.runtime.lines import LineProtocol, was_reset
 from stepflow.node.runtime.timers import Timer, Timers
 from stepflow.node.runtime.transports import Reactor, family, finish, flush, has_ended, has_unread
 from stepflow.node.upstreams.attempt import UpstreamAttempt
-from stepflow.node.upstreams.dialer import Dial
+from stepflow.node.upstreams.dialer import Dialer
 from stepflow.node.upstreams.liveness import LivenessMonitor
 from stepflow.node.upstreams.pool import UpstreamConnections
 
@@ -127,16 +127,17 @@
         clock: Clock,
         deadlines: Timers,
         counters: Counters,
-        pulses: LivenessMonitor,
+        liveness: LivenessMonitor,
         reactor: Reactor,
-        peers: UpstreamConnections,
+        upstreams: UpstreamConnections,
         classes: dict[bytes, int],
         tenants: dict[bytes, int],
         free: Callable[[], int],
     ) -> None:
         self.core, self.clock, self.deadlines, self.counters = core, clock, deadlines, counters
-        self.pulses, self.open, self._free = pulses, 0, free
-        self.reactor, self.peers = reactor, peers
+        self.relay_services = RelayServices(clock, deadlines, counters, liveness)
+        self.open, self._free = 0, free
+        self.reactor, self.upstreams = reactor, upstreams
         self.classes, self.tenants = classes, tenants  # the numbers of those that clients may name
         # Those that have not opened yet: between lines, the oldest first; amid one, the longest still first.
         self.idle: dict[ClientConnection, None] = {}
@@ -162,9 +163,9 @@
         context = self.core.adopt_session(request, connection, at)
         if context is None:
             return False
-        self.reactor.adoptStreamConnection(client, families[0], Dial(connection, lambda: None))
+        self.reactor.adoptStreamConnection(client, families[0], Dialer(connection))
         connection.stand(context, told["id"])
-        context.attempt = attempt = self.peers.adopt_session(context, peer)
+        context.attempt = attempt = self.upstreams.adopt_session(context, peer)
         connection.session_established(attempt)
         connection.go_on(told)
         return True
@@ -295,7 +296,7 @@
 
     def rawDataReceived(self, data: bytes) -> None:
         if self._relay is not None:
-            self._relay.from_client(data)
+            self._relay.data_from_client(data)
         elif not self._closing:  # a client waits for its answer
             self._leave()
             self._malformed()
@@ -363,22 +364,11 @@
         return b"" if self._opening is None else self._opening.line(wait)
 
     def session_established(self, attempt: Attempt) -> None:
-        peer = cast(UpstreamAttempt, attempt)
+        upstream = cast(UpstreamAttempt, attempt)
         context = cast(RequestContext, self._context)
-        self.wire.write(peer.receipt)
-        node = self._node
-        self._relay = Relay(
-            context,
-            client=self,
-            peer=peer,
-            core=node.core,
-            clock=node.clock,
-            deadlines=node.deadlines,
-            counters=node.counters,
-            pulses=node.pulses,
-            ended=peer.detach,
-        )
-        peer.join(self._relay)
+        self.wire.write(upstream.up_line)
+        self._relay = Relay(context, self, upstream, self._node.relay_services, upstream.detach)
+        upstream.attach_relay(self._relay)
 
     def go_on(self, told: dict[str, Any]) -> None:
         if self._relay is not None:
@@ -397,7 +387,7 @@
 
     def migrate(self) -> None:
         if self._relay is not None:
-            self._relay.move()
+            self._relay.migrate()
 
     def _answer(self, line: bytes) -> None:
         """Answer once, end the sending, and wait a little for the client's own end.
--- a/stepflow/node/process/service.py
+++ b/stepflow/node/process/service.py
@@ -36,9 +36,10 @@
 from stepflow.node.runtime.timers import Timers
 from stepflow.node.runtime.transports import Reactor
 from stepflow.node.runtime.wall_clock import WallClockMonitor
-from stepflow.node.upstreams.liveness import LivenessMonitor
+from stepflow.node.upstreams.liveness import LivenessMonitor, LivenessServices
 from stepflow.node.upstreams.pool import UpstreamConnections
-from stepflow.node.upstreams.session_reports import LoadReportClassifier
+from stepflow.node.upstreams.services import UpstreamServices
+from stepflow.node.upstreams.session_reports import SessionReportClassifier
 from stepflow.os_errors import LISTEN_RETRY_DELAY, LISTEN_RETRY_LIMIT, RESOURCE_SHORTAGE, errno_of
 from stepflow.policy import Policy
 from stepflow.settings import NodeSettings, merge_settings
@@ -79,13 +80,13 @@
         self._policy = Policy(settings, config.seed)
         self._core = Core(self._policy, settings, clock, self._deadlines, self.counters, slots)
         self._group = EndpointGroup(settings.zones, settings.kinds)
-        self._peers = UpstreamConnections(
-            reactor, self._core, clock, self._deadlines, self.counters, self._group, config.settings
-        )
-        self._notes = LoadReportClassifier(config.settings)
-        self._pulses = LivenessMonitor(
-            clock, self._core, self._deadlines, _late(settings.classes), self._notes
+        upstream_services = UpstreamServices(
+            reactor, self._core, clock, self._deadlines, self.counters, config.settings
         )
+        self._upstreams = UpstreamConnections(upstream_services, self._group)
+        self._session_reports = SessionReportClassifier(config.settings)
+        liveness_services = LivenessServices(clock, self._core, self._deadlines, self._session_reports)
+        self._liveness = LivenessMonitor(liveness_services, _latency_threshold(settings.classes))
         self._discovery = DiscoveryClient(
             reactor, config.discovery, self._group, self._core, self._deadlines, self.counters
         )
@@ -95,9 +96,9 @@
             clock,
             self._deadlines,
             self.counters,
-            self._pulses,
+            self._liveness,
             reactor,
-            self._peers,
+            self._upstreams,
             classes,
             _tenants(settings),
             self._free,
@@ -129,14 +130,19 @@
 
     def _free(self) -> int:
         """Descriptors left, when every request that is open has its peer's."""
-        peers = max(self._peers.attempts, self._core.open) + max(
-            self._peers.health_check_connections, PROBES_KEPT
+        peers = max(self._upstreams.attempts, self._core.open) + max(
+            self._upstreams.health_check_connections, PROBES_KEPT
         )
         return self._config.sockets - OTHERS_KEPT - peers - self._factory.open - self._handover.others
 
     def descriptors(self) -> int:
         """Descriptors that are open, or kept for what is not a client's."""
-        return OTHERS_KEPT + self._peers.attempts + self._peers.health_check_connections + self._factory.open
+        return (
+            OTHERS_KEPT
+            + self._upstreams.attempts
+            + self._upstreams.health_check_connections
+            + self._factory.open
+        )
 
     def handover_state(self) -> tuple[int, dict[str, Any]]:
         return self._port.fileno(), {
@@ -173,7 +179,7 @@
         except EndpointListError as fault:
             log.warning("the known list is passed over", fault=fault)
             known = ()
-        self._core.start(self._peers, self._discovery, known)
+        self._core.start(self._upstreams, self._discovery, known)
         if "learned" in told:
             log.info("takes over from the process that serves", node=self._config.name)
             self._inherited, self._inherited_at = told["learned"], self.now()
@@ -181,7 +187,7 @@
         if self._settings.polls_endpoint_list:
             self._listen(listener)
         else:
-            self._discovery.keep(lambda: self._listen(listener))
+            self._discovery.keep_watch(lambda: self._listen(listener))
 
     def _listen(self, listener: int | None) -> None:
         """Take clients, from the socket of the process before if that has passed it."""
@@ -255,7 +261,7 @@
             self._retune(told.settings)
         self._recording.follow(operators.record, self._settings)
         if told.discovery != old.discovery:
-            self._discovery.move(told.discovery)
+            self._discovery.change_address(told.discovery)
         self.counters.reloads += 1
         log.info("reloaded", discovery=told.discovery)
 
@@ -263,9 +269,9 @@
         """Hand new settings to all who hold the old ones, in one step."""
         self._settings = merge_settings(self._settings, told.policy)
         self._core.update_settings(self._settings)
-        self._peers.settings = told._replace(policy=self._settings)
-        self._pulses.update_latency_objective(_late(told.policy.classes))
-        self._notes.update_settings(told)
+        self._upstreams.update_settings(told._replace(policy=self._settings))
+        self._liveness.update_latency_threshold(_latency_threshold(told.policy.classes))
+        self._session_reports.update_settings(told)
         self._factory.classes = _numbers(self._settings, told.policy)
         self._factory.tenants = _tenants(self._settings)
         log.info("takes settings", classes=",".join(cls.name for cls in told.policy.classes))
@@ -298,7 +304,7 @@
         self._recording.end(max(left, DISK_WAIT))
         self._handover.close()
         self._discovery.close()
-        self._peers.close()
+        self._upstreams.close()
 
     def print_counters(self) -> None:
         print_plainly(f"counters: {self.counters}")
@@ -314,8 +320,8 @@
     return {tenant.name.encode(): number for number, tenant in enumerate(settings.tenants)}
 
 
-def _late(classes: tuple[RequestClass, ...]) -> timedelta:
-    """Messages that take longer are noted: a third of the shortest message aim."""
+def _latency_threshold(classes: tuple[RequestClass, ...]) -> timedelta:
+    """Messages that take longer are reported: a third of the shortest message latency objective."""
     aims = [cls.message_latency_objective_us for cls in classes if cls.message_latency_objective_us > 0]
     return timedelta(microseconds=min(aims)) / 3 if aims else timedelta(days=1)
 
--- a/stepflow/node/relay.py
+++ b/stepflow/node/relay.py
@@ -1,16 +1,23 @@
-"""A client connection and its peer's, joined after UP."""
+"""The relay of an established session: bytes both ways between a client and its endpoint, after UP.
+
+The relay passes bytes on as they come, whole lines or not, and reads the lines among them for what they show:
+echoes, load reports, and words that end the session. It owns both sockets until it has ended them; how the
+session ended is its `result`. Times are of the node's clock. Nothing is raised. Source: PROTOCOL, "Figures".
+"""
 
 from __future__ import annotations
 
 from collections import deque
 from collections.abc import Callable
 from contextlib import suppress
+from dataclasses import dataclass
 from datetime import timedelta
 from functools import partial
 from typing import NamedTuple, Protocol
 
 from stepflow.interface import AttemptResult
-from stepflow.node.core import Core, RequestContext
+from stepflow.node.backpressure import Backpressure
+from stepflow.node.core import RequestContext
 from stepflow.node.runtime.clock import Clock
 from stepflow.node.runtime.counters import Counters
 from stepflow.node.runtime.lines import LineScanner
@@ -18,17 +25,27 @@
 from stepflow.node.runtime.transports import Transport, finish, let_go, unsent
 from stepflow.node.upstreams.liveness import LivenessMonitor
 
-# A connection that brings nothing back for so long is broken. It is owed an end within 7 s of its peer's last
-# line, and up to 2 s of them pass before the client's next line shows anything.
-SILENCE = timedelta(milliseconds=2500)
-LINGER = timedelta(milliseconds=800)  # the most that an end waits for the other side's
-# A client that takes none of what waits for it is owed an end within 3 s; how often it is looked at.
-DEAF, DEAF_LOOK = timedelta(milliseconds=2500), timedelta(milliseconds=250)
-ECHOES_KEPT = 64  # lines without an echo that a relay remembers
+# A session that brings nothing back for so long is broken. It is owed an end within 7 s of its endpoint's
+# last line, and up to 2 s of them pass before the client's next line shows anything.
+ECHO_TIMEOUT = timedelta(milliseconds=2500)
+LINGER_TIMEOUT = timedelta(milliseconds=800)  # the most that an end waits for the other side's
+# A client that takes none of what waits for it is owed an end within 3 s; how often that is checked.
+CLIENT_STALL_TIMEOUT = timedelta(milliseconds=2500)
+CLIENT_STALL_CHECK_INTERVAL = timedelta(milliseconds=250)
+MAX_PENDING_ECHOES = 64  # lines without an echo whose times a relay remembers
+
+MIGRATE_LINE = b"MOVE\r\n"
+_LOAD_WORD = b"LOAD "
+_WORD_LENGTH = 5  # of the line's first bytes, which tell what it is
+_BYE_WORDS = (b"BYE", b"BYE ")
+_MOVE_WORD = b"MOVE"
 
 
 class Passing(NamedTuple):
-    """A joined pair on its way to another process: the sockets, and what belongs to no socket."""
+    """A session on its way to another process: the sockets, and what belongs to no socket.
+
+    The names of the fields are keys of the hand-over's message.
+    """
 
     client: int
     peer: int
@@ -37,263 +54,269 @@
     owed: int  # lines that had no echo yet
 
 
-class Joinable(Protocol):
-    """What a relay needs of either side."""
-
-    @property
-    def wire(self) -> Transport: ...
-
-
-class Valve:
-    """Stops and starts one side's reading for the other.
+@dataclass(frozen=True, slots=True)
+class RelayServices:
+    """The parts of the node that relays need. A relay owns none of them."""
 
-    A transport as the other's producer would be closed with it, before the relay knows how it ended.
-    """
-
-    def __init__(self, side: Transport, turned: Callable[[bool], None] = lambda closed: None) -> None:
-        self._side, self._turned = side, turned
+    clock: Clock
+    timers: Timers
+    counters: Counters
+    liveness: LivenessMonitor
 
-    def pauseProducing(self) -> None:
-        self._side.pauseProducing()
-        self._turned(True)
 
-    def resumeProducing(self) -> None:
-        self._side.resumeProducing()
-        self._turned(False)
+class RelaySide(Protocol):
+    """What a relay needs of either side."""
 
-    def stopProducing(self) -> None:
-        """The other side is closed: the relay ends this one."""
+    @property
+    def wire(self) -> Transport:
+        """The connection's transport."""
 
 
 class Relay:
-    """Passes bytes on both ways as they come, and watches the lines among them.
+    """Joins a client and its endpoint from UP until the session ends, is migrated or is handed over.
 
-    It owns both sockets from UP on. `ended` is told once, when the peer's is to be closed.
+    `ended` is called once, when the endpoint's side is to be closed. Whoever gives the relay its bytes lets
+    go of it when its connection is lost; the relay's own references to both sides would keep them all alive.
     """
 
     def __init__(
         self,
         context: RequestContext,
-        client: Joinable,
-        peer: Joinable,
-        core: Core,
-        clock: Clock,
-        deadlines: Timers,
-        counters: Counters,
-        pulses: LivenessMonitor,
+        client: RelaySide,
+        upstream: RelaySide,
+        services: RelayServices,
         ended: Callable[[], None],
     ) -> None:
-        self.context, self._client, self._peer = context, client.wire, peer.wire
-        self._core, self._clock, self._deadlines = core, clock, deadlines
-        self._counters, self._ended = counters, ended
-        self._from_client, self._from_peer = LineScanner(), LineScanner()
-        self._asked: deque[timedelta] = deque(maxlen=ECHOES_KEPT)  # when lines went out that had no echo yet
-        self._silence: Timer | None = None
-        self._linger: Timer | None = None
-        self._deaf: Timer | None = None
-        self._moving = self._over = self._passing = False
-        self.result = AttemptResult.RESET  # unless the peer says what its end means
-        self._pulse = pulses.join(self)
+        self.context, self._client, self._upstream = context, client.wire, upstream.wire
+        self._clock, self._timers, self._counters = services.clock, services.timers, services.counters
+        self._ended = ended
+        self._client_lines, self._upstream_lines = LineScanner(), LineScanner()
+        # When the lines went out that have no echo yet, the oldest first.
+        self._pending_echoes: deque[timedelta] = deque(maxlen=MAX_PENDING_ECHOES)
+        self._echo_timer: Timer | None = None
+        self._linger_timer: Timer | None = None
+        self._client_stall_timer: Timer | None = None
+        self._migrating = self._finished = self._offered = False
+        self.result = AttemptResult.RESET  # unless the endpoint says what its end means
+        self._liveness = services.liveness.add(self)
         # Each side stops reading while the other can't take more.
-        self._client.registerProducer(Valve(self._peer, self._client_full), True)
-        self._peer.registerProducer(Valve(self._client), True)
-
-    def _client_full(self, full: bool) -> None:
-        """The client has so much unread that nothing more is taken for it; or it has taken all of that."""
-        self._cancel(self._deaf)
-        if full and not self._over:
-            self._look_at_full(unsent(self._client), self._clock.now())
+        self._client.registerProducer(Backpressure(self._upstream, self._client_full_changed), True)
+        self._upstream.registerProducer(Backpressure(self._client), True)
 
-    def _look_at_full(self, waiting: int, since: timedelta) -> None:
-        look = partial(self._still_full, waiting, since)
-        self._deaf = self._deadlines.after(DEAF_LOOK, look)
+    # Bytes.
 
-    def _still_full(self, waiting: int, since: timedelta) -> None:
-        if self._over or self._passing:
-            return
-        left, now = unsent(self._client), self._clock.now()
-        if left < waiting or now - since < DEAF:
-            self._look_at_full(left, now if left < waiting else since)  # it may read, slowly
-            return
-        self._counters.evicted += 1
-        self._end(self._peer)
-        self._client.abortConnection()
-
-    def from_client(self, data: bytes) -> None:
-        if self._over:
+    def data_from_client(self, data: bytes) -> None:
+        """Pass on what the client has sent."""
+        if self._finished:
             return  # lingers for the client's end
-        self._peer.write(data)
-        self._from_client.feed(data)
-        while self._from_client.next_line() is not None:
+        self._upstream.write(data)
+        self._client_lines.feed(data)
+        while self._client_lines.next_line() is not None:
             now = self._clock.now()
-            self._asked.append(now)
-            self._pulse.asked(self, now)
-        if self._from_client.overlong:
-            self._break()
+            self._pending_echoes.append(now)
+            self._liveness.line_sent(self, now)
+        if self._client_lines.overlong:
+            self._end_malformed()
             return
-        if self._asked and self._silence is None:
-            self._silence = self._deadlines.at(self._asked[0] + SILENCE, self._silent)
+        if self._pending_echoes and self._echo_timer is None:
+            self._echo_timer = self._timers.at(self._pending_echoes[0] + ECHO_TIMEOUT, self._check_echo)
 
-    def from_peer(self, data: bytes) -> None:
-        if self._over:
+    def data_from_upstream(self, data: bytes) -> None:
+        """Pass on what the endpoint has sent."""
+        if self._finished:
             return
         self._client.write(data)
-        self._from_peer.feed(data)
-        while (line := self._from_peer.next_line()) is not None:
-            self._peer_line(line)
-        if self._from_peer.overlong:
-            self._break()
-        elif self._moving and self._from_peer.between_lines:
-            self._send_away()
-
-    def _peer_line(self, line: memoryview) -> None:
-        word = bytes(line[:5])
-        if word == b"LOAD ":
+        self._upstream_lines.feed(data)
+        while (line := self._upstream_lines.next_line()) is not None:
+            self._upstream_line(line)
+        if self._upstream_lines.overlong:
+            self._end_malformed()
+        elif self._migrating and self._upstream_lines.between_lines:
+            self._migrate_now()
+
+    def _upstream_line(self, line: memoryview) -> None:
+        word = bytes(line[:_WORD_LENGTH])
+        if word == _LOAD_WORD:
             with suppress(ValueError):  # no number: the client gets the line all the same
-                self._pulse.told(self, float(bytes(line[5:])))
-        elif word == b"BYE" or word == b"BYE ":
+                self._liveness.load_received(self, float(bytes(line[_WORD_LENGTH:])))
+        elif word in _BYE_WORDS:
             self.result = AttemptResult.OK
-        elif word == b"MOVE":
+        elif word == _MOVE_WORD:
             self.result = AttemptResult.CANCELLED
-        elif self._asked:
-            self._pulse.echoed(self, self._clock.now() - self._asked.popleft())
+        elif self._pending_echoes:
+            self._liveness.echo_received(self, self._clock.now() - self._pending_echoes.popleft())
 
-    def _break(self) -> None:
-        """An overlong line: whoever sends it speaks another protocol."""
+    def _end_malformed(self) -> None:
+        """End both sides after an overlong line: whoever sends it speaks another protocol."""
         self._counters.malformed += 1
-        self._end(self._peer, reset=True)
+        self._end_upstream(reset=True)
         self._client.abortConnection()
 
-    def _silent(self) -> None:
-        """The oldest line without an echo may have had its time; else look again when it will have."""
-        self._silence = None
-        if self._over or self._passing or not self._asked:
+    # A client that doesn't read.
+
+    def _client_full_changed(self, full: bool) -> None:
+        """Watch a client from when its unread bytes stop the endpoint until it has read them."""
+        self._cancel(self._client_stall_timer)
+        if full and not self._finished:
+            self._check_client_later(unsent(self._client), self._clock.now())
+
+    def _check_client_later(self, waiting: int, since: timedelta) -> None:
+        check = partial(self._check_client, waiting, since)
+        self._client_stall_timer = self._timers.after(CLIENT_STALL_CHECK_INTERVAL, check)
+
+    def _check_client(self, waiting: int, since: timedelta) -> None:
+        """Close a client for which as many bytes have waited since then: it reads none of them."""
+        if self._finished or self._offered:
+            return
+        still_waiting, now = unsent(self._client), self._clock.now()
+        if still_waiting < waiting:  # it reads, slowly
+            self._check_client_later(still_waiting, now)
             return
-        due = self._asked[0] + SILENCE
+        if now - since < CLIENT_STALL_TIMEOUT:
+            self._check_client_later(still_waiting, since)
+            return
+        self._counters.evicted += 1
+        self._end_upstream()
+        self._client.abortConnection()
+
+    # An endpoint that doesn't echo.
+
+    def _check_echo(self) -> None:
+        """Act on the oldest line without an echo if its time is over; else check again when it will be."""
+        self._echo_timer = None
+        if self._finished or self._offered or not self._pending_echoes:
+            return
+        due = self._pending_echoes[0] + ECHO_TIMEOUT
         if due > self._clock.now():
-            self._silence = self._deadlines.at(due, self._silent)
+            self._echo_timer = self._timers.at(due, self._check_echo)
             return
-        self.peer_hangs()
+        self.upstream_stalled()
 
-    def peer_hangs(self) -> None:
-        """A peer that hangs sends no FIN: its client would wait for good."""
-        if not self._over and not self._passing and not self._moving:
+    def upstream_stalled(self) -> None:
+        """Migrate the client: an endpoint that hangs sends no FIN, and its client would wait for good."""
+        if not self._finished and not self._offered and not self._migrating:
             self._counters.broken += 1
-            self._send_away_between_lines()
+            self._migrate_between_lines()
 
-    def move(self) -> None:
+    # Migration.
+
+    def migrate(self) -> None:
         """Tell the client to come again: at once between two lines, else behind the line under way."""
-        if self._over or self._moving or self._passing:
+        if self._finished or self._migrating or self._offered:
             return
         self.result = AttemptResult.CANCELLED
-        self._send_away_between_lines()
+        self._migrate_between_lines()
 
-    def _send_away_between_lines(self) -> None:
-        self._moving = True
-        if self._from_peer.between_lines:
-            self._send_away()
-        else:  # a peer that stops amid a line must not keep its client
-            self._linger = self._deadlines.after(LINGER, self._send_away)
+    def _migrate_between_lines(self) -> None:
+        self._migrating = True
+        if self._upstream_lines.between_lines:
+            self._migrate_now()
+        else:  # an endpoint that stops amid a line must not keep its client
+            self._linger_timer = self._timers.after(LINGER_TIMEOUT, self._migrate_now)
 
-    def _send_away(self) -> None:
-        if self._over:
+    def _migrate_now(self) -> None:
+        if self._finished:
             return
-        if self._from_peer.between_lines:
-            self._client.write(b"MOVE\r\n")
-        self._end(self._peer)
-        self._finish_client()
+        if self._upstream_lines.between_lines:
+            self._client.write(MIGRATE_LINE)
+        self._end_upstream()
+        self._end_client()
+
+    # Hand-over to another process.
 
     def offer(self) -> Passing | None:
         """Stop reading, that another process may go on; None while something is unsent or about to end."""
-        if self._over or self._moving or self._passing:
+        if self._finished or self._migrating or self._offered:
             return None
-        if unsent(self._client) or unsent(self._peer):
+        if unsent(self._client) or unsent(self._upstream):
             return None
-        self._passing = True
+        self._offered = True
         self._client.pauseProducing()
-        self._peer.pauseProducing()
+        self._upstream.pauseProducing()
         return Passing(
             self._client.fileno(),
-            self._peer.fileno(),
-            self._from_client.half_line,
-            self._from_peer.half_line,
-            len(self._asked),
+            self._upstream.fileno(),
+            self._client_lines.half_line,
+            self._upstream_lines.half_line,
+            len(self._pending_echoes),
         )
 
     def taken(self, by_other: bool) -> None:
-        """The other process has the offered pair, or doesn't want it."""
-        if self._over or not self._passing:
+        """Close the offered sockets here if the other process has them; else go on."""
+        if self._finished or not self._offered:
             return
-        self._passing = False
+        self._offered = False
         if by_other:
             self.result = AttemptResult.CANCELLED
-            self._settle()
-            for side in (self._client, self._peer):
+            self._finish()
+            for side in (self._client, self._upstream):
                 side.unregisterProducer()
                 let_go(side)
         else:
             self._client.resumeProducing()
-            self._peer.resumeProducing()
+            self._upstream.resumeProducing()
 
-    def go_on(self, from_client: bytes, from_peer: bytes, owed: int) -> None:
-        """Take over where another process left off."""
-        for scanner, kept in ((self._from_client, from_client), (self._from_peer, from_peer)):
-            scanner.feed(kept)
+    def go_on(self, from_client: bytes, from_upstream: bytes, owed: int) -> None:
+        """Take over where another process left off: amid these lines, and with so many echoes pending."""
+        for scanner, half_line in ((self._client_lines, from_client), (self._upstream_lines, from_upstream)):
+            scanner.feed(half_line)
             scanner.next_line()
         now = self._clock.now()
-        for _ in range(min(owed, ECHOES_KEPT)):
-            self._asked.append(now)
-            self._pulse.asked(self, now)
-        if self._asked:
-            self._silence = self._deadlines.at(now + SILENCE, self._silent)
+        for _ in range(min(owed, MAX_PENDING_ECHOES)):
+            self._pending_echoes.append(now)
+            self._liveness.line_sent(self, now)
+        if self._pending_echoes:
+            self._echo_timer = self._timers.at(now + ECHO_TIMEOUT, self._check_echo)
+
+    # The ends.
 
     def client_lost(self, reset: bool) -> None:
-        """The client's socket is closed; end the peer's in the same way."""
-        self._cancel(self._linger)
-        if self._over:
+        """End the endpoint's side as the client's has ended: by a reset or a FIN."""
+        self._cancel(self._linger_timer)
+        if self._finished:
             return
         self.result = AttemptResult.CANCELLED
-        self._end(self._peer, reset)
+        self._end_upstream(reset)
 
-    def peer_lost(self, reset: bool, network_failed: bool) -> AttemptResult:
-        """The peer's socket is closed; end the client's in the same way. Returns what that end means.
+    def upstream_lost(self, reset: bool, network_failed: bool) -> AttemptResult:
+        """End the client's side as the endpoint's has ended; returns what that end means.
 
-        Where the network has failed, the peer has ended nothing: its client is told to come again.
+        Where the network has failed, the endpoint has ended nothing: its client is told to come again.
         """
-        if not self._over:
-            self._settle()
+        if not self._finished:
+            self._finish()
             if self.result == AttemptResult.RESET:
                 self._counters.broken += 1
-            if network_failed and self._from_peer.between_lines:
+            if network_failed and self._upstream_lines.between_lines:
                 self._counters.moved += 1
-                self._client.write(b"MOVE\r\n")
-                self._finish_client()
+                self._client.write(MIGRATE_LINE)
+                self._end_client()
             elif reset:
                 self._client.abortConnection()
             else:
-                self._finish_client()
+                self._end_client()
         return self.result
 
-    def _end(self, side: Transport, reset: bool = False) -> None:
-        self._settle()
-        side.unregisterProducer()
+    def _finish(self) -> None:
+        """The one place that ends the relay; what is left is to close the sockets."""
+        self._finished = True
+        self._cancel(self._echo_timer)
+        self._cancel(self._client_stall_timer)
+        self._liveness.remove(self)
+
+    def _end_upstream(self, reset: bool = False) -> None:
+        self._finish()
+        self._upstream.unregisterProducer()
         if reset:
-            side.abortConnection()
+            self._upstream.abortConnection()
         else:
-            self._end_sending(side)
+            self._end_sending(self._upstream)
         self._ended()
 
-    def _settle(self) -> None:
-        """The one place that ends the relay; what is left is to close the sockets."""
-        self._over = True
-        self._cancel(self._silence)
-        self._cancel(self._deaf)
-        self._pulse.leave(self)
-
-    def _finish_client(self) -> None:
-        self._cancel(self._linger)
+    def _end_client(self) -> None:
+        self._cancel(self._linger_timer)
         self._client.unregisterProducer()
-        self._linger = self._end_sending(self._client)
+        self._linger_timer = self._end_sending(self._client)
 
     def _end_sending(self, side: Transport) -> Timer:
         """Send what is left and a FIN, then wait a little for the other's.
@@ -303,9 +326,9 @@
         """
         side.loseWriteConnection()
         side.resumeProducing()
-        return self._deadlines.after(LINGER, lambda: finish(side))
+        return self._timers.after(LINGER_TIMEOUT, lambda: finish(side))
 
     @staticmethod
-    def _cancel(deadline: Timer | None) -> None:
-        if deadline is not None:
-            deadline.cancel()
+    def _cancel(timer: Timer | None) -> None:
+        if timer is not None:
+            timer.cancel()
--- a/stepflow/node/upstreams/__init__.py
+++ b/stepflow/node/upstreams/__init__.py
@@ -1,1 +1,1 @@
-"""Connections to endpoints: attempts, health checks, liveness and load reports."""
+"""Connections to endpoints: attempts, health checks, liveness and session reports."""
--- a/stepflow/node/upstreams/attempt.py
+++ b/stepflow/node/upstreams/attempt.py
@@ -1,9 +1,15 @@
-"""Attempts, each on a connection of its own."""
+"""An attempt: one request at one endpoint, on a TCP connection of its own.
+
+The attempt connects, writes the opening line of its request and reads the endpoint's answer. After UP, the
+connection belongs to a session, and its bytes go to the relay. Nothing is raised: each end is an
+`AttemptResult`. Source: PROTOCOL.
+"""
 
 from __future__ import annotations
 
+from collections.abc import Callable
 from datetime import timedelta
-from typing import TYPE_CHECKING, Protocol, cast
+from typing import Protocol, cast
 
 from twisted.internet.protocol import connectionDone
 from twisted.python.failure import Failure
@@ -15,74 +21,84 @@
 from stepflow.node.runtime.lines import LineProtocol, was_reset
 from stepflow.node.runtime.transports import flush
 from stepflow.node.upstreams.connection import network_failed
-from stepflow.node.upstreams.dialer import Dial
-from stepflow.node.upstreams.load_report import parse_report
+from stepflow.node.upstreams.dialer import Dialer
+from stepflow.node.upstreams.load_report import parse_load_report
+from stepflow.node.upstreams.services import UpstreamServices
 
-if TYPE_CHECKING:
-    from stepflow.node.upstreams.pool import UpstreamConnections
+_RESULT_OF_ANSWER = {
+    b"BYE": AttemptResult.OK,
+    b"MOVE": AttemptResult.CANCELLED,
+    b"BUSY": AttemptResult.FULL,
+    b"ERR": AttemptResult.ERROR,
+}
 
 
-class OpeningFront(Protocol):
-    """A front that speaks lines."""
+class LineDownstream(Protocol):
+    """A downstream whose requests begin with a line, as this protocol's do."""
 
-    def opening_line(self, wait: timedelta) -> bytes: ...
+    def opening_line(self, timeout: timedelta) -> bytes:
+        """The first line for an attempt that may take so long."""
 
 
 class UpstreamAttempt(LineProtocol):
-    """One attempt of a request, on a connection of its own.
+    """One attempt, and the upstream side of the session that it establishes (`core.Attempt`).
 
-    It owns the socket; `attempt_ended` is told when that is closed, so that the next attempt can't
-    begin before.
+    It owns its socket. `Core.attempt_ended` is called once, and not before the socket is closed, so that the
+    next attempt can't begin sooner; only a relay may end it while the socket still lingers (`detach`).
+    `closed` is called once, when the socket is.
     """
 
-    def __init__(self, peers: UpstreamConnections, context: RequestContext, wait: timedelta) -> None:
+    def __init__(
+        self,
+        services: UpstreamServices,
+        context: RequestContext,
+        timeout: timedelta,
+        closed: Callable[[], None],
+    ) -> None:
         super().__init__()
-        self._peers, self._context = peers, context
-        self._expires = peers.clock.now() + wait
-        self._result: AttemptResult | None = None  # what the end will mean, once something has settled it
-        self._report: tuple[float, ...] = ()
+        self._services, self._context, self._on_closed = services, context, closed
+        self._expires_at = services.clock.now() + timeout
+        self._result: AttemptResult | None = None  # of the end to come, once it is decided
+        self._load_report: tuple[float, ...] = ()
         self._answer = b""
-        self._made = self._written = self._sent = self._detached = self._over = False
+        self._connected = self._closed = False
+        self._line_written = self._line_sent = False  # given to the transport; its last byte went out
+        self._detached = False
         self._relay: Relay | None = None
-        self.receipt = self._early = b""
-        connect = min(wait, peers.settings.connect_timeout)
-        self._deadline = peers.deadlines.after(connect, self._connect_late)
-        peers.attempts += 1
+        self.up_line = b""  # the endpoint's UP, as it came
+        self._bytes_after_up = b""
+        connect_timeout = min(timeout, services.settings.connect_timeout)
+        self._timer = services.timers.after(connect_timeout, self._connect_timed_out)
+
+    # Before UP.
 
-    def dial(self, endpoint: Address) -> None:
+    def dial(self, address: Address) -> None:
         """Begin the connection."""
-        self._dial = Dial(self, self._connect_failed)
-        self._dial.begin(self._peers.reactor, endpoint)
+        self._dialer = Dialer(self, self._connect_failed)
+        self._dialer.dial(self._services.reactor, address)
 
-    def stand(self) -> None:
-        """It is up already: nothing is to be sent, and no answer to be read."""
-        self._deadline.cancel()
-        self._written = self._sent = True
+    def skip_opening(self) -> None:
+        """Treat the request as sent and answered, for a session that another process has established."""
+        self._timer.cancel()
+        self._line_written = self._line_sent = True
         self.setRawMode()
 
-    def _connect_late(self) -> None:
-        if not self._over:
-            self._dial.stop()  # _connect_failed follows
-
-    def _connect_failed(self) -> None:
-        self._deadline.cancel()
-        self._over = True
-        self._peers.attempts -= 1
-        result = AttemptResult.CONNECT_FAILED if self._result is None else self._result
-        # connectTCP may fail before it returns: the core must know of the attempt first.
-        self._peers.reactor.callLater(0, self._peers.core.attempt_ended, self._context, result)
+    def abandon(self) -> None:
+        """Close the socket, unless the attempt's end is decided already."""
+        self._give_up(AttemptResult.CANCELLED)
 
     def connectionMade(self) -> None:
+        """Begin to send the opening line, if the policy still allows it."""
         super().connectionMade()
-        self._made = True
-        if self._sent:
+        self._connected = True
+        if self._line_sent:
             return
-        self._deadline.cancel()
-        # To come up took its time: what was allowed when this was decided may not be any more.
-        if not self._peers.core.may_send_attempt(self._context):
+        self._timer.cancel()
+        # Connecting took its time: what was allowed when this was decided may not be any more.
+        if not self._services.core.may_send_attempt(self._context):
             self._give_up(AttemptResult.NOT_SENT)
             return
-        self._deadline = self._peers.deadlines.at(self._expires, self._late)
+        self._timer = self._services.timers.at(self._expires_at, self._timed_out)
         # As a pull producer, it is asked for more once the line's last byte was written: from then
         # on the request may have run.
         self.wire.registerProducer(self, False)
@@ -90,91 +106,107 @@
         flush(self.wire)
 
     def resumeProducing(self) -> None:
-        if self._written:
+        """Write the line at the transport's first call; at the second, its last byte has gone out."""
+        if self._line_written:
             self.wire.unregisterProducer()
             self._mark_sent()
         elif self._result is not None:
             self.wire.unregisterProducer()
         else:
-            self._written = True
-            front = cast(OpeningFront, self._context.downstream)
-            self.wire.write(front.opening_line(self._expires - self._peers.clock.now()))
-
-    def _mark_sent(self) -> None:
-        """The line is out; an answer that is read before the news of that shows it as well."""
-        if not self._sent:
-            self._sent = True
-            self._peers.core.attempt_sent(self._context)
+            self._line_written = True
+            downstream = cast(LineDownstream, self._context.downstream)
+            self.wire.write(downstream.opening_line(self._expires_at - self._services.clock.now()))
 
     def stopProducing(self) -> None:
-        """The connection broke before the line was written."""
-
-    def _late(self) -> None:
-        self._give_up(AttemptResult.TIMEOUT)
-
-    def abandon(self) -> None:
-        self._give_up(AttemptResult.CANCELLED)
-
-    def _give_up(self, result: AttemptResult) -> None:
-        """Close the socket, unless something has settled the end already."""
-        if self._over or self._result is not None:
-            return
-        self._result = result
-        if self._made:
-            self.wire.abortConnection()
-        else:
-            self._dial.stop()
+        """Do nothing: the connection broke before the line was written, and `connectionLost` follows."""
 
     def lineReceived(self, line: memoryview) -> None:
+        """Take the endpoint's answer."""
         if self._result is not None:
             return
         word, _, rest = bytes(line).partition(b" ")
         if word == b"LOAD":
-            return  # tells nothing before UP
-        if self._written:
+            return  # has no meaning before UP
+        if self._line_written:
             self._mark_sent()
         if word == b"UP":
-            self._deadline.cancel()
-            # Whatever came behind the line in the same buffer goes along.
-            self.receipt = bytes(line) + b"\r\n"
-            self._early = self.setRawMode()
-            self._peers.core.attempt_established(self._context, self)
+            self._timer.cancel()
+            self.up_line = bytes(line) + b"\r\n"
+            self._bytes_after_up = self.setRawMode()
+            self._services.core.attempt_established(self._context, self)
             return
-        results = {b"BYE": AttemptResult.OK, b"MOVE": AttemptResult.CANCELLED, b"BUSY": AttemptResult.FULL}
-        self._result = results.get(word, AttemptResult.ERROR)  # ERR, or a line that no peer sends
+        self._result = _RESULT_OF_ANSWER.get(word, AttemptResult.ERROR)  # any other line is an error too
         self._answer = bytes(line) + b"\r\n"
-        self._report = parse_report(rest, self._peers.settings.policy.load_report_fields) if rest else ()
+        if rest:
+            self._load_report = parse_load_report(rest, self._services.settings.policy.load_report_fields)
         self.wire.abortConnection()
 
     def lineLengthExceeded(self) -> None:
+        """Close the socket: the endpoint speaks another protocol."""
         self._give_up(AttemptResult.ERROR)
 
+    # After UP.
+
+    def attach_relay(self, relay: Relay) -> None:
+        """Pass all that comes from now on to the relay, and what came behind UP in the same buffer."""
+        self._relay = relay
+        if self._bytes_after_up:
+            relay.data_from_upstream(self._bytes_after_up)
+
+    def detach(self) -> None:
+        """Report the attempt's end now: its relay has ended, and only the socket is still to be closed."""
+        if self._relay is not None and not self._detached:
+            self._detached = True
+            self._services.core.attempt_ended(self._context, self._relay.result)
+
     def rawDataReceived(self, data: bytes) -> None:
+        """Pass bytes of a session to its relay."""
         if self._relay is not None:
-            self._relay.from_peer(data)
+            self._relay.data_from_upstream(data)
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:
-        self._deadline.cancel()
-        self._over = True
-        self._peers.attempts -= 1
+        """Report the attempt's end, unless `detach` did."""
+        self._timer.cancel()
+        self._mark_closed()
         result = self._result
         if self._relay is not None:
-            result = self._relay.peer_lost(was_reset(reason), network_failed(self.transport))
-            self._relay = None  # which holds this attempt
+            result = self._relay.upstream_lost(was_reset(reason), network_failed(self.transport))
+            self._relay = None  # the relay holds this attempt: a reference cycle
         elif result is None:
-            result = AttemptResult.RESET if self._sent else AttemptResult.CONNECT_FAILED
+            result = AttemptResult.RESET if self._line_sent else AttemptResult.CONNECT_FAILED
         if not self._detached:
-            self._peers.core.attempt_ended(self._context, result, self._report, self._answer)
+            self._services.core.attempt_ended(self._context, result, self._load_report, self._answer)
 
-    # After UP.
+    def _connect_timed_out(self) -> None:
+        if not self._closed:
+            self._dialer.cancel()  # _connect_failed follows
 
-    def join(self, relay: Relay) -> None:
-        self._relay = relay
-        if self._early:
-            relay.from_peer(self._early)
+    def _connect_failed(self) -> None:
+        self._timer.cancel()
+        self._mark_closed()
+        result = AttemptResult.CONNECT_FAILED if self._result is None else self._result
+        # connectTCP may fail before it returns: the core must know of the attempt first.
+        self._services.reactor.callLater(0, self._services.core.attempt_ended, self._context, result)
 
-    def detach(self) -> None:
-        """The relay has ended this side: the module need not wait until the socket is closed."""
-        if self._relay is not None and not self._detached:
-            self._detached = True
-            self._peers.core.attempt_ended(self._context, self._relay.result)
+    def _mark_closed(self) -> None:
+        self._closed = True
+        self._on_closed()
+
+    def _mark_sent(self) -> None:
+        """Note that the line went out; an answer may be read before the transport tells so."""
+        if not self._line_sent:
+            self._line_sent = True
+            self._services.core.attempt_sent(self._context)
+
+    def _timed_out(self) -> None:
+        self._give_up(AttemptResult.TIMEOUT)
+
+    def _give_up(self, result: AttemptResult) -> None:
+        """Close the socket, unless something has decided the end already."""
+        if self._closed or self._result is not None:
+            return
+        self._result = result
+        if self._connected:
+            self.wire.abortConnection()
+        else:
+            self._dialer.cancel()
--- a/stepflow/node/upstreams/connection.py
+++ b/stepflow/node/upstreams/connection.py
@@ -1,7 +1,7 @@
-"""Connections to peers that keep the error which broke them: Twisted's own forget it.
+"""TCP transports to endpoints that keep the number of the error which broke them: Twisted's own forget it.
 
-What it means for the client differs. A reset is the peer's word, and is passed on in kind; where the network
-between has failed, the peer may well answer on other connections, and its client is sent away politely.
+The error decides what the client is told. A reset comes from the endpoint and is passed on as a reset. Where
+the network between has failed, the endpoint may well answer on other connections, and its client is migrated.
 """
 
 # Twisted's transports have no types.
@@ -18,7 +18,7 @@
 from stepflow.address import Address
 from stepflow.node.runtime.transports import Reactor
 
-OF_THE_NETWORK = frozenset(
+NETWORK_ERRNOS = frozenset(
     {
         errno.ETIMEDOUT,
         errno.EHOSTUNREACH,
@@ -30,68 +30,68 @@
         errno.ENOPROTOOPT,
     }
 )
-_NOT_NOW = (errno.EAGAIN, errno.EINTR)
-_NO_ROOM = (errno.EAGAIN, errno.EINTR, errno.ENOBUFS, errno.ENOMEM)
+_READ_LATER = (errno.EAGAIN, errno.EINTR)
+_WRITE_LATER = (errno.EAGAIN, errno.EINTR, errno.ENOBUFS, errno.ENOMEM)
 
 
-class KeepsError:
-    """The reading and writing of a Twisted transport, which notes what they failed with."""
+class ErrnoRecorder:
+    """Replaces the reading and writing of a Twisted transport, to record the error that breaks it."""
 
     socket: socket.socket
     bufferSize: int
     SEND_LIMIT: int
-    broken_by = 0  # the error number; 0 for an end that was none
+    broken_by = 0  # the error number; 0 while there was none, and after a FIN
 
     def doRead(self) -> Any:
-        """Read once; the reactor's call."""
+        """Read once. Returns what Twisted ends the connection with, or None while it lasts."""
         try:
             data = self.socket.recv(self.bufferSize)
-        except OSError as fault:
-            if fault.errno in _NOT_NOW:
+        except OSError as error:
+            if error.errno in _READ_LATER:
                 return None
-            self.broken_by = fault.errno or 0
+            self.broken_by = error.errno or 0
             return main.CONNECTION_LOST
         return cast(Any, self)._dataReceived(data)
 
     def writeSomeData(self, data: bytes) -> Any:
-        """Write once; how much went out, or what the connection ends with."""
+        """Write once. Returns how many bytes went out, or what Twisted ends the connection with."""
         try:
             return self.socket.send(memoryview(data)[: self.SEND_LIMIT])
-        except OSError as fault:
-            if fault.errno in _NO_ROOM:
+        except OSError as error:
+            if error.errno in _WRITE_LATER:
                 return 0
-            self.broken_by = fault.errno or 0
+            self.broken_by = error.errno or 0
             return main.CONNECTION_LOST
 
 
-class _Client(KeepsError, tcp.Client):
+class _DialedTransport(ErrnoRecorder, tcp.Client):
     """A connection that this process has made."""
 
 
-class _Adopted(KeepsError, tcp.Server):
-    """A connection that another process has passed."""
+class _AdoptedTransport(ErrnoRecorder, tcp.Server):
+    """A connection that another process has passed: for Twisted, one that was accepted."""
 
 
 class _Connector(tcp.Connector):
-    """Twisted's connector, for these connections."""
+    """Twisted's connector, which makes these transports."""
 
     def _makeTransport(self) -> Any:
-        return _Client(self.host, self.port, self.bindAddress, self, self.reactor)
+        return _DialedTransport(self.host, self.port, self.bindAddress, self, self.reactor)
 
 
-def connect(reactor: Reactor, endpoint: Address, factory: Any) -> Any:
-    """Begin a connection to a peer; its connector."""
+def connect(reactor: Reactor, address: Address, factory: Any) -> Any:
+    """Begin a connection to an endpoint, without a time-out; returns its connector."""
     no_timeout = cast(float, None)
-    connector = _Connector(endpoint.host, endpoint.port, factory, no_timeout, None, reactor)
+    connector = _Connector(address.host, address.port, factory, no_timeout, None, reactor)
     connector.connect()
     return connector
 
 
 def adopt(reactor: Reactor, descriptor: int, family: int, factory: Any) -> None:
-    """Go on with a connection to a peer that another process has passed."""
-    _Adopted._fromConnectedSocket(descriptor, family, factory, reactor)
+    """Go on with a connection that another process has passed; the descriptor is duplicated."""
+    _AdoptedTransport._fromConnectedSocket(descriptor, family, factory, reactor)
 
 
 def network_failed(transport: object) -> bool:
-    """Whether a connection was broken by the network, not by the peer."""
-    return getattr(transport, "broken_by", 0) in OF_THE_NETWORK
+    """Whether a connection was broken by the network, not by the endpoint."""
+    return getattr(transport, "broken_by", 0) in NETWORK_ERRNOS
--- a/stepflow/node/upstreams/health_check.py
+++ b/stepflow/node/upstreams/health_check.py
@@ -1,10 +1,13 @@
-"""Health checks on kept connections."""
+"""Health checks: STATS and its answer, on one kept connection to each endpoint.
+
+Each check ends once, with an `AttemptResult` and the time that it took, by `Core.health_check_ended`.
+Source: PROTOCOL.
+"""
 
 from __future__ import annotations
 
 from collections.abc import Callable
 from datetime import timedelta
-from typing import TYPE_CHECKING
 
 from twisted.internet.protocol import connectionDone
 from twisted.python.failure import Failure
@@ -13,91 +16,106 @@
 from stepflow.interface import AttemptResult
 from stepflow.node.runtime.lines import LineProtocol
 from stepflow.node.runtime.timers import Timer
-from stepflow.node.upstreams.dialer import Dial
-from stepflow.node.upstreams.load_report import parse_report
-
-if TYPE_CHECKING:
-    from stepflow.node.upstreams.pool import UpstreamConnections
-
+from stepflow.node.upstreams.dialer import Dialer
+from stepflow.node.upstreams.load_report import parse_load_report
+from stepflow.node.upstreams.services import UpstreamServices
 
-PROBE_WAIT = timedelta(milliseconds=250)  # the most that a probe waits for its answer
+HEALTH_CHECK_TIMEOUT = timedelta(milliseconds=250)  # the connection included, where there is none yet
+_REQUEST = b"STATS\r\n"
 
 
 class HealthCheckConnection(LineProtocol):
-    """A kept connection to a peer for its probes, one at a time; closes after a while without any."""
-
-    def __init__(self, peers: UpstreamConnections, peer: str, endpoint: Address) -> None:
+    """A connection to an endpoint for its health checks, one at a time.
+
+    It is dialled at once, and closes when no check has come for the settings' `idle_close`, or a check fails.
+    `closed` is called once, when the connection is to be used no more.
+    """
+
+    def __init__(
+        self,
+        services: UpstreamServices,
+        endpoint_id: str,
+        address: Address,
+        closed: Callable[[HealthCheckConnection], None],
+    ) -> None:
         super().__init__()
-        self._peers, self.peer, self.endpoint = peers, peer, endpoint
-        self._made = self._closed = self.busy = False
-        self._asked = peers.clock.now()
-        self._deadline: Timer | None = None
-        self._dial = Dial(self, self._connect_failed)
-        self._dial.begin(peers.reactor, endpoint)
-
-    def probe(self) -> None:
-        """Ask for a load report; the module asks again only after the answer."""
-        self.busy, self._asked = True, self._peers.clock.now()
-        self._set_deadline(PROBE_WAIT, self._late)
-        if self._made:
-            self.wire.write(b"STATS\r\n")
+        self._services, self._on_closed = services, closed
+        self.endpoint_id, self.address = endpoint_id, address
+        self.busy = False  # a check is under way
+        self._connected = self._closed = False
+        self._started_at = services.clock.now()
+        self._timer: Timer | None = None
+        self._dialer = Dialer(self, self._connect_failed)
+        self._dialer.dial(services.reactor, address)
+
+    def start_check(self) -> None:
+        """Ask for a load report; to be called only while no check is under way."""
+        self.busy, self._started_at = True, self._services.clock.now()
+        self._set_timer(HEALTH_CHECK_TIMEOUT, self._timed_out)
+        if self._connected:
+            self.wire.write(_REQUEST)
+
+    def close(self, result: AttemptResult = AttemptResult.CANCELLED) -> None:
+        """Close the socket; a check that is under way ends with this result."""
+        if self._closed:
+            return
+        self._mark_closed(result)
+        if self._connected:
+            self.wire.abortConnection()
+        else:
+            self._dialer.cancel()
 
     def connectionMade(self) -> None:
+        """Send the check that has waited for the connection."""
         super().connectionMade()
-        self._made = True
+        self._connected = True
         if self.busy:
-            self.wire.write(b"STATS\r\n")
+            self.wire.write(_REQUEST)
 
     def lineReceived(self, line: memoryview) -> None:
+        """Take the answer of a check."""
         word, _, rest = bytes(line).partition(b" ")
         if not self.busy:
-            self.close()  # an answer to nothing: the stream is out of step
+            self.close()  # an answer that nothing was asked for: the stream is out of step
         elif word == b"PONG":
-            self._settle(AttemptResult.OK, parse_report(rest, self._peers.settings.policy.load_report_fields))
-            self._set_deadline(self._peers.settings.idle_close, self.close)
+            fields = self._services.settings.policy.load_report_fields
+            self._end_check(AttemptResult.OK, parse_load_report(rest, fields))
+            self._set_timer(self._services.settings.idle_close, self.close)
         else:
-            self._settle(AttemptResult.FULL if word == b"BUSY" else AttemptResult.ERROR)
+            self._end_check(AttemptResult.FULL if word == b"BUSY" else AttemptResult.ERROR)
             self.close()
 
     def lineLengthExceeded(self) -> None:
+        """Close the connection: the endpoint speaks another protocol."""
         self.close(AttemptResult.ERROR)
 
-    def _late(self) -> None:
-        self.close(AttemptResult.TIMEOUT if self._made else AttemptResult.CONNECT_FAILED)
-
-    def _connect_failed(self) -> None:
-        self._peers.reactor.callLater(0, self._dropped, AttemptResult.CONNECT_FAILED)
-
     def connectionLost(self, reason: Failure = connectionDone) -> None:
-        self._dropped(AttemptResult.RESET)
+        """End the check that was under way."""
+        self._mark_closed(AttemptResult.RESET)
 
-    def close(self, result: AttemptResult = AttemptResult.CANCELLED) -> None:
-        """Close the socket; a probe that is out ends with this result."""
-        if self._closed:
-            return
-        self._dropped(result)
-        if self._made:
-            self.wire.abortConnection()
-        else:
-            self._dial.stop()
+    def _timed_out(self) -> None:
+        self.close(AttemptResult.TIMEOUT if self._connected else AttemptResult.CONNECT_FAILED)
 
-    def _dropped(self, result: AttemptResult) -> None:
+    def _connect_failed(self) -> None:
+        # Dialling may fail before the constructor has returned: the pool must know of the connection first.
+        self._services.reactor.callLater(0, self._mark_closed, AttemptResult.CONNECT_FAILED)
+
+    def _mark_closed(self, result: AttemptResult) -> None:
         if not self._closed:
             self._closed = True
-            if self._deadline is not None:
-                self._deadline.cancel()
-            self._peers.dropped(self)
-        self._settle(result)
+            if self._timer is not None:
+                self._timer.cancel()
+            self._on_closed(self)
+        self._end_check(result)
 
-    def _settle(self, result: AttemptResult, report: tuple[float, ...] = ()) -> None:
-        """The one place that ends a probe."""
+    def _end_check(self, result: AttemptResult, load_report: tuple[float, ...] = ()) -> None:
+        """The one place that ends a check."""
         if self.busy:
             self.busy = False
-            self._peers.core.health_check_ended(
-                self.peer, result, self._peers.clock.now() - self._asked, report
-            )
-
-    def _set_deadline(self, span: timedelta, call: Callable[[], None]) -> None:
-        if self._deadline is not None:
-            self._deadline.cancel()
-        self._deadline = self._peers.deadlines.after(span, call)
+            latency = self._services.clock.now() - self._started_at
+            self._services.core.health_check_ended(self.endpoint_id, result, latency, load_report)
+
+    def _set_timer(self, span: timedelta, call: Callable[[], None]) -> None:
+        if self._timer is not None:
+            self._timer.cancel()
+        self._timer = self._services.timers.after(span, call)
--- a/stepflow/node/upstreams/liveness.py
+++ b/stepflow/node/upstreams/liveness.py
@@ -1,8 +1,14 @@
-"""The pulse of each peer: how long its echoes take, and whether any come at all."""
+"""Liveness of each endpoint: the latency of its echoes, and whether any come at all.
+
+An endpoint that hangs sends no FIN, and one session alone shows little, for a client sends a line every 2 s
+only. All sessions at an endpoint together show within a second that nothing comes back. Only echoes count: an
+endpoint that hangs may go on reporting loads.
+"""
 
 from __future__ import annotations
 
 from collections.abc import Callable
+from dataclasses import dataclass
 from datetime import timedelta
 from typing import Protocol
 
@@ -11,146 +17,154 @@
 from stepflow.node.core import Core, RequestContext
 from stepflow.node.runtime.clock import ZERO, Clock
 from stepflow.node.runtime.timers import Timer, Timers
-from stepflow.node.upstreams.session_reports import LoadReportClassifier
+from stepflow.node.upstreams.session_reports import SessionReportClassifier
 
 log = get_logger()
 
-NOTE_EVERY = timedelta(seconds=1)  # between two notes of late messages at one peer
-HUNG = timedelta(seconds=2)  # a peer that echoes nothing on any connection for so long is held to hang
+DELAY_REPORT_INTERVAL = timedelta(seconds=1)  # between two reports of slow messages at one endpoint
+STALL_TIMEOUT = timedelta(seconds=2)  # an endpoint without an echo on any session for so long has stalled
+_MILLISECOND = timedelta(milliseconds=1)
+
+
+@dataclass(frozen=True, slots=True)
+class LivenessServices:
+    """The parts of the node that liveness needs. It owns none of them."""
 
+    clock: Clock
+    core: Core
+    timers: Timers
+    classifier: SessionReportClassifier
 
-class Joined(Protocol):
-    """A standing connection, as its peer's pulse sees it."""
+
+class MonitoredSession(Protocol):
+    """A session, as its endpoint's liveness sees it."""
 
     @property
-    def context(self) -> RequestContext: ...
+    def context(self) -> RequestContext:
+        """The request that has established it."""
 
-    def peer_hangs(self) -> None:
-        """The peer answers nobody: end this connection."""
+    def upstream_stalled(self) -> None:
+        """End this session: its endpoint echoes on none."""
 
 
 class EndpointLiveness:
-    """What the connections that stand at one peer show together.
+    """What all sessions at one endpoint show together.
 
-    A peer that hangs sends no FIN, and one connection alone tells little: a line goes out every 2 s
-    only. All of a peer's connections together show within a second that nothing comes back. Only
-    echoes count: a hung peer may go on telling loads.
+    It lives while there are any: `emptied` is called when the last one has left.
     """
 
     def __init__(
         self,
-        peer: str,
-        clock: Clock,
-        core: Core,
-        deadlines: Timers,
-        late: timedelta,
-        notes: LoadReportClassifier,
+        services: LivenessServices,
+        endpoint_id: str,
+        latency_threshold: timedelta,
         emptied: Callable[[], None],
     ) -> None:
-        self._peer, self._clock, self._core, self._deadlines = peer, clock, core, deadlines
-        self._notes = notes
-        self.late, self._emptied = late, emptied
-        self._joined: dict[Joined, None] = {}
-        self._since = clock.now()  # when the echoes below began to be summed
-        self._summed, self._count, self._slow = ZERO, 0, False
-        self._waiting: timedelta | None = None  # when the first line went out since an echo
-        self._waiter: Joined | None = None  # and for which connection
-        self._deadline: Timer | None = None
-
-    def join(self, connection: Joined) -> None:
-        self._joined[connection] = None
-
-    def leave(self, connection: Joined) -> None:
-        """A connection ended; the last one takes the pulse along."""
-        self._joined.pop(connection, None)
-        if connection is self._waiter:  # what the peer closed, or its client left, will have no echo
-            self._waiting = self._waiter = None
-        if not self._joined:
-            if self._deadline is not None:
-                self._deadline.cancel()
+        self._endpoint_id, self._emptied = endpoint_id, emptied
+        self._clock, self._core, self._timers = services.clock, services.core, services.timers
+        self._classifier = services.classifier
+        self.latency_threshold = latency_threshold  # messages that take longer are reported
+        self._sessions: dict[MonitoredSession, None] = {}
+        # The latencies of echoes in the interval that has begun then; whether the one before was too slow.
+        self._interval_began = services.clock.now()
+        self._latency_sum, self._echoes, self._was_slow = ZERO, 0, False
+        # The first line without an echo since the last echo: when it went out, and on which session.
+        self._waiting_since: timedelta | None = None
+        self._waiting_session: MonitoredSession | None = None
+        self._timer: Timer | None = None
+
+    def add(self, session: MonitoredSession) -> None:
+        """Count a session in."""
+        self._sessions[session] = None
+
+    def remove(self, session: MonitoredSession) -> None:
+        """Count a session out that has ended; it may be told again."""
+        self._sessions.pop(session, None)
+        if session is self._waiting_session:  # its line will have no echo, whoever has closed it
+            self._waiting_since = self._waiting_session = None
+        if not self._sessions:
+            if self._timer is not None:
+                self._timer.cancel()
             self._emptied()
 
-    def told(self, connection: Joined, value: float) -> None:
-        """The peer sent a `LOAD X` to this connection."""
-        kind = self._notes.kind(self._peer, self._clock.now(), value)
-        self._core.session_report(connection.context, kind, value)
+    def load_received(self, session: MonitoredSession, value: float) -> None:
+        """Pass on what the endpoint has sent to a session as `LOAD X`."""
+        kind = self._classifier.classify(self._endpoint_id, self._clock.now(), value)
+        self._core.session_report(session.context, kind, value)
 
-    def asked(self, connection: Joined, now: timedelta) -> None:
-        """A client's line went to the peer."""
-        if self._waiting is None:
-            self._waiting, self._waiter = now, connection
-            if self._deadline is None:
-                self._deadline = self._deadlines.at(now + NOTE_EVERY, self._check)
+    def line_sent(self, session: MonitoredSession, now: timedelta) -> None:
+        """Note that a client's line went to the endpoint."""
+        if self._waiting_since is None:
+            self._waiting_since, self._waiting_session = now, session
+            if self._timer is None:
+                self._timer = self._timers.at(now + DELAY_REPORT_INTERVAL, self._check_stall)
 
-    def echoed(self, connection: Joined, took: timedelta) -> None:
-        """A line came back after so long.
+    def echo_received(self, session: MonitoredSession, latency: timedelta) -> None:
+        """Note that a line has come back after so long.
 
-        As in the simulator, one connection a second notes it while messages take more than a third
-        of the shortest message aim, and once more when they no longer do.
+        As in the simulator, one session a second reports the mean latency while that is over the threshold,
+        and once more when it no longer is.
         """
-        self._waiting = self._waiter = None
+        self._waiting_since = self._waiting_session = None
         now = self._clock.now()
-        self._summed, self._count = self._summed + took, self._count + 1
-        if now - self._since >= NOTE_EVERY:
-            mean = self._summed / self._count
-            slow = mean > self.late
-            if slow or self._slow:
-                self._note(connection, mean)
-            self._since, self._summed, self._count, self._slow = now, ZERO, 0, slow
-
-    def _note(self, connection: Joined, took: timedelta) -> None:
-        self._core.session_report(
-            connection.context, SessionReportKind.DELAY, took / timedelta(milliseconds=1)
-        )
-
-    def _check(self) -> None:
-        """Look whether the peer still owes what it owed when this was set."""
-        self._deadline = None
-        if self._waiting is None:
+        self._latency_sum, self._echoes = self._latency_sum + latency, self._echoes + 1
+        if now - self._interval_began >= DELAY_REPORT_INTERVAL:
+            mean = self._latency_sum / self._echoes
+            is_slow = mean > self.latency_threshold
+            if is_slow or self._was_slow:
+                self._report_delay(session, mean)
+            self._interval_began, self._was_slow = now, is_slow
+            self._latency_sum, self._echoes = ZERO, 0
+
+    def _report_delay(self, session: MonitoredSession, latency: timedelta) -> None:
+        self._core.session_report(session.context, SessionReportKind.DELAY, latency / _MILLISECOND)
+
+    def _check_stall(self) -> None:
+        """Report a line that has waited for its echo for an interval; end all sessions after the time-out."""
+        self._timer = None
+        if self._waiting_since is None:
             return
-        now = self._clock.now()
-        waited = now - self._waiting
-        if waited >= HUNG:
-            log.info("a peer answers none of its connections", connections=len(self._joined))
-            self._waiting = self._waiter = None
-            for connection in tuple(self._joined):
-                connection.peer_hangs()
+        waited = self._clock.now() - self._waiting_since
+        if waited >= STALL_TIMEOUT:
+            self._end_sessions()
             return
-        if waited >= NOTE_EVERY:  # tell the module early: it probes the peer, and sends less there
-            self._slow = True
-            self._note(next(iter(self._joined)), waited)
-        due = self._waiting + (HUNG if waited >= NOTE_EVERY else NOTE_EVERY)
-        self._deadline = self._deadlines.at(due, self._check)
+        next_check = DELAY_REPORT_INTERVAL
+        if waited >= DELAY_REPORT_INTERVAL:  # early: the policy checks the endpoint, and sends less there
+            self._was_slow = True
+            self._report_delay(next(iter(self._sessions)), waited)
+            next_check = STALL_TIMEOUT
+        self._timer = self._timers.at(self._waiting_since + next_check, self._check_stall)
+
+    def _end_sessions(self) -> None:
+        log.info("a peer answers none of its connections", connections=len(self._sessions))
+        self._waiting_since = self._waiting_session = None
+        for session in tuple(self._sessions):
+            session.upstream_stalled()
 
 
 class LivenessMonitor:
-    """The pulses of all peers at which connections stand."""
+    """The liveness of all endpoints at which there are sessions, by endpoint id."""
 
-    def __init__(
-        self, clock: Clock, core: Core, deadlines: Timers, late: timedelta, notes: LoadReportClassifier
-    ) -> None:
-        self._clock, self._core, self._deadlines, self._late = clock, core, deadlines, late
-        self._notes = notes
-        self._pulses: dict[str, EndpointLiveness] = {}
-
-    def update_latency_objective(self, late: timedelta) -> None:
-        """Note messages that take longer than this."""
-        self._late = late
-        for pulse in self._pulses.values():
-            pulse.late = late
-
-    def join(self, connection: Joined) -> EndpointLiveness:
-        """Count a connection in with its peer's others."""
-        peer = connection.context.endpoint
-        pulse = self._pulses.get(peer)
-        if pulse is None:
+    def __init__(self, services: LivenessServices, latency_threshold: timedelta) -> None:
+        self._services, self._latency_threshold = services, latency_threshold
+        self._endpoints: dict[str, EndpointLiveness] = {}
+
+    def update_latency_threshold(self, latency_threshold: timedelta) -> None:
+        """Report messages that take longer than this, from now on."""
+        self._latency_threshold = latency_threshold
+        for liveness in self._endpoints.values():
+            liveness.latency_threshold = latency_threshold
+
+    def add(self, session: MonitoredSession) -> EndpointLiveness:
+        """Count a session in with the others at its endpoint; returns what they share."""
+        endpoint_id = session.context.endpoint
+        liveness = self._endpoints.get(endpoint_id)
+        if liveness is None:
 
             def emptied() -> None:
-                self._pulses.pop(peer, None)
-
-            pulse = EndpointLiveness(
-                peer, self._clock, self._core, self._deadlines, self._late, self._notes, emptied
-            )
-            self._pulses[peer] = pulse
-        pulse.join(connection)
-        return pulse
+                self._endpoints.pop(endpoint_id, None)
+
+            liveness = EndpointLiveness(self._services, endpoint_id, self._latency_threshold, emptied)
+            self._endpoints[endpoint_id] = liveness
+        liveness.add(session)
+        return liveness
--- a/stepflow/node/upstreams/load_report.py
+++ b/stepflow/node/upstreams/load_report.py
@@ -1,4 +1,7 @@
-"""The parser of load reports, the text of a STATS answer."""
+"""The parser of load reports, which endpoints send behind the word of an answer: `PONG queue=3,util=0.25`.
+
+Source: PROTOCOL. Some fields have two names there; the settings use the short one.
+"""
 
 from __future__ import annotations
 
@@ -14,15 +17,24 @@
 }
 
 
-def parse_report(text: bytes, fields: tuple[str, ...]) -> tuple[float, ...]:
-    """The values of a load report in the settings' order; empty where any is missing or no number."""
-    told: dict[str, float] = {}
+def parse_load_report(text: bytes, fields: tuple[str, ...]) -> tuple[float, ...]:
+    """Parse the comma-separated NAME=NUMBER pairs of a load report.
+
+    Args:
+        text: The report without its leading word, in ASCII.
+        fields: The names that the settings ask for, in their order.
+
+    Returns:
+        One finite number for each of the fields. The empty tuple where any of them is missing or is no finite
+        number: the policy takes a report whole or not at all.
+    """
+    values: dict[str, float] = {}
     try:
         for item in text.decode("ascii").split(","):
             name, _, value = item.strip().partition("=")
-            told[_FIELD_ALIASES.get(name, name)] = float(value)
+            values[_FIELD_ALIASES.get(name, name)] = float(value)
     except ValueError:
         return ()
-    if not fields or any(not math.isfinite(told.get(name, math.nan)) for name in fields):
+    if not fields or any(not math.isfinite(values.get(name, math.nan)) for name in fields):
         return ()
-    return tuple(told[name] for name in fields)
+    return tuple(values[name] for name in fields)
--- a/stepflow/node/upstreams/pool.py
+++ b/stepflow/node/upstreams/pool.py
@@ -1,4 +1,8 @@
-"""The pool of connections to endpoints."""
+"""The node's connections to endpoints: starts attempts, and keeps one connection to each for health checks.
+
+The pool owns the health-check connections, by endpoint id. It owns no attempt: it only counts them, since
+their sockets are counted against the limit of descriptors.
+"""
 
 from __future__ import annotations
 
@@ -7,90 +11,94 @@
 
 from stepflow.address import Address
 from stepflow.interface import AttemptResult
-from stepflow.node.core import Core, RequestContext
-from stepflow.node.runtime.clock import Clock
-from stepflow.node.runtime.counters import Counters
-from stepflow.node.runtime.timers import Timers
-from stepflow.node.runtime.transports import Reactor, family
+from stepflow.node.core import RequestContext
+from stepflow.node.runtime.transports import family
 from stepflow.node.upstreams.attempt import UpstreamAttempt
 from stepflow.node.upstreams.connection import adopt
-from stepflow.node.upstreams.dialer import Dial
+from stepflow.node.upstreams.dialer import Dialer
 from stepflow.node.upstreams.health_check import HealthCheckConnection
+from stepflow.node.upstreams.services import UpstreamServices
 from stepflow.settings import NodeSettings
 
 
-def _nothing() -> None:
-    """What follows a connection's failure where it has been made already."""
-
-
 class AddressBook(Protocol):
-    """Where the peers are."""
+    """Where the endpoints are."""
 
-    def address_of(self, peer: str) -> Address | None: ...
+    def address_of(self, endpoint_id: str) -> Address | None:
+        """The address of an endpoint; None for one that is not on the list."""
 
 
 class UpstreamConnections:
-    """The node's uplink: makes attempts and keeps the probes' connections."""
-
-    def __init__(
-        self,
-        reactor: Reactor,
-        core: Core,
-        clock: Clock,
-        deadlines: Timers,
-        counters: Counters,
-        directory: AddressBook,
-        settings: NodeSettings,
-    ) -> None:
-        self.reactor, self.core, self.clock, self.deadlines = reactor, core, clock, deadlines
-        self.counters, self.directory, self.settings = counters, directory, settings
-        self._links: dict[str, HealthCheckConnection] = {}
-        self.attempts = 0  # sockets of attempts, from the first SYN until they are closed
+    """Carries out the core's actions toward endpoints (`core.Upstream`)."""
+
+    def __init__(self, services: UpstreamServices, addresses: AddressBook) -> None:
+        self._services, self._addresses = services, addresses
+        self._health_checks: dict[str, HealthCheckConnection] = {}
+        self.attempts = 0  # sockets of attempts and sessions, from the first SYN until they are closed
 
     @property
     def health_check_connections(self) -> int:
-        """Sockets of probes."""
-        return len(self._links)
-
-    def start_attempt(self, context: RequestContext, peer: str, wait: timedelta) -> UpstreamAttempt | None:
-        endpoint = self.directory.address_of(peer)
-        if endpoint is None:
+        """How many sockets health checks hold."""
+        return len(self._health_checks)
+
+    def update_settings(self, settings: NodeSettings) -> None:
+        """Take settings that a reload has brought; connections use them from their next step on."""
+        self._services.settings = settings
+
+    def start_attempt(
+        self, context: RequestContext, endpoint_id: str, timeout: timedelta
+    ) -> UpstreamAttempt | None:
+        """Begin an attempt that may take so long; None where the endpoint has no address."""
+        address = self._addresses.address_of(endpoint_id)
+        if address is None:
             return None
-        attempt = UpstreamAttempt(self, context, wait)
-        attempt.dial(endpoint)
+        attempt = self._new_attempt(context, timeout)
+        attempt.dial(address)
         return attempt
 
     def adopt_session(self, context: RequestContext, descriptor: int) -> UpstreamAttempt:
-        """An attempt that came up in the process before this one."""
-        attempt = UpstreamAttempt(self, context, timedelta(0))
-        attempt.stand()
-        adopt(self.reactor, descriptor, family(descriptor), Dial(attempt, _nothing))
+        """Make the attempt of a session that was established by the process before this one."""
+        attempt = self._new_attempt(context, timedelta(0))
+        attempt.skip_opening()
+        adopt(self._services.reactor, descriptor, family(descriptor), Dialer(attempt))
         return attempt
 
-    def start_health_check(self, peer: str) -> None:
-        endpoint = self.directory.address_of(peer)
-        if endpoint is None:
-            self.core.health_check_ended(peer, AttemptResult.CONNECT_FAILED, timedelta(0))
+    def start_health_check(self, endpoint_id: str) -> None:
+        """Ask an endpoint for its load report; `Core.health_check_ended` follows."""
+        address = self._addresses.address_of(endpoint_id)
+        if address is None:
+            self._services.core.health_check_ended(endpoint_id, AttemptResult.CONNECT_FAILED, timedelta(0))
             return
-        link = self._links.get(peer)
-        if link is None or link.endpoint != endpoint:
-            if link is not None:
-                link.close()
-            link = self._links[peer] = HealthCheckConnection(self, peer, endpoint)
-        if not link.busy:  # else the answer to the one that is out will do
-            self.counters.probes += 1
-            link.probe()
-
-    def close_idle(self, peer: str) -> None:
-        link = self._links.get(peer)
-        if link is not None and not link.busy:
-            link.close()
-
-    def dropped(self, link: HealthCheckConnection) -> None:
-        """A probes' connection is closed."""
-        if self._links.get(link.peer) is link:
-            del self._links[link.peer]
+        connection = self._health_checks.get(endpoint_id)
+        if connection is None or connection.address != address:
+            if connection is not None:
+                connection.close()
+            connection = HealthCheckConnection(
+                self._services, endpoint_id, address, self._health_check_closed
+            )
+            self._health_checks[endpoint_id] = connection
+        if not connection.busy:  # else the answer to the check that is under way serves this one too
+            self._services.counters.probes += 1
+            connection.start_check()
+
+    def close_idle(self, endpoint_id: str) -> None:
+        """Close the health-check connection of an endpoint, unless a check is under way on it."""
+        connection = self._health_checks.get(endpoint_id)
+        if connection is not None and not connection.busy:
+            connection.close()
 
     def close(self) -> None:
-        for link in tuple(self._links.values()):
-            link.close()
+        """Close all health-check connections; attempts are ended by the core."""
+        for connection in tuple(self._health_checks.values()):
+            connection.close()
+
+    def _new_attempt(self, context: RequestContext, timeout: timedelta) -> UpstreamAttempt:
+        self.attempts += 1
+        return UpstreamAttempt(self._services, context, timeout, self._attempt_closed)
+
+    def _attempt_closed(self) -> None:
+        self.attempts -= 1
+
+    def _health_check_closed(self, connection: HealthCheckConnection) -> None:
+        if self._health_checks.get(connection.endpoint_id) is connection:  # else it was replaced by another
+            del self._health_checks[connection.endpoint_id]
--- /dev/null
+++ b/stepflow/node/upstreams/services.py
@@ -0,0 +1,27 @@
+"""What connections to endpoints share."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+
+from stepflow.node.core import Core
+from stepflow.node.runtime.clock import Clock
+from stepflow.node.runtime.counters import Counters
+from stepflow.node.runtime.timers import Timers
+from stepflow.node.runtime.transports import Reactor
+from stepflow.settings import NodeSettings
+
+
+@dataclass(slots=True)
+class UpstreamServices:
+    """The parts of the node that attempts and health checks need. It owns none of them.
+
+    A reload replaces `settings`, so connections read it anew each time.
+    """
+
+    reactor: Reactor
+    core: Core
+    clock: Clock
+    timers: Timers
+    counters: Counters
+    settings: NodeSettings
--- a/tests/node/test_discovery_freshness.py
+++ b/tests/node/test_discovery_freshness.py
@@ -231,7 +231,7 @@
     nodes.run(20)
     nodes.source.become("up")
     for client in nodes.clients:
-        client.move(Address("h", 2))
+        client.change_address(Address("h", 2))
     nodes.run(2)
     assert 0 < nodes.worst < 2
 
--- a/tests/test_code_shape.py
+++ b/tests/test_code_shape.py
@@ -38,9 +38,6 @@
 WIDE_CONSTRUCTORS = {
     "stepflow/node/clients/connection.py:ClientFactory.__init__",
     "stepflow/node/process/shutdown.py:Shutdown.__init__",
-    "stepflow/node/relay.py:Relay.__init__",
-    "stepflow/node/upstreams/pool.py:UpstreamConnections.__init__",
-    "stepflow/node/upstreams/liveness.py:EndpointLiveness.__init__",
 }
 
 FILES = sorted((ROOT / "stepflow").rglob("*.py"))
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -21,7 +21,7 @@
 import pytest
 
 from stepflow.node.process.shutdown_schedule import CLIENT_LINGER
-from stepflow.node.relay import DEAF, DEAF_LOOK
+from stepflow.node.relay import CLIENT_STALL_CHECK_INTERVAL, CLIENT_STALL_TIMEOUT
 from tests.node_kit import PATIENCE, Discovery, Line, Listener, Node, Peer, opening
 
 
@@ -291,7 +291,7 @@
 
 def test_a_client_that_never_reads_is_closed_within_3_s_and_others_are_unharmed() -> None:
     """It stayed for good, with its peer's lines held back behind what it left unread."""
-    assert timedelta(seconds=3) > DEAF + DEAF_LOOK
+    assert timedelta(seconds=3) > CLIENT_STALL_TIMEOUT + CLIENT_STALL_CHECK_INTERVAL
     with Node(peer := Peer("s-1")) as node:
         deaf = node.client(opening())
         assert deaf.read() == "UP r1"
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -22,9 +22,9 @@
 from stepflow.node.runtime.slots import SlotTable
 from stepflow.node.runtime.timers import COMPACT_FROM, Timers
 from stepflow.node.runtime.transports import Reactor
-from stepflow.node.upstreams.liveness import LivenessMonitor
-from stepflow.node.upstreams.load_report import parse_report
-from stepflow.node.upstreams.session_reports import LoadReportClassifier
+from stepflow.node.upstreams.liveness import LivenessMonitor, LivenessServices
+from stepflow.node.upstreams.load_report import parse_load_report
+from stepflow.node.upstreams.session_reports import SessionReportClassifier
 from stepflow.settings import parse_node_settings, parse_settings
 from stepflow.upstream import EndpointGroup, EndpointListError
 from tests.node_kit import SETTINGS
@@ -127,7 +127,7 @@
     ],
 )
 def test_a_load_report_is_whole_or_dropped(text: bytes, values: tuple[float, ...]) -> None:
-    assert parse_report(text, ("x0", "util")) == values
+    assert parse_load_report(text, ("x0", "util")) == values
 
 
 @pytest.mark.parametrize(("told", "number"), [(b",t=acme", 1), (b",t=other", 2), (b"", 2)])
@@ -168,10 +168,10 @@
     assert waits[0] >= (min(longest, timedelta(seconds=3)) - plan.shut) / 2
 
 
-def reader(load: bool = True, delay: bool = True) -> LoadReportClassifier:
+def reader(load: bool = True, delay: bool = True) -> SessionReportClassifier:
     tree = json.loads(json.dumps(SETTINGS))
     tree["domain"].update(tells_load=load, tells_delay=delay)
-    return LoadReportClassifier(parse_node_settings(tree))
+    return SessionReportClassifier(parse_node_settings(tree))
 
 
 LOADS = [8000.0, 30000.0, 11000.0, 4000.0, 20000.0, 9000.0, 900.0, 60000.0]
@@ -181,38 +181,38 @@
 def test_where_one_note_is_told_each_load_x_is_that_one(load: bool, delay: bool, told: str) -> None:
     notes = reader(load, delay)
     values = (20.0, 9000.0, 0.0)
-    assert [notes.kind("s-1", timedelta(), value).name for value in values] == [told] * 3
+    assert [notes.classify("s-1", timedelta(), value).name for value in values] == [told] * 3
 
 
 def test_a_delay_of_messages_is_told_from_a_load_by_its_size_and_its_beat() -> None:
     """In a jam of 20 ms, then 900, a connection seemed to ask for next to nothing (herd+mass, seed 3)."""
     notes, at = reader(), timedelta(seconds=100)
-    assert {notes.kind("s-1", at, value) for value in LOADS} == {SessionReportKind.LOAD}
+    assert {notes.classify("s-1", at, value) for value in LOADS} == {SessionReportKind.LOAD}
     seen = [
-        notes.kind("s-1", at + timedelta(seconds=second), value)
+        notes.classify("s-1", at + timedelta(seconds=second), value)
         for second, value in ((1, 19.0), (2, 47.0), (3.01, 430.0), (3.5, 900.0), (4, 940.0), (4, 15000.0))
     ]
     delay, load = SessionReportKind.DELAY, SessionReportKind.LOAD
     assert seen == [delay, delay, delay, load, delay, load]  # off the beat, 900 is a small load
-    assert notes.kind("s-2", at + timedelta(seconds=5), 940.0) is load  # each peer has a beat of its own
-    assert notes.kind("s-1", at + timedelta(seconds=20), 940.0) is load  # and it is forgotten
+    assert notes.classify("s-2", at + timedelta(seconds=5), 940.0) is load  # each peer has a beat of its own
+    assert notes.classify("s-1", at + timedelta(seconds=20), 940.0) is load  # and it is forgotten
 
 
 @given(st.lists(st.floats(allow_nan=True, allow_infinity=True), max_size=20))
 def test_no_number_that_a_peer_may_send_raises(values: list[float]) -> None:
     notes = reader()
     for i, value in enumerate(values):
-        assert notes.kind(f"s-{i % 3}", timedelta(seconds=i), value) in SessionReportKind
+        assert notes.classify(f"s-{i % 3}", timedelta(seconds=i), value) in SessionReportKind
 
 
 class Session:
-    """A standing connection, as its peer's pulse sees it."""
+    """A standing connection, as its endpoint's liveness sees it."""
 
     def __init__(self) -> None:
         self.context = RequestContext(Request(1, 0, 0), cast(Downstream, None), endpoint="s-1")
         self.hung = 0
 
-    def peer_hangs(self) -> None:
+    def upstream_stalled(self) -> None:
         self.hung += 1
 
 
@@ -223,14 +223,15 @@
     clock = HandClock(reactor)
     notes: list[object] = []
     core = cast(Core, SimpleNamespace(session_report=lambda *told: notes.append(told)))
-    late = timedelta(milliseconds=16)
-    pulses = LivenessMonitor(clock, core, Timers(clock, cast(Reactor, reactor), Counters()), late, reader())
+    timers = Timers(clock, cast(Reactor, reactor), Counters())
+    services = LivenessServices(clock, core, timers, reader())
+    monitor = LivenessMonitor(services, timedelta(milliseconds=16))
     bad, quiet = Session(), Session()
-    pulse = pulses.join(bad)
-    assert pulses.join(quiet) is pulse
-    pulse.asked(bad, clock.now())
+    liveness = monitor.add(bad)
+    assert monitor.add(quiet) is liveness
+    liveness.line_sent(bad, clock.now())
     if closed:
-        pulse.leave(bad)
+        liveness.remove(bad)
     reactor.advance(1.1)
     reactor.advance(1.1)
     assert quiet.hung == len(notes) == (0 if closed else 1)
