--- a/tests/node/test_discovery_freshness.py
+++ b/tests/node/test_discovery_freshness.py
@@ -1,4 +1,4 @@
-"""The list is never older than 6 s while discovery can be reached: the node's calls on a virtual clock."""
+"""The list is never older than 6 s while discovery can be reached: discovery clients on a virtual clock."""
 
 from __future__ import annotations
 
@@ -30,27 +30,27 @@
 MARGIN_S = 0.5
 
 
-REFUSED, LATE = ConnectionRefusedError(), TCPTimedOutError()  # type: ignore[no-untyped-call]
+REFUSED, TIMED_OUT = ConnectionRefusedError(), TCPTimedOutError()  # type: ignore[no-untyped-call]
 
 
 def _failure(fault: Exception) -> Failure:
     return Failure(fault)  # type: ignore[no-untyped-call]
 
 
-class Wire:
-    """One call's connection, as the node's transport."""
+class ServerTransport:
+    """The transport of one call, with the discovery server at its other end."""
 
-    def __init__(self, source: Source, protocol: Any) -> None:
-        self.source, self.protocol, self.open, self.alive = source, protocol, True, False
+    def __init__(self, server: DiscoveryServer, protocol: Any) -> None:
+        self.server, self.protocol, self.open, self.alive = server, protocol, True, False
 
     def write(self, data: bytes) -> None:
         if b"\r\n\r\n" in data:
-            self.source.asked(self)
+            self.server.request_received(self)
 
     def loseConnection(self) -> None:
         if self.open:
             self.open = self.alive = False
-            self.source.clock.callLater(0, self.protocol.connectionLost, _failure(ConnectionDone()))
+            self.server.clock.callLater(0, self.protocol.connectionLost, _failure(ConnectionDone()))
 
     def send(self, data: bytes) -> None:
         if self.open:
@@ -65,94 +65,94 @@
         self.stopped = True
 
 
-class Source:
-    """Discovery: up, it serves calls in turn; else it refuses them, hangs, or lets none come up."""
+class DiscoveryServer:
+    """Serves calls one after another while it is up; else it refuses them, hangs, or can't be reached."""
 
-    EACH_S, WAIT_S = 0.01, 3.0
+    SERVICE_TIME_S, MAX_QUEUE_TIME_S = 0.01, 3.0
 
     def __init__(self, clock: VirtualClock) -> None:
         self.clock, self.state = clock, "up"
-        self.turn: deque[tuple[float, Wire]] = deque()
-        self.wires: list[Wire] = []
+        self.queue: deque[tuple[float, ServerTransport]] = deque()
+        self.transports: list[ServerTransport] = []
         self._serve()
-        self._beat()
+        self._send_heartbeats()
 
     def connect(self, factory: Any, timeout: float) -> Connector:
         connector = Connector()
         if self.state == "refuses":
-            self._later(0.001, connector, lambda: self._fail(connector, factory, REFUSED))
+            self._later(0.001, connector, lambda: self._connect_failed(connector, factory, REFUSED))
         elif self.state == "unreached":
-            self._later(timeout, connector, lambda: self._fail(connector, factory, LATE))
+            self._later(timeout, connector, lambda: self._connect_failed(connector, factory, TIMED_OUT))
         else:
-            self._later(0.001, connector, lambda: self._made(factory))
+            self._later(0.001, connector, lambda: self._connected(factory))
         return connector
 
     def _later(self, wait: float, connector: Connector, call: Callable[[], None]) -> None:
         self.clock.callLater(wait, lambda: None if connector.stopped else call())
 
-    def _fail(self, connector: Connector, factory: Any, fault: Exception) -> None:
+    def _connect_failed(self, connector: Connector, factory: Any, fault: Exception) -> None:
         factory.clientConnectionFailed(connector, _failure(fault))
 
-    def _made(self, factory: Any) -> None:
+    def _connected(self, factory: Any) -> None:
         protocol = factory.buildProtocol(None)
-        protocol.makeConnection(Wire(self, protocol))
+        protocol.makeConnection(ServerTransport(self, protocol))
 
-    def asked(self, wire: Wire) -> None:
+    def request_received(self, transport: ServerTransport) -> None:
         if self.state == "up":
-            self.turn.append((self.clock.seconds(), wire))
+            self.queue.append((self.clock.seconds(), transport))
 
     def _serve(self) -> None:
-        self.clock.callLater(self.EACH_S, self._serve)
-        while self.turn:
-            since, wire = self.turn.popleft()
-            if not wire.open:
+        self.clock.callLater(self.SERVICE_TIME_S, self._serve)
+        while self.queue:
+            since, transport = self.queue.popleft()
+            if not transport.open:
                 continue
-            if self.clock.seconds() - since > self.WAIT_S:
-                wire.protocol.dataReceived(b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n")
+            if self.clock.seconds() - since > self.MAX_QUEUE_TIME_S:
+                transport.protocol.dataReceived(b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n")
                 continue
-            wire.alive = True
-            self.wires.append(wire)
-            wire.protocol.dataReceived(HEAD)
-            wire.send(LIST)
+            transport.alive = True
+            self.transports.append(transport)
+            transport.protocol.dataReceived(HEAD)
+            transport.send(LIST)
             return
 
-    def _beat(self) -> None:
-        self.clock.callLater(2.0, self._beat)
-        for wire in self.wires:
-            if wire.alive:
-                wire.send(b"\n")
+    def _send_heartbeats(self) -> None:
+        self.clock.callLater(2.0, self._send_heartbeats)
+        for transport in self.transports:
+            if transport.alive:
+                transport.send(b"\n")
 
-    def become(self, state: str) -> None:
-        """Down, watches end; hanging or cut off, they stay open and silent for good, and so do open calls."""
-        self.state, wires, self.wires = state, self.wires, []
-        calls, self.turn = self.turn, deque()
+    def set_state(self, state: str) -> None:
+        """Change the state. Refusing, it ends the watches; else all that is open stays silent."""
+        self.state, transports, self.transports = state, self.transports, []
+        calls, self.queue = self.queue, deque()
         if state != "up":
-            for wire in (*wires, *(wire for _, wire in calls)):
-                wire.alive = False
+            for transport in (*transports, *(transport for _, transport in calls)):
+                transport.alive = False
                 if state == "refuses":
-                    wire.loseConnection()
+                    transport.loseConnection()
 
-    def silence(self) -> None:
-        """All open watches fall silent, while discovery serves on."""
-        for wire in self.wires:
-            wire.alive = False
+    def silence_watches(self) -> None:
+        """Send nothing more on the open watches, while new calls are served."""
+        for transport in self.transports:
+            transport.alive = False
 
-    def reset(self) -> None:
-        for wire in self.wires:
-            wire.loseConnection()
+    def reset_watches(self) -> None:
+        for transport in self.transports:
+            transport.loseConnection()
 
 
-class Virtual:
-    """What the node uses of Twisted's reactor here."""
+class VirtualReactor:
+    """What a discovery client uses of Twisted's reactor."""
 
-    def __init__(self, clock: VirtualClock, source: Source) -> None:
-        self.callLater, self._source = clock.callLater, source
+    def __init__(self, clock: VirtualClock, server: DiscoveryServer) -> None:
+        self.callLater, self._server = clock.callLater, server
 
     def connectTCP(self, host: str, port: int, factory: Any, timeout: float) -> Connector:
-        return self._source.connect(factory, timeout)
+        return self._server.connect(factory, timeout)
 
 
-class VirtualTime(Clock):
+class VirtualNodeClock(Clock):
     def __init__(self, clock: VirtualClock) -> None:
         self._clock = clock
 
@@ -161,25 +161,23 @@
 
 
 class Nodes:
-    """Many nodes' lists, and how long each has gone without one that could be had."""
+    """Discovery clients of many nodes, and how long each has been without a watch that it could have had."""
 
     def __init__(self, count: int, seed: int, state: str = "up") -> None:
         self.clock = VirtualClock()
-        self.source = Source(self.clock)
-        self.source.state = state
-        self.clients, self.stale = [], [0.0] * count
-        self.worst = 0.0
-        time = VirtualTime(self.clock)
+        self.server = DiscoveryServer(self.clock)
+        self.server.state = state
+        self.clients, self.stale_s = [], [0.0] * count
+        self.worst_stale_s = 0.0
+        time = VirtualNodeClock(self.clock)
         for number in range(count):
-            reactor = cast(Reactor, Virtual(self.clock, self.source))
-            deadlines = Timers(time, reactor, Counters())
+            reactor = cast(Reactor, VirtualReactor(self.clock, self.server))
+            timers = Timers(time, reactor, Counters())
             settings = plain_settings(polls_endpoint_list=True)
             policy = Policy(settings, seed * 1000 + number)
             counters = Counters()
-            core = Core(policy, settings, time, deadlines, counters, 8)
-            client = DiscoveryClient(
-                reactor, Address("h", 1), EndpointGroup((), ()), core, deadlines, counters
-            )
+            core = Core(policy, settings, time, timers, counters, 8)
+            client = DiscoveryClient(reactor, Address("h", 1), EndpointGroup((), ()), core, timers, counters)
             core.start(cast(Upstream, None), client, ())
             self.clients.append(client)
 
@@ -187,68 +185,68 @@
         step = 0.05
         for _ in range(round(seconds / step)):
             self.clock.pump([0.01] * 5)
-            watched = {id(wire.protocol) for wire in self.source.wires if wire.alive}
+            watched = {id(transport.protocol) for transport in self.server.transports if transport.alive}
             for number, client in enumerate(self.clients):
-                reached = self.source.state == "up"
-                fresh = id(client._watch) in watched
-                self.stale[number] = 0.0 if fresh or not reached else self.stale[number] + step
-            self.worst = max(self.worst, *self.stale)
+                reached = self.server.state == "up"
+                is_fresh = id(client._watch) in watched
+                self.stale_s[number] = 0.0 if is_fresh or not reached else self.stale_s[number] + step
+            self.worst_stale_s = max(self.worst_stale_s, *self.stale_s)
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
 @pytest.mark.parametrize("state", ["refuses", "hangs", "unreached"])
-def test_the_list_is_had_within_6_s_of_discovery_s_return(state: str, seed: int) -> None:
+def test_the_list_is_fresh_within_6_s_of_an_outage_s_end(state: str, seed: int) -> None:
     """Waits that grew to 0.75 of the settings' time, behind calls of 4 s: 6 to over 9 s went by."""
     nodes = Nodes(NODES, seed)
     nodes.run(6)
-    nodes.source.become(state)
+    nodes.server.set_state(state)
     nodes.run(14 + random.Random(seed).random())
-    nodes.source.become("up")
+    nodes.server.set_state("up")
     nodes.run(9)
-    assert 0 < nodes.worst < 6 - MARGIN_S
+    assert 0 < nodes.worst_stale_s < 6 - MARGIN_S
 
 
 @pytest.mark.parametrize("state", ["refuses", "hangs", "unreached"])
-def test_nodes_that_start_while_it_is_away_have_the_list_in_time(state: str) -> None:
+def test_the_list_is_fresh_in_time_for_nodes_that_start_in_an_outage(state: str) -> None:
     nodes = Nodes(NODES, 4, state)
     nodes.run(2.2)
-    nodes.source.become("up")
+    nodes.server.set_state("up")
     nodes.run(9)
-    assert 0 < nodes.worst < 6 - MARGIN_S
+    assert 0 < nodes.worst_stale_s < 6 - MARGIN_S
 
 
-@pytest.mark.parametrize("fault", ["silence", "reset"])
-def test_watches_that_all_end_at_once_are_opened_anew_in_time(fault: str) -> None:
+@pytest.mark.parametrize("fault", ["silence_watches", "reset_watches"])
+def test_watches_that_all_end_at_once_are_opened_again_in_time(fault: str) -> None:
     nodes = Nodes(NODES, 5)
     nodes.run(6.7)
-    getattr(nodes.source, fault)()
+    getattr(nodes.server, fault)()
     nodes.run(9)
-    assert 0 < nodes.worst < 6 - MARGIN_S
+    assert 0 < nodes.worst_stale_s < 6 - MARGIN_S
 
 
-def test_a_move_to_another_address_amid_a_long_outage_has_the_list_in_time() -> None:
+def test_the_list_is_fresh_in_time_after_a_change_of_address_in_an_outage() -> None:
     nodes = Nodes(20, 6, "refuses")
     nodes.run(20)
-    nodes.source.become("up")
+    nodes.server.set_state("up")
     for client in nodes.clients:
         client.change_address(Address("h", 2))
     nodes.run(2)
-    assert 0 < nodes.worst < 2
+    assert 0 < nodes.worst_stale_s < 2
 
 
 @pytest.mark.parametrize("seed", range(6))
-def test_whatever_comes_after_whatever_the_list_is_had_in_time(seed: int) -> None:
+def test_the_list_is_fresh_in_time_after_outages_of_any_kind_in_any_order(seed: int) -> None:
     """Outages of all kinds and lengths one after another; watches fall silent or are reset in between."""
     rng = random.Random(seed)
     nodes = Nodes(40, seed)
     for _ in range(8):
         nodes.run(rng.uniform(0.2, 9))
-        fault = rng.choice(["refuses", "hangs", "unreached", "silence", "reset"])
-        if fault in ("silence", "reset"):
-            getattr(nodes.source, fault)()
+        fault = rng.choice(["refuses", "hangs", "unreached", "silence_watches", "reset_watches"])
+        if fault in ("silence_watches", "reset_watches"):
+            getattr(nodes.server, fault)()
         else:
-            nodes.source.become(fault)
+            nodes.server.set_state(fault)
             nodes.run(rng.uniform(0.2, 12))
-            nodes.source.become("up")
+            nodes.server.set_state("up")
     nodes.run(8)
-    assert 0 < nodes.worst < 6 - MARGIN_S
+    assert 0 < nodes.worst_stale_s < 6 - MARGIN_S
--- a/tests/node/test_pushed_discovery.py
+++ b/tests/node/test_pushed_discovery.py
@@ -12,7 +12,7 @@
 
 from tests.node_kit import PATIENCE, Discovery, Node, Peer, opening
 
-NUMBERS = count(1000)  # of sessions that only have to differ
+REQUEST_NUMBERS = count(1000)  # for requests that only have to differ
 
 
 def pushed(config: dict[str, Any]) -> None:
@@ -42,20 +42,20 @@
         agent.calls.get(timeout=PATIENCE)
         deadline = time.monotonic() + PATIENCE
         while "map_servers_excluded:1|g" not in node.ops("/v1/metrics")[1] and time.monotonic() < deadline:
-            pass  # until the news was read
+            pass  # until the update was read
         assert served_by(node, two, 10)
 
 
-@pytest.mark.parametrize("spoil", ["", "{", '{"rev":"x","all":true,"targets":[]}', "null"])
-def test_a_watch_of_the_agent_that_breaks_is_begun_again(spoil: str) -> None:
+@pytest.mark.parametrize("fault", ["", "{", '{"rev":"x","all":true,"targets":[]}', "null"])
+def test_a_watch_of_the_agent_that_breaks_is_begun_again(fault: str) -> None:
     """An empty text stands for a connection that is cut."""
     one, two = Peer("s-1"), Peer("s-2")
     agent = Discovery()
     with Node(one, two, discovery=agent, change=pushed) as node:
         assert agent.calls.get(timeout=PATIENCE).endswith("from=1")
         agent.first = message(3, False, one.entry("Terminating"))
-        agent.told.put(spoil or Discovery.END)
-        if spoil == "{":
+        agent.told.put(fault or Discovery.END)
+        if fault == "{":
             agent.told.put("]")
         assert agent.calls.get(timeout=PATIENCE).endswith("from=1")
         node.wait_log("discovery call ended")
@@ -66,10 +66,10 @@
 
 
 def served_by(node: Node, peer: Peer, sessions: int) -> bool:
-    """Whether all of so many new sessions come to this peer."""
+    """Whether all of so many new sessions are established at this map server."""
     before = peer.lines.qsize()
     for _ in range(sessions):
-        assert node.client(opening(next(NUMBERS))).read() == "UP r1"
+        assert node.client(opening(next(REQUEST_NUMBERS))).read() == "UP r1"
     return peer.lines.qsize() - before == sessions
 
 
