--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -196,7 +196,7 @@
 
 
 def test_one_silent_connection_among_others_that_answer_is_moved_in_time() -> None:
-    """Its peer's pulse goes on, so the connection's own limit counts: with 6 s for it, clients waited 8."""
+    """Its endpoint echoes on others, so the session's own limit counts: with 6 s for it, clients waited 8."""
     assert ECHO_TIMEOUT + timedelta(seconds=2) < timedelta(seconds=7)  # clients send a line every 2 s
     with Node(Peer("s-1", X=None)) as node:
         silent, other = node.client(opening()), node.client(opening(2))
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -76,7 +76,7 @@
             server.sock.sendall(b"lf\r\n")
             assert client.read() == "M half"
             assert new.client(opening()).read() == "ERR malformed"  # the id is still taken
-            client.send("X 1 no echo")  # the pulse goes on as well
+            client.send("X 1 no echo")  # its echoes are still waited for
             assert client.read() == "MOVE"
 
 
