--- a/stepflow/node/clients/connection.py
+++ b/stepflow/node/clients/connection.py
@@ -27,7 +27,7 @@
 from stepflow.node.clients.admission import DescriptorAdmission
 from stepflow.node.clients.open_request import MalformedRequestError, OpenRequest
 from stepflow.node.core import Attempt, Core, RequestContext
-from stepflow.node.relay import Relay
+from stepflow.node.relay import Relay, RelayServices
 from stepflow.node.runtime.clock import Clock, millis
 from stepflow.node.runtime.counters import Counters
 from stepflow.node.runtime.lines import LineProtocol, was_reset
@@ -35,7 +35,6 @@
 from stepflow.node.runtime.transports import finish, flush, has_ended
 from stepflow.node.session_transfer import BYTES_ENCODING, SessionTransfer
 from stepflow.node.upstreams.attempt import UpstreamAttempt
-from stepflow.node.upstreams.liveness import LivenessMonitor
 
 # Counted from the connection's first moment: neither single bytes nor PINGs extend it, or a crowd that sends
 # those would hold the node's descriptors. Real clients may write for 2 s; bad ones are owed an answer within
@@ -56,7 +55,7 @@
     clock: Clock
     timers: Timers
     counters: Counters
-    liveness: LivenessMonitor
+    relay: RelayServices
 
 
 class ClientConnection(LineProtocol):
@@ -134,7 +133,7 @@
     def rawDataReceived(self, data: bytes) -> None:
         """Take bytes behind the OPEN line."""
         if self._relay is not None:
-            self._relay.from_client(data)
+            self._relay.data_from_client(data)
         elif not self._answered:  # a client has to wait for its answer
             self._release_request()
             self._malformed()
@@ -217,22 +216,11 @@
 
     def session_established(self, attempt: Attempt) -> None:
         """Send the endpoint's UP, and join both sides in a relay."""
-        peer = cast(UpstreamAttempt, attempt)
+        upstream = cast(UpstreamAttempt, attempt)
         context = cast(RequestContext, self._context)
-        self.wire.write(peer.receipt)
-        services = self._services
-        self._relay = Relay(
-            context,
-            client=self,
-            peer=peer,
-            core=services.core,
-            clock=services.clock,
-            deadlines=services.timers,
-            counters=services.counters,
-            pulses=services.liveness,
-            ended=peer.detach,
-        )
-        peer.join(self._relay)
+        self.wire.write(upstream.up_line)
+        self._relay = Relay(context, self, upstream, self._services.relay, upstream.detach)
+        upstream.attach_relay(self._relay)
 
     def reject(self, retry_after: timedelta) -> None:
         """Answer BUSY, with the milliseconds to wait before a retry unless that is zero."""
@@ -250,7 +238,7 @@
     def migrate(self) -> None:
         """Send MOVE at the end of the line, and end the session."""
         if self._relay is not None:
-            self._relay.move()
+            self._relay.migrate()
 
     # Steps of these.
 
--- a/stepflow/node/clients/factory.py
+++ b/stepflow/node/clients/factory.py
@@ -19,8 +19,8 @@
 from stepflow.node.clients.open_request import OpenRequest, parse_open_request, tenant_index
 from stepflow.node.runtime.transports import Reactor, family
 from stepflow.node.session_transfer import SessionTransfer
-from stepflow.node.upstreams.attempt import UpstreamConnections
-from stepflow.node.upstreams.dialer import Dial
+from stepflow.node.upstreams.dialer import Dialer
+from stepflow.node.upstreams.pool import UpstreamConnections
 
 
 class ClientFactory(Factory):
@@ -79,7 +79,7 @@
         context = self._services.core.adopt_session(request, connection, session.endpoint)
         if context is None:
             return False
-        self._reactor.adoptStreamConnection(client, families[0], Dial(connection, lambda: None))
+        self._reactor.adoptStreamConnection(client, families[0], Dialer(connection))
         connection.adopt_request(context, session.request_id)
         context.attempt = attempt = self._upstreams.adopt_session(context, peer)
         connection.session_established(attempt)
--- a/stepflow/node/process/build.py
+++ b/stepflow/node/process/build.py
@@ -20,19 +20,21 @@
 from stepflow.node.process.handover import Handover, HandoverProcess
 from stepflow.node.process.shutdown import Shutdown, StoppableProcess
 from stepflow.node.recording import Recording
+from stepflow.node.relay import RelayServices
 from stepflow.node.runtime.clock import Clock
 from stepflow.node.runtime.counters import Counters
 from stepflow.node.runtime.garbage import GarbageCollection
 from stepflow.node.runtime.timers import Timers
 from stepflow.node.runtime.transports import Reactor
 from stepflow.node.runtime.wall_clock import WallClockMonitor
-from stepflow.node.upstreams.attempt import UpstreamConnections
-from stepflow.node.upstreams.liveness import LivenessMonitor
-from stepflow.node.upstreams.load_reports import LoadReportClassifier
+from stepflow.node.upstreams.liveness import LivenessMonitor, LivenessServices
+from stepflow.node.upstreams.pool import UpstreamConnections
+from stepflow.node.upstreams.services import UpstreamServices
+from stepflow.node.upstreams.session_reports import SessionReportClassifier
 from stepflow.policy import Policy
 from stepflow.upstream import EndpointGroup
 
-LATE_MESSAGE_DIVISOR = 3  # a message is late after this part of the shortest objective
+LATENCY_THRESHOLD_DIVISOR = 3  # a message is late after this part of the shortest objective
 NEVER_LATE = timedelta(days=1)
 
 
@@ -50,7 +52,7 @@
     core: Core
     # The connections: toward endpoints, discovery, the other process, and clients.
     upstreams: UpstreamConnections
-    load_reports: LoadReportClassifier
+    session_reports: SessionReportClassifier
     liveness: LivenessMonitor
     discovery: DiscoveryClient
     handover: Handover
@@ -78,13 +80,17 @@
     policy = Policy(settings, config.seed)
     core = Core(policy, settings, clock, timers, counters, session_slots(config.sockets))
     group = EndpointGroup(settings.zones, settings.kinds)
-    upstreams = UpstreamConnections(reactor, core, clock, timers, counters, group, config.settings)
-    load_reports = LoadReportClassifier(config.settings)
-    liveness = LivenessMonitor(clock, core, timers, late_after(settings.classes), load_reports)
+    upstreams = UpstreamConnections(
+        UpstreamServices(reactor, core, clock, timers, counters, config.settings), group
+    )
+    session_reports = SessionReportClassifier(config.settings)
+    liveness = LivenessMonitor(
+        LivenessServices(clock, core, timers, session_reports), latency_threshold(settings.classes)
+    )
     handover = Handover(reactor, timers, process, handover_path(config.name))
     descriptors = Descriptors(config.sockets, core, upstreams, handover)
     clients = ClientFactory(
-        ClientServices(core, clock, timers, counters, liveness),
+        ClientServices(core, clock, timers, counters, RelayServices(clock, timers, counters, liveness)),
         reactor,
         upstreams,
         class_indexes(settings, settings),
@@ -100,7 +106,7 @@
         endpoint_group=group,
         core=core,
         upstreams=upstreams,
-        load_reports=load_reports,
+        session_reports=session_reports,
         liveness=liveness,
         discovery=DiscoveryClient(reactor, config.discovery, group, core, timers, counters),
         handover=handover,
@@ -129,7 +135,7 @@
     return {tenant.name.encode(): index for index, tenant in enumerate(settings.tenants)}
 
 
-def late_after(classes: tuple[RequestClass, ...]) -> timedelta:
-    """How long a message takes that is late: a part of the shortest latency objective of messages."""
+def latency_threshold(classes: tuple[RequestClass, ...]) -> timedelta:
+    """Messages that take longer are reported: a part of the shortest latency objective of messages."""
     objectives = [cls.message_latency_objective_us for cls in classes if cls.message_latency_objective_us > 0]
-    return timedelta(microseconds=min(objectives)) / LATE_MESSAGE_DIVISOR if objectives else NEVER_LATE
+    return timedelta(microseconds=min(objectives)) / LATENCY_THRESHOLD_DIVISOR if objectives else NEVER_LATE
--- a/stepflow/node/process/descriptors.py
+++ b/stepflow/node/process/descriptors.py
@@ -9,7 +9,7 @@
 from stepflow.node.admin.site import MAX_CALLS
 from stepflow.node.core import Core
 from stepflow.node.process.handover import SOCKETS_OF_SESSION, Handover
-from stepflow.node.upstreams.attempt import UpstreamConnections
+from stepflow.node.upstreams.pool import UpstreamConnections
 
 # For discovery, listeners, standard streams, the reactor, operators' calls.
 RESERVED = 24 + MAX_CALLS
--- a/stepflow/node/process/reload.py
+++ b/stepflow/node/process/reload.py
@@ -12,7 +12,7 @@
 from stepflow.daemon import OperatorFile
 from stepflow.errors import InputError
 from stepflow.logs import get_logger, set_up
-from stepflow.node.process.build import NodeParts, class_indexes, late_after, tenant_indexes
+from stepflow.node.process.build import NodeParts, class_indexes, latency_threshold, tenant_indexes
 from stepflow.node.process.config import NodeConfig
 from stepflow.settings import NodeSettings, merge_settings
 
@@ -76,16 +76,16 @@
             self._update_settings(config.settings)
         self.follow_recording()
         if config.discovery != old.discovery:
-            self._parts.discovery.move(config.discovery)
+            self._parts.discovery.change_address(config.discovery)
 
     def _update_settings(self, update: NodeSettings) -> None:
         """Hand new settings to all who hold the old ones, in one step."""
         parts = self._parts
         self.settings = merge_settings(self.settings, update.policy)
         self._parts.core.update_settings(self.settings)
-        parts.upstreams.settings = update._replace(policy=self.settings)
-        parts.liveness.update_latency_objective(late_after(update.policy.classes))
-        parts.load_reports.update_settings(update)
+        parts.upstreams.update_settings(update._replace(policy=self.settings))
+        parts.liveness.update_latency_threshold(latency_threshold(update.policy.classes))
+        parts.session_reports.update_settings(update)
         parts.clients.classes = class_indexes(self.settings, update.policy)
         parts.clients.tenants = tenant_indexes(self.settings)
         log.info("takes settings", classes=",".join(cls.name for cls in update.policy.classes))
--- a/stepflow/node/process/service.py
+++ b/stepflow/node/process/service.py
@@ -98,7 +98,7 @@
         if self._reloader.settings.polls_endpoint_list:
             self._listen(listener)
         else:
-            discovery.keep(lambda: self._listen(listener))
+            discovery.keep_watch(lambda: self._listen(listener))
 
     def _restore_snapshot(self, state: HandoverState) -> None:
         try:
--- /dev/null
+++ b/stepflow/node/upstreams/health_check.py
@@ -0,0 +1,121 @@
+"""Health checks: STATS and its answer, on one kept connection to each endpoint.
+
+Each check ends once, with an `AttemptResult` and the time that it took, by `Core.health_check_ended`.
+Source: PROTOCOL.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from datetime import timedelta
+
+from twisted.internet.protocol import connectionDone
+from twisted.python.failure import Failure
+
+from stepflow.address import Address
+from stepflow.interface import AttemptResult
+from stepflow.node.runtime.lines import LineProtocol
+from stepflow.node.runtime.timers import Timer
+from stepflow.node.upstreams.dialer import Dialer
+from stepflow.node.upstreams.load_report import parse_load_report
+from stepflow.node.upstreams.services import UpstreamServices
+
+HEALTH_CHECK_TIMEOUT = timedelta(milliseconds=250)  # the connection included, where there is none yet
+_REQUEST = b"STATS\r\n"
+
+
+class HealthCheckConnection(LineProtocol):
+    """A connection to an endpoint for its health checks, one at a time.
+
+    It is dialled at once, and closes when no check has come for the settings' `idle_close`, or a check fails.
+    `closed` is called once, when the connection is to be used no more.
+    """
+
+    def __init__(
+        self,
+        services: UpstreamServices,
+        endpoint_id: str,
+        address: Address,
+        closed: Callable[[HealthCheckConnection], None],
+    ) -> None:
+        super().__init__()
+        self._services, self._on_closed = services, closed
+        self.endpoint_id, self.address = endpoint_id, address
+        self.busy = False  # a check is under way
+        self._connected = self._closed = False
+        self._started_at = services.clock.now()
+        self._timer: Timer | None = None
+        self._dialer = Dialer(self, self._connect_failed)
+        self._dialer.dial(services.reactor, address)
+
+    def start_check(self) -> None:
+        """Ask for a load report; to be called only while no check is under way."""
+        self.busy, self._started_at = True, self._services.clock.now()
+        self._set_timer(HEALTH_CHECK_TIMEOUT, self._timed_out)
+        if self._connected:
+            self.wire.write(_REQUEST)
+
+    def close(self, result: AttemptResult = AttemptResult.CANCELLED) -> None:
+        """Close the socket; a check that is under way ends with this result."""
+        if self._closed:
+            return
+        self._mark_closed(result)
+        if self._connected:
+            self.wire.abortConnection()
+        else:
+            self._dialer.cancel()
+
+    def connectionMade(self) -> None:
+        """Send the check that has waited for the connection."""
+        super().connectionMade()
+        self._connected = True
+        if self.busy:
+            self.wire.write(_REQUEST)
+
+    def lineReceived(self, line: memoryview) -> None:
+        """Take the answer of a check."""
+        word, _, rest = bytes(line).partition(b" ")
+        if not self.busy:
+            self.close()  # an answer that nothing was asked for: the stream is out of step
+        elif word == b"PONG":
+            fields = self._services.settings.policy.load_report_fields
+            self._end_check(AttemptResult.OK, parse_load_report(rest, fields))
+            self._set_timer(self._services.settings.idle_close, self.close)
+        else:
+            self._end_check(AttemptResult.FULL if word == b"BUSY" else AttemptResult.ERROR)
+            self.close()
+
+    def lineLengthExceeded(self) -> None:
+        """Close the connection: the endpoint speaks another protocol."""
+        self.close(AttemptResult.ERROR)
+
+    def connectionLost(self, reason: Failure = connectionDone) -> None:
+        """End the check that was under way."""
+        self._mark_closed(AttemptResult.RESET)
+
+    def _timed_out(self) -> None:
+        self.close(AttemptResult.TIMEOUT if self._connected else AttemptResult.CONNECT_FAILED)
+
+    def _connect_failed(self) -> None:
+        # Dialling may fail before the constructor has returned: the pool must know of the connection first.
+        self._services.reactor.callLater(0, self._mark_closed, AttemptResult.CONNECT_FAILED)
+
+    def _mark_closed(self, result: AttemptResult) -> None:
+        if not self._closed:
+            self._closed = True
+            if self._timer is not None:
+                self._timer.cancel()
+            self._on_closed(self)
+        self._end_check(result)
+
+    def _end_check(self, result: AttemptResult, load_report: tuple[float, ...] = ()) -> None:
+        """The one place that ends a check."""
+        if self.busy:
+            self.busy = False
+            latency = self._services.clock.now() - self._started_at
+            self._services.core.health_check_ended(self.endpoint_id, result, latency, load_report)
+
+    def _set_timer(self, span: timedelta, call: Callable[[], None]) -> None:
+        if self._timer is not None:
+            self._timer.cancel()
+        self._timer = self._services.timers.after(span, call)
--- a/tests/node/test_node_session_ends.py
+++ b/tests/node/test_node_session_ends.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from stepflow.node.relay import DEAF, DEAF_LOOK
+from stepflow.node.relay import CLIENT_STALL_CHECK_INTERVAL, CLIENT_STALL_TIMEOUT
 from tests.node_kit import PATIENCE, Line, Node, Peer, opening
 
 
@@ -50,7 +50,7 @@
 
 def test_client_that_never_reads_is_closed_within_3_s_and_others_are_unharmed() -> None:
     """Else it would stay for good, with its endpoint's lines held back behind what it leaves unread."""
-    assert timedelta(seconds=3) > DEAF + DEAF_LOOK
+    assert timedelta(seconds=3) > CLIENT_STALL_TIMEOUT + CLIENT_STALL_CHECK_INTERVAL
     with Node(peer := Peer("s-1")) as node:
         deaf = node.client(opening())
         assert deaf.read() == "UP r1"
--- a/tests/node/test_node_sessions.py
+++ b/tests/node/test_node_sessions.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from stepflow.node.relay import SILENCE
+from stepflow.node.relay import ECHO_TIMEOUT
 from tests.node_kit import PATIENCE, Line, Node, Peer, opening
 
 
@@ -95,7 +95,7 @@
 
 def test_one_stalled_session_among_live_ones_is_migrated_in_time() -> None:
     """Its endpoint's other sessions have echoes, so the session's own limit counts."""
-    assert SILENCE + timedelta(seconds=2) < timedelta(seconds=7)  # clients send a line every 2 s
+    assert ECHO_TIMEOUT + timedelta(seconds=2) < timedelta(seconds=7)  # clients send a line every 2 s
     with Node(Peer("s-1", X=None)) as node:
         silent, other = node.client(opening()), node.client(opening(2))
         assert [silent.read(), other.read()] == ["UP r1"] * 2
--- a/tests/node/upstreams/test_liveness.py
+++ b/tests/node/upstreams/test_liveness.py
@@ -14,19 +14,19 @@
 from stepflow.node.runtime.counters import Counters
 from stepflow.node.runtime.timers import Timers
 from stepflow.node.runtime.transports import Reactor
-from stepflow.node.upstreams.liveness import LivenessMonitor
+from stepflow.node.upstreams.liveness import LivenessMonitor, LivenessServices
 from tests.node.runtime.virtual_clock import HandClock
 from tests.node.upstreams.test_session_reports import reader
 
 
 class Session:
-    """A standing connection, as its peer's pulse sees it."""
+    """A standing connection, as its endpoint's liveness sees it."""
 
     def __init__(self) -> None:
         self.context = RequestContext(Request(1, 0, 0), cast(Downstream, None), endpoint="s-1")
         self.hung = 0
 
-    def peer_hangs(self) -> None:
+    def upstream_stalled(self) -> None:
         self.hung += 1
 
 
@@ -37,14 +37,15 @@
     clock = HandClock(reactor)
     notes: list[object] = []
     core = cast(Core, SimpleNamespace(session_report=lambda *told: notes.append(told)))
-    late = timedelta(milliseconds=16)
-    pulses = LivenessMonitor(clock, core, Timers(clock, cast(Reactor, reactor), Counters()), late, reader())
+    timers = Timers(clock, cast(Reactor, reactor), Counters())
+    services = LivenessServices(clock, core, timers, reader())
+    monitor = LivenessMonitor(services, timedelta(milliseconds=16))
     bad, quiet = Session(), Session()
-    pulse = pulses.join(bad)
-    assert pulses.join(quiet) is pulse
-    pulse.asked(bad, clock.now())
+    liveness = monitor.add(bad)
+    assert monitor.add(quiet) is liveness
+    liveness.line_sent(bad, clock.now())
     if closed:
-        pulse.leave(bad)
+        liveness.remove(bad)
     reactor.advance(1.1)
     reactor.advance(1.1)
     assert quiet.hung == len(notes) == (0 if closed else 1)
--- a/tests/node/upstreams/test_load_report.py
+++ b/tests/node/upstreams/test_load_report.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from stepflow.node.upstreams.attempt import parse_report
+from stepflow.node.upstreams.load_report import parse_load_report
 
 
 @pytest.mark.parametrize(
@@ -18,4 +18,4 @@
     ],
 )
 def test_a_load_report_is_whole_or_dropped(text: bytes, values: tuple[float, ...]) -> None:
-    assert parse_report(text, ("x0", "util")) == values
+    assert parse_load_report(text, ("x0", "util")) == values
