--- a/stepflow/fleet/makers.py
+++ b/stepflow/fleet/makers.py
@@ -1,28 +1,22 @@
-"""What may be compared: the decision module, as it is or was, with other figures, or a baseline."""
+"""Policies by name: the policy of this checkout or of a git revision, with other constants, or a baseline."""
 
 from __future__ import annotations
 
-import subprocess
-import sys
 from collections.abc import Mapping, Sequence
 from functools import lru_cache
-from itertools import count
 from pathlib import Path
-from types import ModuleType
 from typing import Any
 
 from stepflow import policy as present
 from stepflow.errors import InputError
 from stepflow.fleet.baselines import Maker, RandomChoice
+from stepflow.fleet.private_package import PrivatePackage
+from stepflow.fleet.revisions import RevisionError, load_revision
 from stepflow.interface import Settings
 
-HOME = "stepflow.policy"
-FOLDER, FILE = "stepflow/policy/", "stepflow/policy.py"  # as it stands, and as it was in one file
-ROOMS = ("model", "controller", "decide")  # each imports those before it
+POLICY = "stepflow.policy"
 
-Sources = Mapping[str, str]  # the text of each room; that of "" is a module in one file
-
-_numbers = count(1)
+Sources = Mapping[str, str]  # the text of each of the policy's modules, by the module's name
 
 
 class SpecError(InputError):
@@ -30,17 +24,17 @@
 
 
 def sources() -> dict[str, str]:
-    """The module of this checkout."""
+    """The texts of this checkout's policy."""
     folder = Path(str(present.__file__)).parent
-    return {room: (folder / f"{room}.py").read_text() for room in ROOMS}
+    return {path.stem: path.read_text() for path in sorted(folder.glob("*.py"))}
 
 
 @lru_cache(maxsize=32)
 def maker(spec: str) -> Maker:
     """The policy that a text names: parts with commas between them.
 
-    `present` is the module of this checkout, `random` the baseline, `rev:REVISION` the module as git holds
-    it; NAME=FIGURE behind a module sets one of the module's figures, such as KP=0.3.
+    `present` is the policy of this checkout, `random` the baseline, `rev:REVISION` the policy as git holds
+    it; NAME=VALUE behind one sets one of its constants, such as KP=0.3.
     """
     base, *changes = spec.split(",")
     if "=" in base:
@@ -52,68 +46,48 @@
     if base == "present" and not changes:
         return present.Policy
     if base == "present":
-        source: Sources = sources()
-    elif base.startswith("rev:") and len(base) > 4:
-        source = _of_revision(base[4:])
-    else:
-        raise SpecError(f"{spec}: {base!r} is none of present, random, rev:REVISION or NAME=FIGURE")
-    return of_source(source, spec, changes)
-
-
-def _of_revision(revision: str) -> dict[str, str]:
-    rooms = {}
-    for room in ROOMS:
-        text, said = _shown(revision, f"{FOLDER}{room}.py")
-        if text is None:
-            text, said = _shown(revision, FILE)
-            if text is None:
-                raise SpecError(f"rev:{revision}: {said}")
-            return {"": text}
-        rooms[room] = text
-    return rooms
-
-
-def _shown(revision: str, path: str) -> tuple[str | None, str]:
-    """A file as git holds it, or what git said instead."""
-    command = ["git", "show", "--end-of-options", f"{revision}:{path}"]
+        return of_source(sources(), spec, changes)
+    if base.startswith("rev:") and len(base) > len("rev:"):
+        return _of_revision(base.removeprefix("rev:"), spec, changes)
+    raise SpecError(f"{spec}: {base!r} is none of present, random, rev:REVISION or NAME=FIGURE")
+
+
+def _of_revision(revision: str, spec: str, changes: Sequence[str]) -> Maker:
     try:
-        done = subprocess.run(command, capture_output=True, text=True, timeout=30, check=False)
-    except OSError as fault:
-        raise SpecError(f"rev:{revision}: git: {fault.strerror}") from None
-    said = done.stderr.strip().splitlines()
-    return (None if done.returncode else done.stdout), said[-1] if said else "git knows no such revision"
+        package, make = load_revision(revision)
+    except RevisionError as error:
+        raise SpecError(str(error)) from None
+    _change_constants(package, spec, changes)
+    return make
 
 
 def of_source(source: Sources, spec: str, changes: Sequence[str] = ()) -> Maker:
-    """The policy of some texts, as modules of their own, so that their figures are nobody else's."""
-    home = f"stepflow_policy_{next(_numbers)}"
-    sys.modules[home] = ModuleType(home)
-    modules = []
-    for room, text in source.items():
-        module = ModuleType(f"{home}.{room}")
-        sys.modules[module.__name__] = module
-        modules.append(module)
-        # The rooms find each other under their own names; what they have of others is shared.
-        text = text.replace(f"from {HOME}.", f"from {home}.")
-        try:
-            exec(compile(text, f"{spec}: {room or 'policy'}", "exec"), module.__dict__)
-        except Exception as fault:
-            raise SpecError(f"{spec}: the module can't be loaded: {fault}") from None
+    """The policy of some texts, as modules of their own, so that their constants are nobody else's."""
+    texts = {f"{POLICY.replace('.', '/')}/{module}.py": text for module, text in source.items()}
+    package = PrivatePackage(texts, (POLICY,), spec)
+    try:
+        made: Any = package.load("policy").__dict__["Policy"]
+    except Exception as error:
+        raise SpecError(f"{spec}: the module can't be loaded: {error}") from None
+    _change_constants(package, spec, changes)
+
+    def make(settings: Settings, seed: int) -> Any:
+        return made(settings, seed)
+
+    return make
+
+
+def _change_constants(package: PrivatePackage, spec: str, changes: Sequence[str]) -> None:
+    """Set constants of the policy, NAME=VALUE each, in every module that defines or imports them."""
     for change in changes:
-        name, _, told = change.partition("=")
-        holders = [module for module in modules if name.isupper() and name in module.__dict__]
-        before = holders[0].__dict__[name] if holders else None
+        name, _, text = change.partition("=")
+        holders = [module for module in package.loaded("policy") if name.isupper() and hasattr(module, name)]
+        before = getattr(holders[0], name) if holders else None
         if not isinstance(before, int | float):
             raise SpecError(f"{spec}: the module has no figure {name!r}")
         try:
-            value = float(told)
+            value = float(text)
         except ValueError:
-            raise SpecError(f"{spec}: {name}: {told!r} is not a number") from None
+            raise SpecError(f"{spec}: {name}: {text!r} is not a number") from None
         for module in holders:
-            module.__dict__[name] = int(value) if isinstance(before, int) else value
-    made: Any = modules[-1].__dict__["Policy"]
-
-    def make(settings: Settings, seed: int) -> Any:
-        return made(settings, seed)
-
-    return make
+            setattr(module, name, int(value) if isinstance(before, int) else value)
--- /dev/null
+++ b/tests/test_fleet_revisions.py
@@ -0,0 +1,177 @@
+"""Policies of other revisions: their own interface, converted types, and the same decisions."""
+
+from __future__ import annotations
+
+import subprocess
+from collections.abc import Sequence
+from pathlib import Path
+
+import pytest
+
+from stepflow import interface
+from stepflow.fleet.makers import maker
+from stepflow.fleet.private_package import PrivatePackage
+from stepflow.fleet.revisions import Converter, RevisionError, RevisionPolicy, aligned, load_revision
+from stepflow.fleet.scenario import Fault, Scenario
+from stepflow.fleet.servers import Server
+from stepflow.fleet.world import World
+from stepflow.interface import (
+    Action,
+    AttemptResult,
+    Endpoint,
+    EndpointListUpdate,
+    Event,
+    Idempotency,
+    ListUpdateKind,
+    MigrateSession,
+    RejectRequest,
+    Request,
+    RequestClass,
+    SafetyRules,
+    SessionAdopted,
+    SessionEstablished,
+    SessionReport,
+    SetTimer,
+    Settings,
+    StartAttempt,
+    StartHealthCheck,
+)
+from tests.test_fleet import SMALL
+
+OLDER = "5fd6943"  # the last revision before the interface was renamed
+ROOT = Path(__file__).parent.parent
+
+
+@pytest.fixture(autouse=True)
+def commit_is_there() -> None:
+    """Fail with the reason, rather than with git's words, where the clone does not reach back to OLDER."""
+    told = subprocess.run(
+        ["git", "cat-file", "-t", OLDER], cwd=ROOT, capture_output=True, text=True, check=False
+    )
+    if told.stdout.strip() != "commit":
+        pytest.fail(
+            f"this clone lacks commit {OLDER}, which these tests load: clone with the whole history "
+            f"({told.stderr.strip()})"
+        )
+
+
+class Transcript:
+    """All that the nodes' policies heard and did in a run."""
+
+    def __init__(self) -> None:
+        self.lines: list[tuple[int, int, Event, tuple[Action, ...]]] = []
+
+    def begins(self, node: int, life: int, settings: Settings) -> None:
+        pass
+
+    def heard(self, now: int, node: int, event: Event, actions: list[Action]) -> None:
+        self.lines.append((now, node, event, tuple(actions)))
+
+    def close(self, now: int, servers: Sequence[Server]) -> None:
+        pass
+
+
+def transcript(scenario: Scenario, spec: str) -> Transcript:
+    found = Transcript()
+    World(scenario, 1, maker(spec), ears=(found,)).run()
+    return found
+
+
+@pytest.mark.parametrize(
+    "faults",
+    [
+        (),
+        (Fault("hang", 4, 5, 0.2), Fault("settings", 8, tries=2), Fault("restart", 9, 1, 0.5)),
+        (Fault("burst", 4, 4, times=2.2), Fault("drain", 5, 6, 0.2), Fault("list-down", 7, 2)),
+    ],
+    ids=["calm", "hang", "burst"],
+)
+def test_a_revision_before_the_renaming_decides_as_the_present_does(faults: tuple[Fault, ...]) -> None:
+    scenario = Scenario(SMALL.day, SMALL.kinds, SMALL.classes, faults)
+    older, present = transcript(scenario, f"rev:{OLDER}"), transcript(scenario, "present")
+    kinds = {type(action) for *_, actions in present.lines for action in actions}
+    assert {StartAttempt, StartHealthCheck, SetTimer} <= kinds
+    for line, other in zip(older.lines, present.lines, strict=True):
+        assert line == other
+        # Named tuples of equal values are equal whatever their types.
+        assert [type(action) for action in line[3]] == [type(action) for action in other[3]]
+
+
+def test_a_constant_of_a_revision_is_changed_in_its_own_modules_alone() -> None:
+    scenario = Scenario(SMALL.day, SMALL.kinds, SMALL.classes)
+    changed, plain = transcript(scenario, f"rev:{OLDER},KP=0.1"), transcript(scenario, f"rev:{OLDER}")
+    assert changed.lines != plain.lines
+    assert plain.lines == transcript(scenario, "present").lines
+
+
+def converters() -> tuple[PrivatePackage, Converter, Converter]:
+    package, make = load_revision(OLDER)
+    policy = make(Settings(), 1)
+    assert isinstance(policy, RevisionPolicy)
+    return package, policy._to_revision, policy._from_revision
+
+
+def test_nested_values_are_converted_by_the_position_of_their_fields() -> None:
+    package, to_revision, from_revision = converters()
+    theirs = vars(package.load("interface"))
+    request = Request(3, 0, 900, 2.5, 1, 77, 5, True, False, True)
+    adopted = to_revision.convert(SessionAdopted(request, "s-1"))
+    assert type(adopted) is theirs["Adopted"] and type(adopted.request) is theirs["Request"]
+    assert (adopted.server, adopted.request.key, adopted.request.repeated) == ("s-1", 77, True)
+    update = to_revision.convert(
+        EndpointListUpdate(ListUpdateKind.FULL, (Endpoint("s-1", 0, 1, 2, 0, 1.5, 40),))
+    )
+    assert type(update.form) is theirs["ListForm"] and type(update.servers[0]) is theirs["Server"]
+    assert update.servers[0].started_us == 40
+    report = to_revision.convert(SessionReport(3, 0, "s-1", 1, 2.0))
+    assert type(report) is theirs["Note"] and report.value == 2.0
+    settings = to_revision.convert(
+        Settings(
+            balancers=3,
+            classes=(RequestClass("save", idempotency=Idempotency.BY_KEY, priority_weight=4.0),),
+            rules=SafetyRules(slow_start_share=0.4),
+            tick_us=77,
+        )
+    )
+    assert settings.classes[0].effect is theirs["Effect"].KEYED and settings.classes[0].worth == 4.0
+    assert (settings.balancers, settings.rules.cold_share, settings.tick_us) == (3, 0.4, 77)
+    for action in (theirs["Refuse"](3, 50), theirs["Move"](4)):
+        assert type(from_revision.convert(action)) in (RejectRequest, MigrateSession)
+        assert tuple(from_revision.convert(action)) == tuple(action)
+    assert from_revision.convert(theirs["Result"].FULL) is AttemptResult.FULL
+
+
+def test_every_type_of_the_interface_has_its_counterpart_in_the_older_one() -> None:
+    _, to_revision, _ = converters()
+    named = (vars(interface)[name] for name in interface.__all__)
+    types = [kind for kind in named if isinstance(kind, type) and kind.__module__.startswith("stepflow.")]
+    assert len(types) >= 35 and [kind for kind in types if not to_revision.knows(kind)] == []
+
+
+@pytest.mark.parametrize(
+    ("ours", "theirs", "pairs"),
+    [
+        ("a b c", "a b c", "aa bb cc"),
+        ("a new c", "a old c", "aa newold cc"),
+        ("a b c new", "a b c", "aa bb cc"),
+        ("a new added c", "a old c", "aa newold cc"),
+        ("a new c", "a old gone c", "aa newold cc"),
+        ("new c other", "old c former", "newold cc otherformer"),
+    ],
+)
+def test_fields_are_matched_by_name_and_by_position_between_those(ours: str, theirs: str, pairs: str) -> None:
+    assert ["".join(pair) for pair in aligned("Type", ours.split(), theirs.split())] == pairs.split()
+
+
+def test_fields_in_another_order_are_turned_down() -> None:
+    with pytest.raises(RevisionError, match="the field a of its Type is at another position"):
+        aligned("Type", ["b", "a"], ["a", "b"])
+
+
+@pytest.mark.parametrize("older", ["0863f85", "8a7383b"])
+def test_settings_of_the_first_revisions_are_matched_though_fields_came_and_went_amid_them(
+    older: str,
+) -> None:
+    """A revision's own decisions: it serves the scenario, as the present does, by other figures."""
+    found = transcript(Scenario(SMALL.day, SMALL.kinds, SMALL.classes), f"rev:{older}")
+    assert sum(isinstance(event, SessionEstablished) for _, _, event, _ in found.lines) > 50
