--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -13,9 +13,9 @@
 from concurrent.futures import ProcessPoolExecutor
 
 from stepflow.fleet.compare import interval
+from stepflow.fleet.measurements import score
 from stepflow.fleet.scenario import Class, Day, Fault, Kind, Scenario
-from stepflow.fleet.tally import score
-from stepflow.fleet.world import World
+from stepflow.fleet.simulation import World
 from stepflow.policy import Policy
 
 KINDS = {
--- a/standins/live.py
+++ b/standins/live.py
@@ -23,13 +23,13 @@
 from standins.node import start_node
 from stepflow.fleet.clients import HUNG_SHARE, LOAD_UNIT
 from stepflow.fleet.compare import CompareError
+from stepflow.fleet.measurements import Tally
 from stepflow.fleet.replay import LINE_S
 from stepflow.fleet.scenario import Fault, Scenario
 from stepflow.fleet.servers import SECOND, Server, erlang_c
+from stepflow.fleet.simulation import World
 from stepflow.fleet.streams import stream
-from stepflow.fleet.tally import Tally
 from stepflow.fleet.traffic import LOADS, Traffic
-from stepflow.fleet.world import World
 
 PATIENCE = 2.0  # the most that a client waits for an echo before it counts as late for good
 PLAYED = ("hang", "start", "drain", "crash", "restart", "burst", "list-down")
--- a/stepflow/cli/fleet.py
+++ b/stepflow/cli/fleet.py
@@ -81,7 +81,7 @@
 @click.option("--policy", default="present", show_default=True, help="A policy's name, as for compare.")
 def synth(scenario: str, out: str, seed: int, policy: str) -> None:
     """Make the journals of a day of SCENARIO, as its nodes would record it, where there is no trace yet."""
-    from stepflow.fleet.makers import maker
+    from stepflow.fleet.policy_specs import maker
     from stepflow.fleet.scenario import load
     from stepflow.fleet.synth import synth as make
 
--- a/stepflow/fleet/attempts.py
+++ b/stepflow/fleet/attempts.py
@@ -19,8 +19,8 @@
 )
 
 if TYPE_CHECKING:
-    from stepflow.fleet.nodes import Node
-    from stepflow.fleet.world import World
+    from stepflow.fleet.simulation import World
+    from stepflow.fleet.state import Node
 
 PROBE_US = 250_000  # the most that a probe waits
 
--- a/stepflow/fleet/audit.py
+++ b/stepflow/fleet/audit.py
@@ -7,10 +7,10 @@
 from dataclasses import dataclass
 
 from stepflow.fleet import scenario as scenarios
-from stepflow.fleet.makers import maker
-from stepflow.fleet.referee import Referee, Rule
-from stepflow.fleet.tally import Score, score
-from stepflow.fleet.world import World
+from stepflow.fleet.measurements import Score, score
+from stepflow.fleet.policy_specs import maker
+from stepflow.fleet.rule_checker import Referee, Rule
+from stepflow.fleet.simulation import World
 
 SHOWN = 3  # broken days that a finding names
 
--- a/stepflow/fleet/clients.py
+++ b/stepflow/fleet/clients.py
@@ -21,8 +21,8 @@
 )
 
 if TYPE_CHECKING:
-    from stepflow.fleet.nodes import Node
-    from stepflow.fleet.world import World
+    from stepflow.fleet.simulation import World
+    from stepflow.fleet.state import Node
 
 GIVE_UP = 12  # times that a client comes again in all
 LOAD_UNIT = 1000.0  # of loads as servers tell them, in mean connection loads
--- a/stepflow/fleet/compare.py
+++ b/stepflow/fleet/compare.py
@@ -25,9 +25,9 @@
 from stepflow import __version__
 from stepflow.errors import InputError
 from stepflow.fleet import scenario as scenarios
-from stepflow.fleet.makers import maker
-from stepflow.fleet.tally import Score, score, series
-from stepflow.fleet.world import World
+from stepflow.fleet.measurements import Score, score, series
+from stepflow.fleet.policy_specs import maker
+from stepflow.fleet.simulation import World
 
 FIRST = 10  # runs of the first stage, at the least
 MOST = 1000  # runs in all
--- a/stepflow/fleet/listing.py
+++ b/stepflow/fleet/endpoint_list.py
@@ -11,8 +11,8 @@
 from stepflow.interface import Availability, Endpoint, EndpointListUpdate, ListUpdateKind
 
 if TYPE_CHECKING:
-    from stepflow.fleet.nodes import Node
-    from stepflow.fleet.world import World
+    from stepflow.fleet.simulation import World
+    from stepflow.fleet.state import Node
 
 REFUSED_US = 50_000  # until a call fails while discovery is down
 
--- a/stepflow/fleet/faults.py
+++ b/stepflow/fleet/faults.py
@@ -14,8 +14,8 @@
 from stepflow.interface import Availability
 
 if TYPE_CHECKING:
-    from stepflow.fleet.nodes import Node
-    from stepflow.fleet.world import World
+    from stepflow.fleet.simulation import World
+    from stepflow.fleet.state import Node
 
 DOWN_S = (0.8, 2.0)  # until a node's process is back
 TELL_US = 3 * SECOND  # within which a hung server's connections have all told what it does for them
--- a/stepflow/fleet/replay.py
+++ b/stepflow/fleet/replay.py
@@ -11,10 +11,10 @@
 from scipy import stats
 
 from stepflow.fleet.compare import CompareError, Interval
-from stepflow.fleet.makers import maker
+from stepflow.fleet.measurements import Score, Tally, score
+from stepflow.fleet.policy_specs import maker
 from stepflow.fleet.scenario import Scenario
-from stepflow.fleet.tally import Score, Tally, score
-from stepflow.fleet.world import World
+from stepflow.fleet.simulation import World
 
 Play = Callable[[Scenario, int], tuple[Tally, float]]
 LINE_S = 0.5  # seconds between two lines of a stand-in client
--- a/stepflow/fleet/world.py
+++ b/stepflow/fleet/simulation.py
@@ -17,13 +17,13 @@
 from stepflow.fleet.attempts import Attempts
 from stepflow.fleet.baselines import Maker
 from stepflow.fleet.clients import Clients
+from stepflow.fleet.endpoint_list import Listing
 from stepflow.fleet.faults import Faults
-from stepflow.fleet.listing import Listing
-from stepflow.fleet.nodes import Node
+from stepflow.fleet.measurements import Tally
 from stepflow.fleet.scenario import Scenario
 from stepflow.fleet.servers import SECOND, Server
+from stepflow.fleet.state import Node
 from stepflow.fleet.streams import stream
-from stepflow.fleet.tally import Tally
 from stepflow.fleet.traffic import Traffic, draw
 from stepflow.interface import (
     Action,
--- a/stepflow/fleet/synth.py
+++ b/stepflow/fleet/synth.py
@@ -9,7 +9,7 @@
 from stepflow.fleet.baselines import Maker
 from stepflow.fleet.scenario import Scenario
 from stepflow.fleet.servers import Server
-from stepflow.fleet.world import World
+from stepflow.fleet.simulation import World
 from stepflow.interface import Action, Event, Request, Settings
 from stepflow.traffic import Recorder
 
--- a/tests/test_fit.py
+++ b/tests/fleet/test_fit.py
@@ -11,12 +11,12 @@
 from stepflow.fleet import Trace, convert
 from stepflow.fleet.compare import Found, Run, Side
 from stepflow.fleet.fit import FitError, fit, life, poisson, text
-from stepflow.fleet.makers import maker
+from stepflow.fleet.policy_specs import maker
 from stepflow.fleet.scenario import Day, Fault, Fitted, Scenario, Seen, read
+from stepflow.fleet.simulation import World
 from stepflow.fleet.synth import synth
-from stepflow.fleet.world import World
+from tests.fleet.test_trace import Script
 from tests.test_daemon import command
-from tests.test_trace import Script
 
 MADE = """
 day {
--- a/tests/test_fleet.py
+++ b/tests/fleet/test_fleet.py
@@ -14,12 +14,12 @@
 from stepflow.daemon import FileError
 from stepflow.fleet.baselines import RandomChoice
 from stepflow.fleet.compare import CompareError, Side, interval, runs_for
-from stepflow.fleet.makers import SpecError, maker
+from stepflow.fleet.measurements import Tally, score
+from stepflow.fleet.policy_specs import SpecError, maker
 from stepflow.fleet.scenario import Class, Day, Fault, Kind, Scenario, read
 from stepflow.fleet.servers import SECOND, Server, erlang_c
-from stepflow.fleet.tally import Tally, score
+from stepflow.fleet.simulation import World
 from stepflow.fleet.traffic import draw
-from stepflow.fleet.world import World
 from stepflow.interface import (
     Action,
     Event,
--- a/tests/test_replay.py
+++ b/tests/fleet/test_replay.py
@@ -11,10 +11,10 @@
 
 from standins.live import play
 from stepflow.fleet.compare import CompareError
+from stepflow.fleet.measurements import Tally
 from stepflow.fleet.replay import Check, check, prediction
 from stepflow.fleet.scenario import Class, Day, Fault, Kind, Scenario
-from stepflow.fleet.tally import Tally
-from stepflow.fleet.world import World
+from stepflow.fleet.simulation import World
 from tests.test_daemon import command
 
 TINY = Scenario(
--- a/tests/test_fleet_revisions.py
+++ b/tests/fleet/test_revisions.py
@@ -9,12 +9,12 @@
 import pytest
 
 from stepflow import interface
-from stepflow.fleet.makers import maker
+from stepflow.fleet.policy_specs import maker
 from stepflow.fleet.private_package import PrivatePackage
 from stepflow.fleet.revisions import Converter, RevisionError, RevisionPolicy, aligned, load_revision
 from stepflow.fleet.scenario import Fault, Scenario
 from stepflow.fleet.servers import Server
-from stepflow.fleet.world import World
+from stepflow.fleet.simulation import World
 from stepflow.interface import (
     Action,
     AttemptResult,
@@ -36,10 +36,10 @@
     StartAttempt,
     StartHealthCheck,
 )
-from tests.test_fleet import SMALL
+from tests.fleet.test_fleet import SMALL
 
 OLDER = "5fd6943"  # the last revision before the interface was renamed
-ROOT = Path(__file__).parent.parent
+ROOT = Path(__file__).parent.parent.parent
 
 
 @pytest.fixture(autouse=True)
--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -9,11 +9,11 @@
 import pytest
 
 from stepflow.fleet.audit import Day, Played, fold, play
-from stepflow.fleet.makers import of_source, sources
-from stepflow.fleet.referee import Referee, Rule
+from stepflow.fleet.measurements import score
+from stepflow.fleet.policy_specs import of_source, sources
+from stepflow.fleet.rule_checker import Referee, Rule
 from stepflow.fleet.scenario import Fault, load
-from stepflow.fleet.tally import score
-from stepflow.fleet.world import World
+from stepflow.fleet.simulation import World
 from stepflow.interface import (
     Action,
     AttemptEnded,
