--- a/stepflow/fleet/attempts.py
+++ b/stepflow/fleet/attempts.py
@@ -3,10 +3,10 @@
 from __future__ import annotations
 
 from functools import partial
-from typing import TYPE_CHECKING
 
-from stepflow.fleet.clients import Client
+from stepflow.fleet.context import SimulationContext
 from stepflow.fleet.servers import SECOND, Server
+from stepflow.fleet.state import Client, Node
 from stepflow.fleet.streams import stream
 from stepflow.interface import (
     AttemptEnded,
@@ -18,17 +18,13 @@
     StartHealthCheck,
 )
 
-if TYPE_CHECKING:
-    from stepflow.fleet.simulation import World
-    from stepflow.fleet.state import Node
-
 PROBE_US = 250_000  # the most that a probe waits
 
 
 class Attempts:
     """All that is out, and all that stands."""
 
-    def __init__(self, world: World) -> None:
+    def __init__(self, world: SimulationContext) -> None:
         self._world, self._day = world, world.scenario.day
         self._count = 0
         self._store_free = 0.0
--- a/stepflow/fleet/clients.py
+++ b/stepflow/fleet/clients.py
@@ -3,12 +3,12 @@
 from __future__ import annotations
 
 from bisect import bisect
-from dataclasses import dataclass
 from functools import partial
 from itertools import accumulate
-from typing import TYPE_CHECKING
 
+from stepflow.fleet.context import SimulationContext
 from stepflow.fleet.servers import SECOND, Server
+from stepflow.fleet.state import Client, Node
 from stepflow.fleet.streams import stream
 from stepflow.fleet.traffic import CHANCES, LOADS
 from stepflow.interface import (
@@ -20,44 +20,16 @@
     SessionReportKind,
 )
 
-if TYPE_CHECKING:
-    from stepflow.fleet.simulation import World
-    from stepflow.fleet.state import Node
-
 GIVE_UP = 12  # times that a client comes again in all
 LOAD_UNIT = 1000.0  # of loads as servers tell them, in mean connection loads
 HUNG_SHARE = 0.1  # of its connections' loads that a server tells while it does nothing for them
 BACKOFF_US = 60_000  # of a client's first wait after a refusal or a failure; doubled each time
 
 
-@dataclass(slots=True, eq=False)
-class Client:
-    """One client and its connection, from its first try until its time is over."""
-
-    number: int
-    cls: int
-    group: int
-    until: int  # when its time is over
-    tries: int = 0
-    waits: int = 0
-    swing: int = 0
-    load: float = 1.0
-    node: Node | None = None
-    server: Server | None = None
-    request: int = -1
-    expires: int = 0
-    attempt: int = -1
-    out: int = 0  # the number of the attempt that is out; 0 for none
-    sent_us: int = 0
-    up: bool = False
-    returned: bool = False
-    done: bool = False
-
-
 class Clients:
     """All clients that want a connection now."""
 
-    def __init__(self, world: World) -> None:
+    def __init__(self, world: SimulationContext) -> None:
         self._world, self._day, self._traffic = world, world.scenario.day, world.traffic
         self.wanting: dict[Client, None] = {}
         self._requests = 0
--- a/stepflow/fleet/endpoint_list.py
+++ b/stepflow/fleet/endpoint_list.py
@@ -4,23 +4,20 @@
 
 from collections.abc import Sequence
 from functools import partial
-from typing import TYPE_CHECKING
 
+from stepflow.fleet.context import SimulationContext
 from stepflow.fleet.servers import SECOND, Server
+from stepflow.fleet.state import Node
 from stepflow.fleet.streams import stream
 from stepflow.interface import Availability, Endpoint, EndpointListUpdate, ListUpdateKind
 
-if TYPE_CHECKING:
-    from stepflow.fleet.simulation import World
-    from stepflow.fleet.state import Node
-
 REFUSED_US = 50_000  # until a call fails while discovery is down
 
 
 class Listing:
     """The one service that all nodes ask, and the state that it knows of: some seconds behind the truth."""
 
-    def __init__(self, world: World) -> None:
+    def __init__(self, world: SimulationContext) -> None:
         self._world, self._day = world, world.scenario.day
         self._rev = 0
         self._free = 0.0  # when the calls that wait will have been answered
--- a/stepflow/fleet/faults.py
+++ b/stepflow/fleet/faults.py
@@ -4,19 +4,16 @@
 
 from collections.abc import Sequence
 from functools import partial
-from typing import TYPE_CHECKING
 
 import numpy as np
 
+from stepflow.fleet.context import SimulationContext
 from stepflow.fleet.scenario import Fault
 from stepflow.fleet.servers import SECOND, Server
+from stepflow.fleet.state import Node
 from stepflow.fleet.streams import stream
 from stepflow.interface import Availability
 
-if TYPE_CHECKING:
-    from stepflow.fleet.simulation import World
-    from stepflow.fleet.state import Node
-
 DOWN_S = (0.8, 2.0)  # until a node's process is back
 TELL_US = 3 * SECOND  # within which a hung server's connections have all told what it does for them
 LEAVE_S = 2.0  # that a node takes to send its clients away at SIGTERM
@@ -25,7 +22,7 @@
 class Faults:
     """The day's faults, each with a stream of its own."""
 
-    def __init__(self, world: World) -> None:
+    def __init__(self, world: SimulationContext) -> None:
         self._world = world
         self.resets = 0.0  # share of the attempts that are reset at the server
         self._cut: int | None = None  # the zone that no other zone's nodes reach
--- a/stepflow/fleet/measurements.py
+++ b/stepflow/fleet/measurements.py
@@ -35,6 +35,12 @@
     sick: int = 0  # attempts at servers that are sick while others are not
     sick_by_chance: float = 0.0  # and as many as random choice would make
 
+    @classmethod
+    def of(cls, scenario: Scenario) -> Tally:
+        """Measurements of a run of a scenario, all zero."""
+        shape = (int(scenario.day.warm + scenario.day.seconds) + 1, len(scenario.classes))
+        return cls(np.zeros(shape), np.zeros(shape))
+
 
 @dataclass(frozen=True)
 class Score:
--- /dev/null
+++ b/stepflow/fleet/observers.py
@@ -0,0 +1,22 @@
+"""What may watch a simulation: checkers of rules, recorders of traffic."""
+
+from __future__ import annotations
+
+from collections.abc import Sequence
+from typing import Protocol
+
+from stepflow.fleet.servers import Server
+from stepflow.interface import Action, Event, Settings
+
+
+class Observer(Protocol):
+    """Is told of all that the nodes' policies are told and decide."""
+
+    def node_started(self, node: int, life: int, settings: Settings) -> None:
+        """A node's process starts; `life` counts its processes."""
+
+    def event_handled(self, now: int, node: int, event: Event, actions: list[Action]) -> None:
+        """A node's policy was told an event, and asked for actions that have not been carried out yet."""
+
+    def run_ended(self, now: int, servers: Sequence[Server]) -> None:
+        """The run is over."""
--- a/stepflow/fleet/rule_checker.py
+++ b/stepflow/fleet/rule_checker.py
@@ -116,11 +116,11 @@
     def kept(self) -> bool:
         return not any(rule.broken for rule in self.rules)
 
-    def begins(self, node: int, life: int, settings: Settings) -> None:
+    def node_started(self, node: int, life: int, settings: Settings) -> None:
         """A node's process starts, and knows nothing of the one before."""
         self._nodes[node] = _Seen(settings)
 
-    def heard(self, now: int, node: int, event: Event, actions: Iterable[Action]) -> None:
+    def event_handled(self, now: int, node: int, event: Event, actions: Iterable[Action]) -> None:
         """What a node's module heard, and what it wants done."""
         call = self._heard.get(type(event))
         if call is not None:
@@ -142,7 +142,7 @@
             request = seen.requests.get(action.request_id)
             self.moves.saw(request is None or not request.up, where)
 
-    def close(self, now: int, servers: Iterable[Server]) -> None:
+    def run_ended(self, now: int, servers: Iterable[Server]) -> None:
         """The day is over: what should have had its answer, and what cold servers bore."""
         for number, seen in self._nodes.items():
             for id, request in seen.requests.items():
--- a/stepflow/fleet/synth.py
+++ b/stepflow/fleet/synth.py
@@ -49,7 +49,7 @@
         """All journals, each node's in order."""
         return [path for file in self._files for path in file.paths]
 
-    def begins(self, node: int, life: int, settings: Settings) -> None:
+    def node_started(self, node: int, life: int, settings: Settings) -> None:
         """A node's process starts: it records into a file of its own."""
         folder = self._folder / f"n{node}"
         folder.mkdir(parents=True, exist_ok=True)
@@ -58,14 +58,14 @@
         self._files.append(_File(folder, life))
         self._recorders[node] = Recorder(self._files[-1], KEY, f"n{node}", BEGAN_US + life, settings, SEGMENT)
 
-    def heard(self, now: int, node: int, event: Event, actions: list[Action]) -> None:
+    def event_handled(self, now: int, node: int, event: Event, actions: list[Action]) -> None:
         """One event of a node, which tells deadlines on its own clock, and what it decided."""
         if isinstance(event, Request):
             event = event._replace(expires_us=event.expires_us + BEGAN_US)
         self._now_us = BEGAN_US + now
         self._recorders[node].take(self._now_us, event, actions)
 
-    def close(self, now: int, servers: Sequence[Server]) -> None:
+    def run_ended(self, now: int, servers: Sequence[Server]) -> None:
         """The day is over."""
         for recorder in self._recorders.values():
             recorder.end(BEGAN_US + now)
--- a/tests/fleet/test_fleet.py
+++ b/tests/fleet/test_fleet.py
@@ -146,17 +146,17 @@
         def __init__(self) -> None:
             self.came: dict[tuple[int, int], list[int]] = {}
 
-        def begins(self, node: int, life: int, settings: Settings) -> None:
+        def node_started(self, node: int, life: int, settings: Settings) -> None:
             assert settings.limits.max_attempts == (2 if life > 1 else 6)
 
-        def heard(self, now: int, node: int, event: Event, actions: list[Action]) -> None:
+        def event_handled(self, now: int, node: int, event: Event, actions: list[Action]) -> None:
             if isinstance(event, Request):
                 self.came[node, event.id] = [now, 0]
             for action in actions:
                 if isinstance(action, StartAttempt):
                     self.came[node, action.request_id][1] += 1
 
-        def close(self, now: int, servers: object) -> None:
+        def run_ended(self, now: int, servers: object) -> None:
             tries.extend((at, count) for at, count in self.came.values())
 
     World(changed, 1, RandomChoice, ears=(Counting(),)).run()
--- a/tests/fleet/test_revisions.py
+++ b/tests/fleet/test_revisions.py
@@ -61,13 +61,13 @@
     def __init__(self) -> None:
         self.lines: list[tuple[int, int, Event, tuple[Action, ...]]] = []
 
-    def begins(self, node: int, life: int, settings: Settings) -> None:
+    def node_started(self, node: int, life: int, settings: Settings) -> None:
         pass
 
-    def heard(self, now: int, node: int, event: Event, actions: list[Action]) -> None:
+    def event_handled(self, now: int, node: int, event: Event, actions: list[Action]) -> None:
         self.lines.append((now, node, event, tuple(actions)))
 
-    def close(self, now: int, servers: Sequence[Server]) -> None:
+    def run_ended(self, now: int, servers: Sequence[Server]) -> None:
         pass
 
 
--- a/tests/test_code_shape.py
+++ b/tests/test_code_shape.py
@@ -30,7 +30,6 @@
     "stepflow/fleet/fit.py:_classes",
     "stepflow/fleet/fit.py:_servers",
     "stepflow/fleet/traffic.py:draw",
-    "stepflow/fleet/simulation.py:World.__init__",
     "stepflow/node/process/config.py:load",
     "stepflow/node/process/service.py:Node.__init__",
     "stepflow/policy/decide.py:Policy.on_attempt_ended",
--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -132,13 +132,13 @@
 def heard(*events: Event | Action) -> Referee:
     """What a referee makes of a node's life, a second for each event."""
     referee = Referee()
-    referee.begins(0, 1, Settings(limits=Limits(max_attempts=2)))
+    referee.node_started(0, 1, Settings(limits=Limits(max_attempts=2)))
     for second, event in enumerate(events):
         if isinstance(event, Action):
-            referee.heard(second * SECOND, 0, TimerFired(0), [event])
+            referee.event_handled(second * SECOND, 0, TimerFired(0), [event])
         else:
-            referee.heard(second * SECOND, 0, event, [])
-    referee.close(60 * SECOND, [])
+            referee.event_handled(second * SECOND, 0, event, [])
+    referee.run_ended(60 * SECOND, [])
     return referee
 
 
