--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -15,7 +15,7 @@
 from stepflow.fleet.compare import interval
 from stepflow.fleet.measurements import score
 from stepflow.fleet.scenario import Class, Day, Fault, Kind, Scenario
-from stepflow.fleet.simulation import World
+from stepflow.fleet.simulation import Simulation
 from stepflow.policy import Policy
 
 KINDS = {
@@ -39,20 +39,20 @@
     first = 0.0
     for servers, nodes, rate in SIZES:
         day = Day(seconds=seconds, warm=0, servers=servers, nodes=nodes, rate=rate, groups=int(5 * rate))
-        world = World(Scenario(day, KINDS, CLASSES), 1)
+        world = Simulation(Scenario(day, KINDS, CLASSES), 1)
         began = time.perf_counter()
         world.run()
         took = time.perf_counter() - began
         pace = seconds / took
         first = first or pace
-        standing = world.traffic.stood
+        standing = world.traffic.established
         cost = 1e6 * took / seconds / standing
         row = f"{servers:8} {nodes:6} {standing:9} {rate:6.0f} {pace:8.2f}"
         print(f"{row} {pace / first:7.3f} {cost:10.1f}", flush=True)
 
 
 def _net(seed: int, luck: str) -> float:
-    return score(SMALL, World(SMALL, seed, Policy, luck).run()).net
+    return score(SMALL, Simulation(SMALL, seed, Policy, luck).run()).net
 
 
 def coverage(repeats: int, runs: int) -> None:
@@ -61,7 +61,7 @@
         sides = [list(pool.map(_net, seeds, [luck] * len(seeds), chunksize=10)) for luck in "AB"]
     less = [b - a for a, b in zip(*sides, strict=True)]
     found = [interval(less[i * runs : (i + 1) * runs], 0.95) for i in range(repeats)]
-    held = sum(one.holds_nothing for one in found)
+    held = sum(one.includes_zero for one in found)
     width = sum(one.high - one.low for one in found) / repeats
     error = 1.96 * math.sqrt(0.95 * 0.05 / repeats)
     print(f"{held} of {repeats} intervals of 95% hold 0 ({runs} pairs each; 0.95 +- {error:.3f} expected)")
--- a/standins/live.py
+++ b/standins/live.py
@@ -23,13 +23,13 @@
 from standins.node import start_node
 from stepflow.fleet.clients import HUNG_SHARE, LOAD_UNIT
 from stepflow.fleet.compare import CompareError
-from stepflow.fleet.measurements import Tally
+from stepflow.fleet.measurements import Measurements
 from stepflow.fleet.replay import LINE_S
 from stepflow.fleet.scenario import Fault, Scenario
 from stepflow.fleet.servers import SECOND, Server, erlang_c
-from stepflow.fleet.simulation import World
+from stepflow.fleet.simulation import Simulation
 from stepflow.fleet.streams import stream
-from stepflow.fleet.traffic import LOADS, Traffic
+from stepflow.fleet.traffic import LOADS_PER_SESSION, Traffic
 
 PATIENCE = 2.0  # the most that a client waits for an echo before it counts as late for good
 PLAYED = ("hang", "start", "drain", "crash", "restart", "burst", "list-down")
@@ -67,9 +67,9 @@
                     swings = asyncio.create_task(self._swing(number, writer))
                 elif word == b"STATS":
                     self.probed += 1
-                    self.model.add(self.now, live.scenario.day.probe_us / SECOND)
+                    self.model.add_work(self.now, live.scenario.day.probe_us / SECOND)
                     await asyncio.sleep(self.model.wait_s(self.now))
-                    load, pile = self.model.rho(self.now), self.model.wait_s(self.now)
+                    load, pile = self.model.utilization(self.now), self.model.wait_s(self.now)
                     noise = 1 + live.scenario.day.report_noise * float(live.luck.standard_normal())
                     told = f"x0={load * noise:.6f},x1={pile:.6f},util={min(1.0, load * noise):.6f}"
                     writer.write(f"PONG {told}\r\n".encode())
@@ -84,35 +84,39 @@
                 swings.cancel()
             if writer in self.holders:
                 self.model.advance(self.now)
-                self.model.release(*self.holders.pop(writer))
+                self.model.remove_session(*self.holders.pop(writer))
             writer.close()
 
     async def _open(self, number: int, writer: asyncio.StreamWriter, stood: bool) -> bytes:
         live, model = self.live, self.model
         assert live is not None
         traffic, day = live.traffic, live.scenario.day
-        if not model.runs or (model.state and not stood) or model.connections >= model.cap:
+        if (
+            not model.is_running
+            or (model.availability and not stood)
+            or model.connections >= model.max_sessions
+        ):
             return b"BUSY\r\n"
         if not stood:
-            cls = live.classes[int(traffic.cls[number])]
+            cls = live.classes[int(traffic.class_index[number])]
             work = cls.work_ms / 1000 * float(traffic.work[number])
-            model.add(self.now, work)
-            live.tally.asked_work += work
+            model.add_work(self.now, work)
+            live.tally.requested_work += work
             load = float(traffic.loads[number, 0])
-            if model.overrun(self.now, load, day.fall_times, int(day.fall_s * SECOND)):
+            if model.is_overloaded_by(self.now, load, day.fall_times, int(day.fall_s * SECOND)):
                 live.fall(self)
                 return b"ERR\r\n"
             await asyncio.sleep(model.wait_s(self.now) + work / model.speed + 0.005)
         held = int(traffic.group[number]), float(traffic.loads[number, 0])
         model.advance(self.now)
-        model.hold(*held)
+        model.add_session(*held)
         self.holders[writer] = held
         return b"UP %s\r\n" % self.uid.encode()
 
     async def _swing(self, number: int, writer: asyncio.StreamWriter) -> None:
         live = self.live
         assert live is not None
-        for step in range(LOADS):
+        for step in range(LOADS_PER_SESSION):
             group, before = self.holders[writer]
             load = float(live.traffic.loads[number, step])
             self.model.advance(self.now)
@@ -120,11 +124,11 @@
             self.holders[writer] = group, load
             told = load * LOAD_UNIT * (HUNG_SHARE if self.model.hung else 1.0)
             writer.write(b"LOAD %.3f\r\n" % told)
-            await asyncio.sleep(float(live.traffic.swings_s[number, step]))
+            await asyncio.sleep(float(live.traffic.load_spans_s[number, step]))
 
     def _wait(self) -> float:
         """How long this echo takes."""
-        model, rho = self.model, min(self.model.rho(self.now), 0.99)
+        model, rho = self.model, min(self.model.utilization(self.now), 0.99)
         wait = model.message_s + model.wait_s(self.now)
         assert self.live is not None
         if self.live.luck.random() < erlang_c(model.cores, rho):
@@ -142,19 +146,19 @@
 
     def __init__(self, scenario: Scenario, seed: int) -> None:
         self.scenario, self.seed = scenario, seed
-        world = World(scenario, seed)  # for its servers and draws: its own clock is never started
+        world = Simulation(scenario, seed)  # for its servers and draws: its own clock is never started
         self.traffic: Traffic = world.traffic
-        self.places = world.place_standing()
+        self.places = world.place_sessions()
         self.classes = list(scenario.classes.values())
         self.names = list(scenario.classes)
         self.luck = stream(seed, "live")
         kinds = list(scenario.kinds)
         self.fleet = Fleet([])
         self.servers = [
-            LiveServer(model.uid, kinds[model.kind], model=model, live=self) for model in world.servers
+            LiveServer(model.id, kinds[model.kind], model=model, live=self) for model in world.servers
         ]
         self.fleet.servers = list(self.servers)
-        self.tally: Tally = world.tally
+        self.tally: Measurements = world.measurements
         self._began = 0.0
         self._ports: list[int] = []
         self._nodes: list[asyncio.subprocess.Process | None] = []
@@ -172,7 +176,7 @@
         while not true():
             await asyncio.sleep(0.02)
 
-    async def play(self) -> Tally:
+    async def play(self) -> Measurements:
         """The whole scenario, with nodes of this checkout."""
         day = self.scenario.day
         await self.fleet.begin()
@@ -184,17 +188,17 @@
             up: list[asyncio.Future[None]] = []
             tasks = [
                 asyncio.create_task(self._client(number, self._stood(up)))
-                for number in range(self.traffic.stood)
+                for number in range(self.traffic.established)
             ]
             try:
                 async with asyncio.timeout(UP_MOST):
                     await asyncio.gather(*up)
                 self._began = time.monotonic()
                 for server in self.servers:
-                    server.model.at_us = 0
+                    server.model.advanced_us = 0
                 tasks += [
                     asyncio.create_task(self._client(number, None))
-                    for number in range(self.traffic.stood, len(self.traffic.at_us))
+                    for number in range(self.traffic.established, len(self.traffic.at_us))
                 ]
                 tasks += [
                     asyncio.create_task(self._fault(number, one))
@@ -213,7 +217,7 @@
                 for task in self._news:
                     task.cancel()
                 await asyncio.gather(*tasks, *self._news, *self._logs, return_exceptions=True)
-        self.tally.probes = sum(server.probed for server in self.servers)
+        self.tally.health_checks = sum(server.probed for server in self.servers)
         return self.tally
 
     def _stood(self, up: list[asyncio.Future[None]]) -> asyncio.Future[None]:
@@ -289,10 +293,10 @@
     # Clients.
 
     async def _client(self, number: int, stood: asyncio.Future[None] | None) -> None:
-        cls, day = int(self.traffic.cls[number]), self.scenario.day
+        cls, day = int(self.traffic.class_index[number]), self.scenario.day
         life = float(self.traffic.life_s[number])
-        if self.traffic.chances[number, 0] < day.leave:
-            life *= float(self.traffic.chances[number, 1])
+        if self.traffic.draws[number, 0] < day.leave:
+            life *= float(self.traffic.draws[number, 1])
         if stood is None:
             await asyncio.sleep(max(0.0, float(self.traffic.at_us[number]) / SECOND - self.now / SECOND))
             self.tally.requests += self.now >= day.warm * SECOND
@@ -325,7 +329,7 @@
         low, high = self.scenario.day.back_ms
         waits = 0
         while True:
-            chance = float(self.traffic.chances[number, 3 + waits % 13])
+            chance = float(self.traffic.draws[number, 3 + waits % 13])
             if returned:
                 await self._wanting(cls, (low + (high - low) * chance) / 1000)
             stood = await self._session(number, cls, "", returned or waits > 0)
@@ -374,7 +378,7 @@
                 answer = await reader.readline()
             if not answer.startswith(b"UP"):
                 counted = self.now >= self.scenario.day.warm * SECOND
-                self.tally.refused += counted and answer.startswith(b"BUSY")
+                self.tally.rejected += counted and answer.startswith(b"BUSY")
                 self.tally.failed += counted and answer.startswith(b"ERR")
                 return False
             up = True
@@ -406,7 +410,7 @@
                     line = await self._echo(reader)
                 share = float(time.monotonic() - at <= aim)
                 if line != b"M\r\n":
-                    self.tally.moves += line == b"MOVE\r\n"
+                    self.tally.migrations += line == b"MOVE\r\n"
                     return
                 await asyncio.sleep(max(0.0, LINE_S - (time.monotonic() - at)))
             except TimeoutError:
@@ -439,7 +443,11 @@
             await asyncio.sleep(fault.lasts)
             self.fleet.down = False
         elif fault.what != "burst":
-            running = [s for s in self.servers if s.model.runs and not s.model.state and not s.model.hung]
+            running = [
+                s
+                for s in self.servers
+                if s.model.is_running and not s.model.availability and not s.model.hung
+            ]
             count = min(len(running), max(1, round(fault.part * len(self.servers))))
             picked = [running[int(pick)] for pick in rng.permutation(len(running))[:count]]
             await asyncio.gather(*(self._spoil(server, fault) for server in picked))
@@ -461,26 +469,26 @@
         elif fault.what == "crash":
             self.fall(server)
         elif fault.what == "drain":
-            model.state, server.state = 1, "Terminating"
+            model.availability, server.state = 1, "Terminating"
             self._change(server)
             await asyncio.sleep(fault.lasts)
-            model.state, server.state = 2, "Gone"
+            model.availability, server.state = 2, "Gone"
             server.cut()
             self._change(server)
         else:
-            model.state, server.state = 2, "Gone"
+            model.availability, server.state = 2, "Gone"
             server.cut()
             self._change(server)
             await asyncio.sleep(fault.lasts)
-            model.state, server.state = 0, "Ready"
-            model.started_us, model.pile, model.at_us = self.now, 0.0, self.now
+            model.availability, server.state = 0, "Ready"
+            model.started_us, model.backlog, model.advanced_us = self.now, 0.0, self.now
             server.boot_ms = int(time.time() * 1000)
             self._change(server)
 
     def fall(self, server: LiveServer) -> None:
         """It goes down for good."""
-        server.model.fallen, server.model.state, server.state = True, 2, "Gone"
-        self.tally.fallen += 1
+        server.model.crashed, server.model.availability, server.state = True, 2, "Gone"
+        self.tally.crashed_servers += 1
         server.cut()
         self._change(server)
 
@@ -500,7 +508,7 @@
         return int(sock.getsockname()[1])
 
 
-def play(scenario: Scenario, seed: int) -> tuple[Tally, float]:
+def play(scenario: Scenario, seed: int) -> tuple[Measurements, float]:
     """Play a scenario once; what was counted, and how late this program's own loop was at the worst.
 
     A burst is in the draws already; a fault that can't be played here is turned down before anything starts.
@@ -509,6 +517,6 @@
         raise CompareError(f"{unplayed[0]}: this fault is not played on sockets yet")
     live = Live(scenario, seed)
     tally = asyncio.run(live.play())
-    rho = [server.model.rho(live.now) for server in live.servers if server.model.runs]
+    rho = [server.model.utilization(live.now) for server in live.servers if server.model.is_running]
     tally.imbalance = [float(np.std(rho))]
     return tally, live.worst_late
--- a/stepflow/cli/fleet.py
+++ b/stepflow/cli/fleet.py
@@ -81,11 +81,11 @@
 @click.option("--policy", default="present", show_default=True, help="A policy's name, as for compare.")
 def synth(scenario: str, out: str, seed: int, policy: str) -> None:
     """Make the journals of a day of SCENARIO, as its nodes would record it, where there is no trace yet."""
-    from stepflow.fleet.policy_specs import maker
+    from stepflow.fleet.policy_specs import policy_factory
     from stepflow.fleet.scenario import load
     from stepflow.fleet.synth import synth as make
 
-    paths = make(load(scenario), seed, out, maker(policy))
+    paths = make(load(scenario), seed, out, policy_factory(policy))
     folders = " ".join(sorted({str(path.parent) for path in paths}))
     click.echo(f"{len(paths)} journals; next: stepflow fleet convert {folders} -o TRACE")
 
@@ -164,9 +164,12 @@
         found = play((first, second), runs, seed, level, width, jobs, told)
     if out is not None:
         save(found, out)
-    for beyond in found.beyond():
+    for beyond in found.extrapolations():
         click.echo(f"warning: it extrapolates: {beyond}", err=True)
-    rows = {name: (found.side(0, name), found.side(1, name), found.difference(name)) for name in FIGURES}
+    rows = {
+        name: (found.interval_of(0, name), found.interval_of(1, name), found.difference(name))
+        for name in FIGURES
+    }
     if as_json:
         shown: dict[str, Any] = {
             name: {
@@ -184,7 +187,7 @@
     lines: list[tuple[str, ...]] = [("", "A", "B", "B less A", "interval", "")]
     for name, (one, other, less) in rows.items():
         span = f"{less.low:+.4f} to {less.high:+.4f}"
-        said = "no difference seen" if less.holds_nothing else ""
+        said = "no difference seen" if less.includes_zero else ""
         lines.append((name, f"{one.mean:.4f}", f"{other.mean:.4f}", f"{less.mean:+.4f}", span, said))
     _table(lines)
 
@@ -213,7 +216,7 @@
 
     Exits with 1 where a rule is broken, with the days that broke it; each can be played again by its seed.
     """
-    from stepflow.fleet.audit import SHOWN, Day, check
+    from stepflow.fleet.audit import MAX_DAYS_SHOWN, Day, check
     from stepflow.fleet.audit import audit as play
 
     days = [
@@ -233,7 +236,7 @@
             rows.append((one.rule, bound, worst, f"{one.margin:.0%}", day, "" if one.kept else "BROKEN"))
         _table(rows)
         for one in found:
-            for day in one.broken[:SHOWN]:
+            for day in one.broken[:MAX_DAYS_SHOWN]:
                 click.echo(f"broken: {one.rule}: {day}")
         click.echo(f"{len(days)} days: {'all rules kept' if kept else 'rules BROKEN'}")
     if not kept:
@@ -284,7 +287,7 @@
         bars = f"{span.mean:.3f} ({span.low:.3f} to {span.high:.3f})"
         click.echo(f"seed {one.seed}: predicted {bars}, measured {one.measured:.3f}: {said}{busy}")
 
-    found = check(load(scenario), play, range(seed, seed + runs), models, level=level, told=told)
+    found = check(load(scenario), play, range(seed, seed + runs), models, level=level, on_checked=told)
     if not as_json:
         click.echo(f"{sum(one.within for one in found)} of {len(found)} within their bars")
 
--- a/stepflow/fleet/attempts.py
+++ b/stepflow/fleet/attempts.py
@@ -18,187 +18,200 @@
     StartHealthCheck,
 )
 
-PROBE_US = 250_000  # the most that a probe waits
+HEALTH_CHECK_TIMEOUT_US = 250_000  # the most that a probe waits
 
 
 class Attempts:
     """All that is out, and all that stands."""
 
-    def __init__(self, world: SimulationContext) -> None:
-        self._world, self._day = world, world.scenario.day
-        self._count = 0
-        self._store_free = 0.0
-        self._luck = stream(world.seed, "reports")
-        self._sick_luck = stream(world.seed, "sick answers")
+    def __init__(self, simulation: SimulationContext) -> None:
+        self._simulation, self._day = simulation, simulation.scenario.day
+        self._attempts_started = 0
+        self._store_free_us = 0.0
+        self._report_draws = stream(simulation.seed, "reports")
+        self._failure_draws = stream(simulation.seed, "sick answers")
 
-    def send(self, node: Node, action: StartAttempt) -> None:
+    def start(self, node: Node, action: StartAttempt) -> None:
         """One attempt of a request."""
-        world = self._world
+        simulation = self._simulation
         client = node.clients.get(action.request_id)
-        if client is None or client.out:
+        if client is None or client.attempt_id:
             return
-        server = world.names[str(action.endpoint)]
-        self._count += 1
-        client.attempt, client.out, client.sent_us = client.attempt + 1, self._count, world.now
+        server = simulation.servers_by_id[str(action.endpoint)]
+        self._attempts_started += 1
+        client.attempt_number, client.attempt_id, client.sent_us = (
+            client.attempt_number + 1,
+            self._attempts_started,
+            simulation.now,
+        )
         client.server = server
-        if world.counting:
-            self._count_sent(server)
-        left = client.expires - world.now
+        if simulation.is_counting:
+            self._count_attempt(server)
+        left = client.expires_us - simulation.now
         wait = min(action.timeout_us, left) if action.timeout_us else left
-        attempt, trip = client.out, self._day.trip_us
-        if not server.runs:
-            world.after(2 * trip, partial(self._fails, client, attempt, AttemptResult.CONNECT_FAILED))
+        attempt, trip = client.attempt_id, self._day.trip_us
+        if not server.is_running:
+            simulation.after(2 * trip, partial(self._fail, client, attempt, AttemptResult.CONNECT_FAILED))
             return
-        world.after(max(1, wait), partial(self._fails, client, attempt, AttemptResult.TIMEOUT))
-        if world.faults.silent_since(node, server) is None:
-            world.after(2 * trip, partial(self._reaches, client, attempt, server))
-
-    def _count_sent(self, server: Server) -> None:
-        tally = self._world.tally
-        tally.attempts += 1
-        if not any(s.sick for s in self._world.servers):
+        simulation.after(max(1, wait), partial(self._fail, client, attempt, AttemptResult.TIMEOUT))
+        if simulation.faults.unreachable_since(node, server) is None:
+            simulation.after(2 * trip, partial(self._reach_server, client, attempt, server))
+
+    def _count_attempt(self, server: Server) -> None:
+        measurements = self._simulation.measurements
+        measurements.attempts += 1
+        if not any(s.is_degraded for s in self._simulation.servers):
             return
-        ready = [s for s in self._world.servers if s.runs and s.state == Availability.READY]
-        sick = sum(s.sick for s in ready)
+        ready = [s for s in self._simulation.servers if s.is_running and s.availability == Availability.READY]
+        sick = sum(s.is_degraded for s in ready)
         if 0 < sick < len(ready):
-            tally.sick += server.sick
-            tally.sick_by_chance += sick / len(ready)
+            measurements.attempts_at_degraded += server.is_degraded
+            measurements.attempts_at_degraded_by_chance += sick / len(ready)
 
-    def _reaches(self, client: Client, attempt: int, server: Server) -> None:
+    def _reach_server(self, client: Client, attempt: int, server: Server) -> None:
         """The line is at the server."""
-        if client.out != attempt:
+        if client.attempt_id != attempt:
             return
-        world, day = self._world, self._day
-        if not server.runs:
-            self.ended(client, AttemptResult.CONNECT_FAILED)
+        simulation, day = self._simulation, self._day
+        if not server.is_running:
+            self.end(client, AttemptResult.CONNECT_FAILED)
             return
-        if server.state != Availability.READY or server.connections >= server.cap:
-            world.after(day.trip_us, partial(self._fails, client, attempt, AttemptResult.FULL))
+        if server.availability != Availability.READY or server.connections >= server.max_sessions:
+            simulation.after(day.trip_us, partial(self._fail, client, attempt, AttemptResult.FULL))
             return
-        if world.faults.resets and self._sick_luck.random() < world.faults.resets:
-            world.after(day.trip_us, partial(self._fails, client, attempt, AttemptResult.RESET))
+        if simulation.faults.reset_share and self._failure_draws.random() < simulation.faults.reset_share:
+            simulation.after(day.trip_us, partial(self._fail, client, attempt, AttemptResult.RESET))
             return
-        if server.errors and self._sick_luck.random() < server.errors:
-            world.after(day.trip_us, partial(self._fails, client, attempt, AttemptResult.ERROR))
+        if server.errors and self._failure_draws.random() < server.errors:
+            simulation.after(day.trip_us, partial(self._fail, client, attempt, AttemptResult.ERROR))
             return
-        cls = world.classes[client.cls]
-        work = cls.work_ms / 1000 * float(world.traffic.work[client.number])
-        server.add(world.now, work)
-        server.setups += work
-        if world.counting:
-            world.tally.asked_work += work
-        if server.overrun(world.now, client.load, day.fall_times, int(day.fall_s * SECOND)):
-            world.faults.fall(server)
+        cls = simulation.classes[client.class_index]
+        work = cls.work_ms / 1000 * float(simulation.traffic.work[client.number])
+        server.add_work(simulation.now, work)
+        server.setup_work += work
+        if simulation.is_counting:
+            simulation.measurements.requested_work += work
+        if server.is_overloaded_by(simulation.now, client.load, day.fall_times, int(day.fall_s * SECOND)):
+            simulation.faults.crash(server)
             return
         # The session store takes its calls in turn.
         gap = SECOND / (day.store * day.rate)
-        self._store_free = max(self._store_free + gap, float(world.now))
-        store = self._store_free - world.now + 5000
-        ready = server.wait_s(world.now) * SECOND + work / (server.speed * server.slowed) * SECOND + store
-        world.after(ready + day.trip_us, partial(self._comes_up, client, attempt, server, work))
-
-    def _comes_up(self, client: Client, attempt: int, server: Server, work: float) -> None:
-        world, node = self._world, client.node
-        silent = node is None or world.faults.silent_since(node, server) is not None
-        if client.out != attempt or not server.runs or silent:
-            if world.counting:
-                world.tally.wasted_work += work
+        self._store_free_us = max(self._store_free_us + gap, float(simulation.now))
+        store = self._store_free_us - simulation.now + 5000
+        ready = (
+            server.wait_s(simulation.now) * SECOND
+            + work / (server.speed * server.speed_share) * SECOND
+            + store
+        )
+        simulation.after(ready + day.trip_us, partial(self._establish, client, attempt, server, work))
+
+    def _establish(self, client: Client, attempt: int, server: Server, work: float) -> None:
+        simulation, node = self._simulation, client.node
+        silent = node is None or simulation.faults.unreachable_since(node, server) is not None
+        if client.attempt_id != attempt or not server.is_running or silent:
+            if simulation.is_counting:
+                simulation.measurements.wasted_work += work
             return
-        client.up, client.out = True, -1
-        client.waits, client.returned = 0, False
-        self.joined(client)
+        client.established, client.attempt_id = True, -1
+        client.backoffs, client.is_migrated = 0, False
+        self.add_session(client)
         if node is not None:
-            wait = world.now - client.sent_us
-            world.feed(node, SessionEstablished(client.request, client.attempt, server.uid, wait))
-        world.clients.swing(client, client.request, client.swing)
+            wait = simulation.now - client.sent_us
+            simulation.handle_event(
+                node, SessionEstablished(client.request_id, client.attempt_number, server.id, wait)
+            )
+        simulation.clients.apply_load(client, client.request_id, client.load_index)
 
-    def joined(self, client: Client) -> None:
+    def add_session(self, client: Client) -> None:
         """A connection stands."""
         server = client.server
         if server is not None:
-            server.advance(self._world.now)
-            server.hold(client.group, client.load)
-            self._world.standing[server][client.cls] += 1
+            server.advance(self._simulation.now)
+            server.add_session(client.group, client.load)
+            self._simulation.sessions_by_class[server][client.class_index] += 1
 
-    def parted(self, client: Client) -> None:
+    def remove_session(self, client: Client) -> None:
         """It does no longer."""
         server = client.server
         if server is not None:
-            server.advance(self._world.now)
-            server.release(client.group, client.load)
-            self._world.standing[server][client.cls] -= 1
+            server.advance(self._simulation.now)
+            server.remove_session(client.group, client.load)
+            self._simulation.sessions_by_class[server][client.class_index] -= 1
 
-    def _fails(self, client: Client, attempt: int, result: AttemptResult) -> None:
-        if client.out == attempt:
-            self.ended(client, result)
+    def _fail(self, client: Client, attempt: int, result: AttemptResult) -> None:
+        if client.attempt_id == attempt:
+            self.end(client, result)
 
-    def ended(self, client: Client, result: AttemptResult, answered: bool = False) -> None:
+    def end(self, client: Client, result: AttemptResult, answered: bool = False) -> None:
         """The one place that ends an attempt, before it is up or after."""
-        node, server, up, request = client.node, client.server, client.up, client.request
+        node, server, up, request = client.node, client.server, client.established, client.request_id
         if up:
-            self.parted(client)
-        client.out, client.up = 0, False
+            self.remove_session(client)
+        client.attempt_id, client.established = 0, False
         if node is None or server is None:
             return
         if up:
             node.clients.pop(request, None)
-        wait = self._world.now - client.sent_us
-        outcome = AttemptEnded(request, client.attempt, server.uid, result, up or answered, wait)
-        self._world.feed(node, outcome)
+        wait = self._simulation.now - client.sent_us
+        outcome = AttemptEnded(request, client.attempt_number, server.id, result, up or answered, wait)
+        self._simulation.handle_event(node, outcome)
 
-    def broken(self, client: Client, result: AttemptResult = AttemptResult.RESET) -> None:
+    def break_off(self, client: Client, result: AttemptResult = AttemptResult.RESET) -> None:
         """What stands ends by a fault: its client comes again. What is out fails."""
-        up = client.up
-        self._world.tally.broken += self._world.counting and up
-        self.ended(client, result)
+        up = client.established
+        self._simulation.measurements.broken_sessions += self._simulation.is_counting and up
+        self.end(client, result)
         if up:
-            self._world.clients.back(client)
+            self._simulation.clients.reconnect(client)
 
-    def move(self, node: Node, request: int) -> None:
+    def migrate(self, node: Node, request: int) -> None:
         """The node sends a client away."""
         client = node.clients.get(request)
-        if client is not None and client.up:
-            self._world.tally.moves += self._world.counting
-            self.ended(client, AttemptResult.CANCELLED)
-            self._world.clients.back(client)
+        if client is not None and client.established:
+            self._simulation.measurements.migrations += self._simulation.is_counting
+            self.end(client, AttemptResult.CANCELLED)
+            self._simulation.clients.reconnect(client)
 
     def cancel(self, node: Node, request: int) -> None:
         """The node stops waiting for an attempt."""
         client = node.clients.get(request)
-        if client is not None and client.out and not client.up:
-            self.ended(client, AttemptResult.CANCELLED)
+        if client is not None and client.attempt_id and not client.established:
+            self.end(client, AttemptResult.CANCELLED)
 
     # Probes.
 
     def _report(self, server: Server) -> tuple[float, ...]:
-        noise = 1 + self._day.report_noise * float(self._luck.standard_normal())
-        rho = server.rho(self._world.now)
-        return rho * noise, server.wait_s(self._world.now), min(1.0, rho * noise)
+        noise = 1 + self._day.report_noise * float(self._report_draws.standard_normal())
+        rho = server.utilization(self._simulation.now)
+        return rho * noise, server.wait_s(self._simulation.now), min(1.0, rho * noise)
 
-    def probe(self, node: Node, action: StartHealthCheck) -> None:
+    def check_health(self, node: Node, action: StartHealthCheck) -> None:
         """One question for a server's report."""
-        world, day = self._world, self._day
-        server, life, now = world.names[str(action.endpoint)], node.life, world.now
-        world.tally.probes += world.counting
-        server.probes += 1
-        silent = world.faults.silent_since(node, server) is not None
-        if not server.runs or silent:
+        simulation, day = self._simulation, self._day
+        server, life, now = simulation.servers_by_id[str(action.endpoint)], node.incarnation, simulation.now
+        simulation.measurements.health_checks += simulation.is_counting
+        server.health_checks += 1
+        silent = simulation.faults.unreachable_since(node, server) is not None
+        if not server.is_running or silent:
             result = AttemptResult.TIMEOUT if silent else AttemptResult.CONNECT_FAILED
-            wait = PROBE_US if silent else 2 * day.trip_us
-            world.after(wait, partial(self._probed, node, life, server, result, (), now))
+            wait = HEALTH_CHECK_TIMEOUT_US if silent else 2 * day.trip_us
+            simulation.after(wait, partial(self._health_check_ended, node, life, server, result, (), now))
             return
-        server.add(now, day.probe_us / SECOND)
+        server.add_work(now, day.probe_us / SECOND)
         low, high = day.report_s
         # A report is as old as its last refresh: what is told is read then, and told now.
-        late = float(self._luck.uniform(0, (low + high) / 2)) * SECOND
+        late = float(self._report_draws.uniform(0, (low + high) / 2)) * SECOND
         took = 2 * day.trip_us + server.wait_s(now) * SECOND
         if not server.report or now - server.report_us > late:
             server.report, server.report_us = self._report(server), now
-        result = AttemptResult.OK if took <= PROBE_US else AttemptResult.TIMEOUT
+        result = AttemptResult.OK if took <= HEALTH_CHECK_TIMEOUT_US else AttemptResult.TIMEOUT
         answer = server.report if result == AttemptResult.OK else ()
-        world.after(min(took, PROBE_US), partial(self._probed, node, life, server, result, answer, now))
+        simulation.after(
+            min(took, HEALTH_CHECK_TIMEOUT_US),
+            partial(self._health_check_ended, node, life, server, result, answer, now),
+        )
 
-    def _probed(
+    def _health_check_ended(
         self,
         node: Node,
         life: int,
@@ -207,5 +220,7 @@
         report: tuple[float, ...],
         asked: int,
     ) -> None:
-        if node.life == life:
-            self._world.feed(node, HealthCheckEnded(server.uid, result, self._world.now - asked, report))
+        if node.incarnation == life:
+            self._simulation.handle_event(
+                node, HealthCheckEnded(server.id, result, self._simulation.now - asked, report)
+            )
--- a/stepflow/fleet/audit.py
+++ b/stepflow/fleet/audit.py
@@ -8,11 +8,11 @@
 
 from stepflow.fleet import scenario as scenarios
 from stepflow.fleet.measurements import Score, score
-from stepflow.fleet.policy_specs import maker
-from stepflow.fleet.rule_checker import Referee, Rule
-from stepflow.fleet.simulation import World
+from stepflow.fleet.policy_specs import policy_factory
+from stepflow.fleet.rule_checker import Rule, RuleChecker
+from stepflow.fleet.simulation import Simulation
 
-SHOWN = 3  # broken days that a finding names
+MAX_DAYS_SHOWN = 3  # broken days that a finding names
 
 
 @dataclass(frozen=True)
@@ -27,7 +27,7 @@
 
 @dataclass(frozen=True)
 class Played:
-    """What one day's referee saw."""
+    """What the rule checker found on one day."""
 
     day: Day
     rules: Sequence[Rule]
@@ -52,34 +52,34 @@
 
 
 def play(day: Day) -> Played:
-    """Play one day under a referee of its own."""
+    """Run one day with a rule checker of its own."""
     told = scenarios.read(day.text, day.file)
-    referee = Referee()
-    tally = World(told, day.seed, maker(day.policy), ears=(referee,)).run()
-    return Played(day, referee.rules, score(told, tally))
+    checker = RuleChecker()
+    measurements = Simulation(told, day.seed, policy_factory(day.policy), observers=(checker,)).run()
+    return Played(day, checker.rules, score(told, measurements))
 
 
 def check(days: Sequence[Day]) -> None:
     """Turn down what can't be played before any process starts, in one line."""
     for day in days:
         scenarios.read(day.text, day.file)
-        maker(day.policy)
+        policy_factory(day.policy)
 
 
 def audit(
-    days: Sequence[Day], jobs: int | None = None, told: Callable[[Played], None] = lambda one: None
+    days: Sequence[Day], jobs: int | None = None, on_played: Callable[[Played], None] = lambda one: None
 ) -> list[Finding]:
-    """Play all days, in parallel, and fold what was seen; a rule's findings stand in the referee's order."""
+    """Run all days in parallel; returns one finding for each rule, in the checker's order."""
     found = []
     with ProcessPoolExecutor(jobs) as pool:
         for future in as_completed([pool.submit(play, day) for day in days]):
             found.append(future.result())
-            told(found[-1])
+            on_played(found[-1])
     found.sort(key=lambda one: (one.day.file, one.day.seed))
-    return fold(found)
+    return findings_of(found)
 
 
-def fold(played: Sequence[Played]) -> list[Finding]:
+def findings_of(played: Sequence[Played]) -> list[Finding]:
     """Each rule's worst day."""
     findings: dict[str, Finding] = {}
     for one in played:
@@ -90,6 +90,8 @@
                 findings[rule.name] = known = Finding(
                     rule.name, rule.bound, rule.worst, rule.margin, day.file, day.seed, broken
                 )
-            if rule.broken:
-                known.broken.append(f"{day.file} seed {day.seed}, {rule.broken} times, first {rule.first}")
+            if rule.violations:
+                known.broken.append(
+                    f"{day.file} seed {day.seed}, {rule.violations} times, first {rule.first_violation}"
+                )
     return list(findings.values())
--- a/stepflow/fleet/baselines.py
+++ b/stepflow/fleet/baselines.py
@@ -27,14 +27,14 @@
 )
 
 
-class Decides(Protocol):
+class PolicyLike(Protocol):
     """What a node asks: the decision module, or a policy to hold it against."""
 
     def handle(self, now: int, event: Event) -> list[Action]: ...
     def update_settings(self, settings: Settings) -> None: ...
 
 
-Maker = Callable[[Settings, int], Decides]
+PolicyFactory = Callable[[Settings, int], PolicyLike]
 
 
 class RandomChoice:
--- a/stepflow/fleet/compare.py
+++ b/stepflow/fleet/compare.py
@@ -26,11 +26,11 @@
 from stepflow.errors import InputError
 from stepflow.fleet import scenario as scenarios
 from stepflow.fleet.measurements import Score, score, series
-from stepflow.fleet.policy_specs import maker
-from stepflow.fleet.simulation import World
+from stepflow.fleet.policy_specs import policy_factory
+from stepflow.fleet.simulation import Simulation
 
 FIRST = 10  # runs of the first stage, at the least
-MOST = 1000  # runs in all
+MAX_RUNS = 1000  # runs in all
 FIGURES = ("net", *(one.name for one in fields(Score)))
 SERIES = pa.schema(
     [("side", pa.string()), ("seed", pa.int64()), ("name", pa.string()), ("values", pa.list_(pa.float64()))]
@@ -57,12 +57,12 @@
     file: str
     policy: str
 
-    def play(self, seed: int, luck: str) -> Run:
-        """One run; the modules' own draws go by their luck: two equal sides differ by it."""
+    def play(self, seed: int, policy_stream: str) -> Run:
+        """Run once; two equal sides differ by the stream of their policies' draws alone."""
         told = scenarios.read(self.scenario, self.file)
-        tally = World(told, seed, maker(self.policy), luck).run()
-        found = score(told, tally)
-        return Run({name: float(getattr(found, name)) for name in FIGURES}, series(told, tally))
+        measurements = Simulation(told, seed, policy_factory(self.policy), policy_stream).run()
+        found = score(told, measurements)
+        return Run({name: float(getattr(found, name)) for name in FIGURES}, series(told, measurements))
 
 
 @dataclass(frozen=True)
@@ -74,7 +74,7 @@
     high: float
 
     @property
-    def holds_nothing(self) -> bool:
+    def includes_zero(self) -> bool:
         """Whether 0 lies within: no difference is seen."""
         return self.low <= 0 <= self.high
 
@@ -102,7 +102,7 @@
 
 
 @dataclass
-class Found:
+class Comparison:
     """All whole pairs, by seed, in order."""
 
     sides: tuple[Side, Side]
@@ -111,16 +111,16 @@
     rows: list[Pair]
     wanted: int
 
-    def side(self, number: int, figure: str) -> Interval:
+    def interval_of(self, number: int, figure: str) -> Interval:
         return interval([row[1:][number].figures[figure] for row in self.rows], self.level, self.first)
 
-    def beyond(self) -> list[str]:
+    def extrapolations(self) -> list[str]:
         """What was asked that the trace behind a scenario never showed: such an answer is a guess."""
         said: dict[str, None] = {}
         for number, one in enumerate(self.sides):
             told = scenarios.read(one.scenario, one.file)
             peak = max(row[1:][number].figures["peak_load"] for row in self.rows)
-            said |= dict.fromkeys(f"{one.file}: {text}" for text in told.beyond(peak))
+            said |= dict.fromkeys(f"{one.file}: {text}" for text in told.extrapolations(peak))
         return list(said)
 
     def difference(self, figure: str) -> Interval:
@@ -141,28 +141,28 @@
     level: float = 0.95,
     width: float | None = None,
     jobs: int | None = None,
-    told: Callable[[int, int], None] = lambda done, wanted: None,
-) -> Found:
+    on_progress: Callable[[int, int], None] = lambda done, wanted: None,
+) -> Comparison:
     """Play both sides on the seeds from `seed` on; with a width, as many more as it takes.
 
     An interrupt ends it with the pairs that are whole, as long as they are two.
     """
     for one in sides:
         scenarios.read(one.scenario, one.file)
-        maker(one.policy)  # bad names are told here, and not by a process
-    found = Found(sides, level, runs, [], runs)
+        policy_factory(one.policy)  # bad names are told here, and not by a process
+    found = Comparison(sides, level, runs, [], runs)
     with ProcessPoolExecutor(jobs or os.cpu_count()) as pool:
         try:
             for row in _played(pool, sides, range(seed, seed + runs)):
                 found.rows.append(row)
-                told(len(found.rows), found.wanted)
+                on_progress(len(found.rows), found.wanted)
             found.rows.sort(key=lambda row: row[0])
             if width is not None:
                 differences = [row[2].figures["net"] - row[1].figures["net"] for row in found.rows]
-                found.wanted = min(MOST, runs_for(differences, width, level))
+                found.wanted = min(MAX_RUNS, runs_for(differences, width, level))
                 for row in _played(pool, sides, range(seed + runs, seed + found.wanted)):
                     found.rows.append(row)
-                    told(len(found.rows), found.wanted)
+                    on_progress(len(found.rows), found.wanted)
         except KeyboardInterrupt:
             pool.shutdown(wait=False, cancel_futures=True)
             if len(found.rows) < 2:
@@ -177,7 +177,7 @@
         yield future.result()
 
 
-def save(found: Found, folder: str | Path) -> None:
+def save(found: Comparison, folder: str | Path) -> None:
     """Keep the runs (Parquet) and a manifest with what it takes to make them again."""
     target = Path(folder)
     target.mkdir(parents=True, exist_ok=True)
--- a/stepflow/fleet/context.py
+++ b/stepflow/fleet/context.py
@@ -11,7 +11,7 @@
 
 import numpy as np
 
-from stepflow.fleet.measurements import Tally
+from stepflow.fleet.measurements import Measurements
 from stepflow.fleet.scenario import Class, Scenario
 from stepflow.fleet.servers import Server
 from stepflow.fleet.state import Client, Node
@@ -23,19 +23,19 @@
     """What the clients offer the other parts."""
 
     @property
-    def wanting(self) -> dict[Client, None]:
+    def active(self) -> dict[Client, None]:
         """The clients that want a session now."""
         ...
 
-    def back(self, client: Client) -> None:
+    def reconnect(self, client: Client) -> None:
         """A session broke, or was migrated: its client comes again."""
         ...
 
-    def swing(self, client: Client, request: int, number: int) -> None:
+    def apply_load(self, client: Client, request: int, number: int) -> None:
         """Give the session its load of that number, and schedule the next one."""
         ...
 
-    def tell(self, client: Client, request: int) -> None:
+    def report_load(self, client: Client, request: int) -> None:
         """Report the session's load to its node."""
         ...
 
@@ -43,23 +43,23 @@
 class AttemptOperations(Protocol):
     """What the attempts offer the other parts."""
 
-    def joined(self, client: Client) -> None:
+    def add_session(self, client: Client) -> None:
         """Count a session at its server."""
         ...
 
-    def parted(self, client: Client) -> None:
+    def remove_session(self, client: Client) -> None:
         """Count it there no longer."""
         ...
 
-    def ended(self, client: Client, result: AttemptResult, answered: bool = False) -> None:
+    def end(self, client: Client, result: AttemptResult, answered: bool = False) -> None:
         """End an attempt, before its session is established or after."""
         ...
 
-    def broken(self, client: Client, result: AttemptResult = AttemptResult.RESET) -> None:
+    def break_off(self, client: Client, result: AttemptResult = AttemptResult.RESET) -> None:
         """End an attempt or a session by a fault."""
         ...
 
-    def move(self, node: Node, request: int) -> None:
+    def migrate(self, node: Node, request: int) -> None:
         """Migrate a session."""
         ...
 
@@ -67,11 +67,11 @@
 class EndpointListOperations(Protocol):
     """What the endpoint list offers the other parts."""
 
-    def change(self, server: Server) -> None:
+    def schedule_update(self, server: Server) -> None:
         """Publish what has changed of a server, some seconds later."""
         ...
 
-    def go_down(self, span_us: float) -> None:
+    def start_outage(self, span_us: float) -> None:
         """Be out of reach for a time."""
         ...
 
@@ -80,20 +80,20 @@
     """What the faults offer the other parts."""
 
     @property
-    def resets(self) -> float:
+    def reset_share(self) -> float:
         """The share of attempts that are reset at their server."""
         ...
 
     @property
-    def any_silent(self) -> bool:
+    def any_unreachable(self) -> bool:
         """Whether nodes are cut off from servers now."""
         ...
 
-    def silent_since(self, node: Node, server: Server) -> int | None:
+    def unreachable_since(self, node: Node, server: Server) -> int | None:
         """Since when nothing comes from a server to a node; None where it answers."""
         ...
 
-    def fall(self, server: Server) -> None:
+    def crash(self, server: Server) -> None:
         """Stop a server for good."""
         ...
 
@@ -127,12 +127,12 @@
         ...
 
     @property
-    def names(self) -> dict[str, Server]:
+    def servers_by_id(self) -> dict[str, Server]:
         """All servers by their ids."""
         ...
 
     @property
-    def standing(self) -> dict[Server, list[int]]:
+    def sessions_by_class(self) -> dict[Server, list[int]]:
         """How many sessions of each class each server has."""
         ...
 
@@ -142,12 +142,12 @@
         ...
 
     @property
-    def tally(self) -> Tally:
+    def measurements(self) -> Measurements:
         """What the run counts."""
         ...
 
     @property
-    def counting(self) -> bool:
+    def is_counting(self) -> bool:
         """Whether the warm-up is over."""
         ...
 
@@ -162,7 +162,7 @@
         ...
 
     @property
-    def listing(self) -> EndpointListOperations:
+    def endpoint_list(self) -> EndpointListOperations:
         """The endpoint list."""
         ...
 
@@ -180,19 +180,19 @@
         """Schedule a call at a time."""
         ...
 
-    def after(self, span: float, call: Callable[[], None]) -> None:
+    def after(self, delay: float, call: Callable[[], None]) -> None:
         """Schedule a call so many microseconds from now."""
         ...
 
-    def feed(self, node: Node, event: Event) -> None:
+    def handle_event(self, node: Node, event: Event) -> None:
         """Hand an event to a node's policy and carry out its actions."""
         ...
 
-    def begin(self, node: Node) -> None:
+    def start_node(self, node: Node) -> None:
         """Start a node's process."""
         ...
 
-    def retune(self) -> None:
+    def reload_settings(self) -> None:
         """Reload the settings of all nodes that run."""
         ...
 
@@ -200,6 +200,6 @@
         """Make a server of a kind."""
         ...
 
-    def add(self, server: Server) -> None:
+    def add_server(self, server: Server) -> None:
         """Add a server to the fleet."""
         ...
--- a/stepflow/fleet/latency_reports.py
+++ b/stepflow/fleet/latency_reports.py
@@ -18,37 +18,41 @@
     A server's silence is reported as well, and ends all sessions there once it has lasted STALLED_US.
     """
 
-    def __init__(self, world: SimulationContext) -> None:
-        self._world = world
-        self._threshold_s = min(cls.message_ms / 1000 for cls in world.classes) / OBJECTIVE_FRACTION
+    def __init__(self, simulation: SimulationContext) -> None:
+        self._simulation = simulation
+        self._threshold_s = min(cls.message_ms / 1000 for cls in simulation.classes) / OBJECTIVE_FRACTION
 
     def start(self) -> None:
         """Report from now on."""
-        self._world.after(REPORT_EVERY_US, self._report_all)
+        self._simulation.after(REPORT_EVERY_US, self._report_all)
 
     def _report_all(self) -> None:
-        for node in self._world.nodes:
+        for node in self._simulation.nodes:
             self._report(node)
-        self._world.after(REPORT_EVERY_US, self._report_all)
+        self._simulation.after(REPORT_EVERY_US, self._report_all)
 
     def _report(self, node: Node) -> None:
-        world = self._world
+        simulation = self._simulation
         reported: set[str] = set()
         for client in list(node.clients.values()):
             server = client.server
-            if not client.up or server is None:
+            if not client.established or server is None:
                 continue
-            since = world.faults.silent_since(node, server)
-            if since is not None and world.now - since >= STALLED_US:
-                world.attempts.broken(client)
-            elif server.uid not in reported:
-                reported.add(server.uid)
-                latency = server.delay_s(world.now) if since is None else (world.now - since) / SECOND
-                self._report_latency(node, client, server.uid, latency)
+            since = simulation.faults.unreachable_since(node, server)
+            if since is not None and simulation.now - since >= STALLED_US:
+                simulation.attempts.break_off(client)
+            elif server.id not in reported:
+                reported.add(server.id)
+                latency = (
+                    server.mean_latency_s(simulation.now)
+                    if since is None
+                    else (simulation.now - since) / SECOND
+                )
+                self._report_latency(node, client, server.id, latency)
 
     def _report_latency(self, node: Node, client: Client, server: str, latency_s: float) -> None:
         if latency_s > self._threshold_s:
             report = SessionReport(
-                client.request, client.attempt, server, SessionReportKind.DELAY, latency_s * 1000
+                client.request_id, client.attempt_number, server, SessionReportKind.DELAY, latency_s * 1000
             )
-            self._world.feed(node, report)
+            self._simulation.handle_event(node, report)
--- a/stepflow/fleet/measurements.py
+++ b/stepflow/fleet/measurements.py
@@ -11,32 +11,32 @@
 
 
 @dataclass
-class Tally:
+class Measurements:
     """What a run counts, from the end of its warm-up on."""
 
     wanted: Any  # by second and class: worth of the connection-seconds asked for
     served: Any
     requests: int = 0
     attempts: int = 0
-    refused: int = 0
+    rejected: int = 0
     failed: int = 0
     late_fails: int = 0
-    moves: int = 0
-    probes: int = 0
-    lines: int = 0  # of the list
-    fallen: int = 0
-    broken: int = 0
-    asked_work: float = 0.0
+    migrations: int = 0
+    health_checks: int = 0
+    list_entries: int = 0  # of the list
+    crashed_servers: int = 0
+    broken_sessions: int = 0
+    requested_work: float = 0.0
     wasted_work: float = 0.0
     imbalance: list[float] = field(default_factory=list)  # each second: deviation of load over capacity
     kind_load: dict[str, list[float]] = field(default_factory=dict)  # each second: load over capacity
     server_load: dict[str, list[float]] = field(default_factory=dict)  # by kind: each server's mean
     peak_load: float = 0.0  # the most that the fleet was asked for, over its capacity
-    sick: int = 0  # attempts at servers that are sick while others are not
-    sick_by_chance: float = 0.0  # and as many as random choice would make
+    attempts_at_degraded: int = 0  # attempts at servers that are sick while others are not
+    attempts_at_degraded_by_chance: float = 0.0  # and as many as random choice would make
 
     @classmethod
-    def of(cls, scenario: Scenario) -> Tally:
+    def of(cls, scenario: Scenario) -> Measurements:
         """Measurements of a run of a scenario, all zero."""
         shape = (int(scenario.day.warm + scenario.day.seconds) + 1, len(scenario.classes))
         return cls(np.zeros(shape), np.zeros(shape))
@@ -67,10 +67,10 @@
         return self.service - self.waste - self.late_fail - self.moves - self.lines - self.probes
 
 
-def score(scenario: Scenario, tally: Tally) -> Score:
+def score(scenario: Scenario, measurements: Measurements) -> Score:
     """Service: 60% the whole, 5% the worst 10 s, 35% the worst class; then what each deduction takes."""
     first = int(scenario.day.warm)
-    wanted, served = tally.wanted[first:], tally.served[first:]
+    wanted, served = measurements.wanted[first:], measurements.served[first:]
     whole = _share(served.sum(), wanted.sum())
     window = min(
         (_share(served[i : i + 10].sum(), wanted[i : i + 10].sum()) for i in range(max(1, len(wanted) - 10))),
@@ -78,35 +78,39 @@
     )
     present = [cls for cls in range(wanted.shape[1]) if wanted[:, cls].sum() > 0]
     worst = min((_share(served[:, cls].sum(), wanted[:, cls].sum()) for cls in present), default=1.0)
-    requests = max(1, tally.requests)
+    requests = max(1, measurements.requests)
     return Score(
         service=0.6 * whole + 0.05 * window + 0.35 * worst,
         whole=whole,
         worst_window=window,
         worst_class=worst,
-        waste=0.05 * min(1.0, tally.wasted_work / tally.asked_work) if tally.asked_work else 0.0,
-        late_fail=0.042 * min(1.0, tally.late_fails / requests),
-        moves=0.02 * tally.moves / requests,
-        lines=0.005 * tally.lines / 100 / requests,
-        probes=0.004 * tally.probes / requests,
-        fallen=tally.fallen,
-        imbalance=float(np.mean(tally.imbalance)) if tally.imbalance else 0.0,
-        peak_load=tally.peak_load,
-        refused=tally.refused / requests,
-        sick=tally.sick / tally.sick_by_chance if tally.sick_by_chance else 0.0,
+        waste=0.05 * min(1.0, measurements.wasted_work / measurements.requested_work)
+        if measurements.requested_work
+        else 0.0,
+        late_fail=0.042 * min(1.0, measurements.late_fails / requests),
+        moves=0.02 * measurements.migrations / requests,
+        lines=0.005 * measurements.list_entries / 100 / requests,
+        probes=0.004 * measurements.health_checks / requests,
+        fallen=measurements.crashed_servers,
+        imbalance=float(np.mean(measurements.imbalance)) if measurements.imbalance else 0.0,
+        peak_load=measurements.peak_load,
+        refused=measurements.rejected / requests,
+        sick=measurements.attempts_at_degraded / measurements.attempts_at_degraded_by_chance
+        if measurements.attempts_at_degraded_by_chance
+        else 0.0,
     )
 
 
-def series(scenario: Scenario, tally: Tally) -> dict[str, list[float]]:
+def series(scenario: Scenario, measurements: Measurements) -> dict[str, list[float]]:
     """What a run was over time, a value for each second that counts; and each server's mean load, by kind."""
     first = int(scenario.day.warm)
-    wanted, served = (np.sum(part[first:], axis=1) for part in (tally.wanted, tally.served))
+    wanted, served = (np.sum(part[first:], axis=1) for part in (measurements.wanted, measurements.served))
     shares = [_share(one, whole) for one, whole in zip(served, wanted, strict=True) if whole > 0]
     return {
         "service": shares,
-        "imbalance": tally.imbalance,
-        **{f"load of {kind}": loads for kind, loads in tally.kind_load.items()},
-        **{f"servers of {kind}": loads for kind, loads in tally.server_load.items()},
+        "imbalance": measurements.imbalance,
+        **{f"load of {kind}": loads for kind, loads in measurements.kind_load.items()},
+        **{f"servers of {kind}": loads for kind, loads in measurements.server_load.items()},
     }
 
 
--- a/stepflow/fleet/observers.py
+++ b/stepflow/fleet/observers.py
@@ -12,7 +12,7 @@
 class Observer(Protocol):
     """Is told of all that the nodes' policies are told and decide."""
 
-    def node_started(self, node: int, life: int, settings: Settings) -> None:
+    def node_started(self, node: int, incarnation: int, settings: Settings) -> None:
         """A node's process starts; `life` counts its processes."""
 
     def event_handled(self, now: int, node: int, event: Event, actions: list[Action]) -> None:
--- a/stepflow/fleet/policy_specs.py
+++ b/stepflow/fleet/policy_specs.py
@@ -9,28 +9,28 @@
 
 from stepflow import policy as present
 from stepflow.errors import InputError
-from stepflow.fleet.baselines import Maker, RandomChoice
+from stepflow.fleet.baselines import PolicyFactory, RandomChoice
 from stepflow.fleet.private_package import PrivatePackage
 from stepflow.fleet.revisions import RevisionError, load_revision
 from stepflow.interface import Settings
 
 POLICY = "stepflow.policy"
 
-Sources = Mapping[str, str]  # the text of each of the policy's modules, by the module's name
+PolicyTexts = Mapping[str, str]  # the text of each of the policy's modules, by the module's name
 
 
-class SpecError(InputError):
+class PolicySpecError(InputError):
     """What is wrong with the name of a policy."""
 
 
-def sources() -> dict[str, str]:
+def policy_texts() -> dict[str, str]:
     """The texts of this checkout's policy."""
     folder = Path(str(present.__file__)).parent
     return {path.stem: path.read_text() for path in sorted(folder.glob("*.py"))}
 
 
 @lru_cache(maxsize=32)
-def maker(spec: str) -> Maker:
+def policy_factory(spec: str) -> PolicyFactory:
     """The policy that a text names: parts with commas between them.
 
     `present` is the policy of this checkout, `random` the baseline, `rev:REVISION` the policy as git holds
@@ -41,34 +41,34 @@
         base, changes = "present", [base, *changes]
     if base == "random":
         if changes:
-            raise SpecError(f"{spec}: random choice has no figures")
+            raise PolicySpecError(f"{spec}: random choice has no figures")
         return RandomChoice
     if base == "present" and not changes:
         return present.Policy
     if base == "present":
-        return of_source(sources(), spec, changes)
+        return factory_from_texts(policy_texts(), spec, changes)
     if base.startswith("rev:") and len(base) > len("rev:"):
         return _of_revision(base.removeprefix("rev:"), spec, changes)
-    raise SpecError(f"{spec}: {base!r} is none of present, random, rev:REVISION or NAME=FIGURE")
+    raise PolicySpecError(f"{spec}: {base!r} is none of present, random, rev:REVISION or NAME=FIGURE")
 
 
-def _of_revision(revision: str, spec: str, changes: Sequence[str]) -> Maker:
+def _of_revision(revision: str, spec: str, changes: Sequence[str]) -> PolicyFactory:
     try:
         package, make = load_revision(revision)
     except RevisionError as error:
-        raise SpecError(str(error)) from None
+        raise PolicySpecError(str(error)) from None
     _change_constants(package, spec, changes)
     return make
 
 
-def of_source(source: Sources, spec: str, changes: Sequence[str] = ()) -> Maker:
+def factory_from_texts(texts: PolicyTexts, spec: str, changes: Sequence[str] = ()) -> PolicyFactory:
     """The policy of some texts, as modules of their own, so that their constants are nobody else's."""
-    texts = {f"{POLICY.replace('.', '/')}/{module}.py": text for module, text in source.items()}
+    texts = {f"{POLICY.replace('.', '/')}/{module}.py": text for module, text in texts.items()}
     package = PrivatePackage(texts, (POLICY,), spec)
     try:
         made: Any = package.load("policy").__dict__["Policy"]
     except Exception as error:
-        raise SpecError(f"{spec}: the module can't be loaded: {error}") from None
+        raise PolicySpecError(f"{spec}: the module can't be loaded: {error}") from None
     _change_constants(package, spec, changes)
 
     def make(settings: Settings, seed: int) -> Any:
@@ -84,10 +84,10 @@
         holders = [module for module in package.loaded("policy") if name.isupper() and hasattr(module, name)]
         before = getattr(holders[0], name) if holders else None
         if not isinstance(before, int | float):
-            raise SpecError(f"{spec}: the module has no figure {name!r}")
+            raise PolicySpecError(f"{spec}: the module has no figure {name!r}")
         try:
             value = float(text)
         except ValueError:
-            raise SpecError(f"{spec}: {name}: {text!r} is not a number") from None
+            raise PolicySpecError(f"{spec}: {name}: {text!r} is not a number") from None
         for module in holders:
             setattr(module, name, int(value) if isinstance(before, int) else value)
--- a/stepflow/fleet/population.py
+++ b/stepflow/fleet/population.py
@@ -32,7 +32,7 @@
         0.0,
         cold_from,
         cold_s,
-        cap=int(SESSIONS_PER_CORE * told.cores),
+        max_sessions=int(SESSIONS_PER_CORE * told.cores),
         group_load=day.group_load,
         message_s=day.message_share * aim / speed,
         zone=zone,
@@ -60,7 +60,7 @@
     Most of a group's are at its preferred servers, as a policy that keeps groups together leaves them. The
     sum of their loads also settles how much load fills a core (`Server.per_core`).
     """
-    day, count = scenario.day, traffic.stood
+    day, count = scenario.day, traffic.established
     sizes = np.array([server.cores * server.speed for server in servers])
     chances = sizes / sizes.sum()
     rng = stream(seed, "stands")
@@ -71,5 +71,5 @@
     groups_held = len(np.unique(np.stack([places, traffic.group[:count]]), axis=1).T)
     load = float(traffic.loads[:count, 0].sum()) + day.group_load * groups_held
     for server in servers:
-        server.per_core = max(LEAST_LOAD_PER_CORE, load / (day.utilization * float(sizes.sum())))
+        server.load_per_core = max(LEAST_LOAD_PER_CORE, load / (day.utilization * float(sizes.sum())))
     return [int(place) for place in places]
--- a/stepflow/fleet/replay.py
+++ b/stepflow/fleet/replay.py
@@ -11,12 +11,12 @@
 from scipy import stats
 
 from stepflow.fleet.compare import CompareError, Interval
-from stepflow.fleet.measurements import Score, Tally, score
-from stepflow.fleet.policy_specs import maker
+from stepflow.fleet.measurements import Measurements, Score, score
+from stepflow.fleet.policy_specs import policy_factory
 from stepflow.fleet.scenario import Scenario
-from stepflow.fleet.simulation import World
+from stepflow.fleet.simulation import Simulation
 
-Play = Callable[[Scenario, int], tuple[Tally, float]]
+Play = Callable[[Scenario, int], tuple[Measurements, float]]
 LINE_S = 0.5  # seconds between two lines of a stand-in client
 LATE = 0.05  # seconds that the rig's own loop may be late before a run says nothing
 
@@ -51,15 +51,15 @@
         return self.predicted.low <= self.measured <= self.predicted.high
 
 
-def _modelled(scenario: Scenario, seed: int, luck: str) -> Score:
-    return score(scenario, World(scenario, seed, maker("present"), luck).run())
+def _modelled(scenario: Scenario, seed: int, policy_stream: str) -> Score:
+    return score(scenario, Simulation(scenario, seed, policy_factory("present"), policy_stream).run())
 
 
 def predict(scenario: Scenario, seed: int, runs: int, figure: str, level: float) -> Interval:
-    """The model's word on one run of this very day: its draws are the run's, the modules' luck is not."""
-    lucks = [f"prediction {number}" for number in range(runs)]
+    """Predict a figure of one run on sockets, by simulations on its seed with other policy streams."""
+    policy_streams = [f"prediction {number}" for number in range(runs)]
     with ProcessPoolExecutor() as pool:
-        found = list(pool.map(_modelled, [scenario] * runs, [seed] * runs, lucks))
+        found = list(pool.map(_modelled, [scenario] * runs, [seed] * runs, policy_streams))
     day = scenario.day
     lines = max(1.0, day.rate * day.life * day.seconds / LINE_S)
     return prediction([float(getattr(one, figure)) for one in found], level, lines)
@@ -72,14 +72,14 @@
     runs: int,
     figure: str = "service",
     level: float = 0.95,
-    told: Callable[[Check], None] = lambda one: None,
+    on_checked: Callable[[Check], None] = lambda one: None,
 ) -> list[Check]:
     """Predict each day first, then play it on sockets, one after the other."""
     found = []
     for seed in seeds:
         expected = predict(scenario, seed, runs, figure, level)
-        tally, late = play(scenario, seed)
-        measured = float(getattr(score(scenario, tally), figure))
+        measurements, late = play(scenario, seed)
+        measured = float(getattr(score(scenario, measurements), figure))
         found.append(Check(seed, expected, measured, late))
-        told(found[-1])
+        on_checked(found[-1])
     return found
--- a/stepflow/fleet/report.py
+++ b/stepflow/fleet/report.py
@@ -139,7 +139,7 @@
     for place, name in enumerate(reversed(PARTS)):
         one = kept.difference(name)
         low, mean, high = (100 * value for value in (one.low, one.mean, one.high))
-        colour = "#999" if one.holds_nothing else COLOURS["B"] if name == "net" else "#333"
+        colour = "#999" if one.includes_zero else COLOURS["B"] if name == "net" else "#333"
         axes.plot([low, high], [place, place], color=colour, linewidth=2)
         axes.plot([mean], [place], "o", color=colour, markersize=4)
     axes.set_yticks(range(len(PARTS)), [name.replace("_", " ") for name in reversed(PARTS)])
@@ -219,7 +219,7 @@
 
 def _verdict(kept: Kept) -> str:
     one = kept.difference("net")
-    if one.holds_nothing:
+    if one.includes_zero:
         span = f"{100 * one.low:+.2f} and {100 * one.high:+.2f}"
         return f"No difference seen; it lies between {span} points of 100."
     better = "B" if one.mean > 0 else "A"
@@ -231,7 +231,7 @@
     found = []
     for name, side in zip("AB", kept.manifest.sides, strict=True):
         told = scenarios.read(side.scenario, side.file)
-        for text in told.beyond(max(kept.figures[name]["peak_load"])):
+        for text in told.extrapolations(max(kept.figures[name]["peak_load"])):
             found.append(f"{name} extrapolates: {text}.")
     if len(kept.manifest.seeds) < kept.manifest.wanted:
         found.append(f"Ended early: {len(kept.manifest.seeds)} of {kept.manifest.wanted} days were played.")
@@ -245,7 +245,7 @@
         means = [float(np.mean(kept.figures[side][name])) for side in "AB"]
         low, mean, high = (round(value, 4) + 0.0 for value in (less.low, less.mean, less.high))  # no -0.0
         span = f"{low:+.4f} to {high:+.4f}"
-        shown, nothing = name.replace("_", " "), less.holds_nothing
+        shown, nothing = name.replace("_", " "), less.includes_zero
         rows.append((shown, f"{means[0]:.4f}", f"{means[1]:.4f}", f"{mean:+.4f}", span, nothing))
     return rows
 
--- a/stepflow/fleet/rule_checker.py
+++ b/stepflow/fleet/rule_checker.py
@@ -41,15 +41,15 @@
     name: str
     bound: float
     worst: float = 0.0
-    broken: int = 0
-    first: str = ""  # where it was broken first
+    violations: int = 0
+    first_violation: str = ""  # where it was broken first
 
-    def saw(self, value: float, where: str) -> None:
+    def record(self, value: float, where: str) -> None:
         """A figure of this rule."""
         self.worst = max(self.worst, value)
         if value > self.bound:
-            self.broken += 1
-            self.first = self.first or where
+            self.violations += 1
+            self.first_violation = self.first_violation or where
 
     @property
     def margin(self) -> float:
@@ -58,52 +58,52 @@
 
 
 @dataclass(slots=True)
-class _Request:
+class _RequestHistory:
     """What is known of one request of a node."""
 
     expires_us: int
     limit: int
     attempts: int = 0
-    out: bool = False
-    up: bool = False
-    over: bool = False  # it has its answer, or its client left
+    in_flight: bool = False
+    established: bool = False
+    answered: bool = False  # it has its answer, or its client left
 
 
 @dataclass
-class _Seen:
+class _NodeHistory:
     """One node's life."""
 
     settings: Settings
-    requests: dict[int, _Request] = field(default_factory=dict)
+    requests: dict[int, _RequestHistory] = field(default_factory=dict)
     listed: dict[EndpointId, int | None] = field(default_factory=dict)  # since when it must get nothing
 
 
-class Referee:
+class RuleChecker:
     """The rules of one day."""
 
     def __init__(self) -> None:
-        self._nodes: dict[int, _Seen] = {}
+        self._nodes: dict[int, _NodeHistory] = {}
         self.late = Rule("answer or attempt after the deadline, s", 0.07)
-        self.lost = Rule("requests without an answer", 0)
-        self.twice = Rule("answers too many", 0)
+        self.unanswered = Rule("requests without an answer", 0)
+        self.extra_answers = Rule("answers too many", 0)
         self.attempts = Rule("attempts of one request over its limit", 0)
         self.overlap = Rule("attempts while one was out", 0)
-        self.drained = Rule("sent after a drain was told, s", 0.5 + SLACK_US / SECOND)
+        self.sent_to_draining = Rule("sent after a drain was told, s", 0.5 + SLACK_US / SECOND)
         self.unlisted = Rule("sent to a server that no list named", 0)
-        self.cold = Rule("work sent to a cold server, of what makes it fall", 1)
-        self.moves = Rule("moves of what does not stand", 0)
+        self.slow_start = Rule("work sent to a cold server, of what makes it fall", 1)
+        self.migrations = Rule("moves of what does not stand", 0)
         self.rules = [
             self.late,
-            self.lost,
-            self.twice,
+            self.unanswered,
+            self.extra_answers,
             self.attempts,
             self.overlap,
-            self.drained,
+            self.sent_to_draining,
             self.unlisted,
-            self.cold,
-            self.moves,
+            self.slow_start,
+            self.migrations,
         ]
-        self._heard: dict[type, Callable[[int, _Seen, Any], None]] = {
+        self._event_checks: dict[type, Callable[[int, _NodeHistory, Any], None]] = {
             EndpointListUpdate: self._listed,
             Request: self._requested,
             SessionAdopted: self._adopted,
@@ -114,47 +114,47 @@
 
     @property
     def kept(self) -> bool:
-        return not any(rule.broken for rule in self.rules)
+        return not any(rule.violations for rule in self.rules)
 
-    def node_started(self, node: int, life: int, settings: Settings) -> None:
+    def node_started(self, node: int, incarnation: int, settings: Settings) -> None:
         """A node's process starts, and knows nothing of the one before."""
-        self._nodes[node] = _Seen(settings)
+        self._nodes[node] = _NodeHistory(settings)
 
     def event_handled(self, now: int, node: int, event: Event, actions: Iterable[Action]) -> None:
         """What a node's module heard, and what it wants done."""
-        call = self._heard.get(type(event))
+        call = self._event_checks.get(type(event))
         if call is not None:
             call(now, self._nodes[node], event)
         for action in actions:
-            self._does(now, node, action)
+            self._check_action(now, node, action)
 
-    def _does(self, now: int, node: int, action: Action) -> None:
+    def _check_action(self, now: int, node: int, action: Action) -> None:
         seen = self._nodes[node]
         where = f"{now / SECOND:.3f} s, node {node}: {action}"
         if isinstance(action, StartAttempt):
             self._sent(now, seen, action, where)
         elif isinstance(action, RejectRequest | FailRequest):
             request = seen.requests.get(action.request_id)
-            self.twice.saw(request is None or request.over, where)
+            self.extra_answers.record(request is None or request.answered, where)
             if request is not None:
                 self._answered(now, request, where)
         elif isinstance(action, MigrateSession):
             request = seen.requests.get(action.request_id)
-            self.moves.saw(request is None or not request.up, where)
+            self.migrations.record(request is None or not request.established, where)
 
     def run_ended(self, now: int, servers: Iterable[Server]) -> None:
         """The day is over: what should have had its answer, and what cold servers bore."""
         for number, seen in self._nodes.items():
             for id, request in seen.requests.items():
                 overdue = request.expires_us + self.late.bound * SECOND < now
-                self.lost.saw(not request.over and overdue, f"node {number}: request {id}")
+                self.unanswered.record(not request.answered and overdue, f"node {number}: request {id}")
         for server in servers:
-            self.cold.saw(server.sent_most, server.uid)
+            self.slow_start.record(server.worst_overload, server.id)
 
     # What modules hear.
 
     @staticmethod
-    def _listed(now: int, seen: _Seen, event: EndpointListUpdate) -> None:
+    def _listed(now: int, seen: _NodeHistory, event: EndpointListUpdate) -> None:
         if event.kind == ListUpdateKind.FAILED:
             return
         if event.kind != ListUpdateKind.DELTA:
@@ -169,48 +169,50 @@
                 seen.listed[entry.id] = now
 
     @staticmethod
-    def _requested(now: int, seen: _Seen, event: Request) -> None:
-        seen.requests[event.id] = _Request(event.expires_us, seen.settings.limits.max_attempts)
+    def _requested(now: int, seen: _NodeHistory, event: Request) -> None:
+        seen.requests[event.id] = _RequestHistory(event.expires_us, seen.settings.limits.max_attempts)
 
     @staticmethod
-    def _adopted(now: int, seen: _Seen, event: SessionAdopted) -> None:
-        seen.requests[event.request.id] = _Request(now, 1, 1, out=True, up=True, over=True)
+    def _adopted(now: int, seen: _NodeHistory, event: SessionAdopted) -> None:
+        seen.requests[event.request.id] = _RequestHistory(
+            now, 1, 1, in_flight=True, established=True, answered=True
+        )
 
-    def _established(self, now: int, seen: _Seen, event: SessionEstablished) -> None:
+    def _established(self, now: int, seen: _NodeHistory, event: SessionEstablished) -> None:
         request = seen.requests[event.request_id]
-        request.up = True
+        request.established = True
         self._answered(now, request, f"{now / SECOND:.3f} s: {event}")
 
     @staticmethod
-    def _ended(now: int, seen: _Seen, event: AttemptEnded) -> None:
+    def _ended(now: int, seen: _NodeHistory, event: AttemptEnded) -> None:
         request = seen.requests[event.request_id]
-        request.out = request.up = False
+        request.in_flight = request.established = False
         if event.is_final:
             del seen.requests[event.request_id]
 
     @staticmethod
-    def _left(now: int, seen: _Seen, event: ClientDisconnected) -> None:
+    def _left(now: int, seen: _NodeHistory, event: ClientDisconnected) -> None:
         request = seen.requests.get(event.request_id)
         if request is not None:
-            request.over = True
+            request.answered = True
 
     # What they say.
 
-    def _sent(self, now: int, seen: _Seen, action: StartAttempt, where: str) -> None:
+    def _sent(self, now: int, seen: _NodeHistory, action: StartAttempt, where: str) -> None:
         request = seen.requests.get(action.request_id)
-        if request is None or request.over:
-            self.twice.saw(1, where)
+        if request is None or request.answered:
+            self.extra_answers.record(1, where)
             return
-        self.late.saw((now - request.expires_us) / SECOND, where)
-        self.overlap.saw(request.out, where)
-        request.attempts, request.out = request.attempts + 1, True
-        self.attempts.saw(max(0, request.attempts - request.limit), where)
+        self.late.record((now - request.expires_us) / SECOND, where)
+        self.overlap.record(request.in_flight, where)
+        request.attempts, request.in_flight = request.attempts + 1, True
+        self.attempts.record(max(0, request.attempts - request.limit), where)
         since = seen.listed.get(action.endpoint, -1)
-        self.unlisted.saw(since == -1, where)
+        self.unlisted.record(since == -1, where)
         if since is not None and since >= 0:
-            self.drained.saw((now - since) / SECOND, where)
+            self.sent_to_draining.record((now - since) / SECOND, where)
 
-    def _answered(self, now: int, request: _Request, where: str) -> None:
-        self.twice.saw(request.over, where)
-        request.over = True
-        self.late.saw((now - request.expires_us) / SECOND, where)
+    def _answered(self, now: int, request: _RequestHistory, where: str) -> None:
+        self.extra_answers.record(request.answered, where)
+        request.answered = True
+        self.late.record((now - request.expires_us) / SECOND, where)
--- a/stepflow/fleet/scenario.py
+++ b/stepflow/fleet/scenario.py
@@ -148,7 +148,7 @@
     fitted: Fitted = field(default_factory=Fitted)
     seen: Seen = field(default_factory=Seen)
 
-    def drawn(self, seed: int) -> Scenario:
+    def sampled(self, seed: int) -> Scenario:
         """This scenario as one day has it: what is known within an interval only is drawn from it.
 
         So an interval over many days holds what the fit leaves open, and not the days' chance alone.
@@ -163,7 +163,7 @@
                 found[one.name] = max(low / 2, value)
         return replace(self, day=replace(self.day, **found), fitted=Fitted()) if found else self
 
-    def beyond(self, peak_load: float) -> list[str]:
+    def extrapolations(self, peak_load: float) -> list[str]:
         """What a comparison asks that the trace behind it never showed."""
         bursts = [fault.times for fault in self.faults if fault.what == "burst"]
         asked = {
--- a/stepflow/fleet/servers.py
+++ b/stepflow/fleet/servers.py
@@ -32,125 +32,125 @@
 class Server:
     """One map server. Loads are in mean connection loads, work in seconds of the yardstick's core."""
 
-    uid: str
+    id: str
     kind: int
     cores: int
     speed: float
-    per_core: float  # mean connection loads that fill a core of the yardstick
-    cold_from: float
-    cold_s: float
-    cap: int  # connections
+    load_per_core: float  # mean connection loads that fill a core of the yardstick
+    slow_start_share: float
+    slow_start_s: float
+    max_sessions: int  # connections
     group_load: float
     message_s: float  # an echo's work on this server's core
     started_us: int = 0
-    state: int = 0  # as the list will tell
+    availability: int = 0  # as the list will tell
     zone: int = 0
     hung: bool = False
     hung_us: int = 0  # since when
-    fallen: bool = False
+    crashed: bool = False
     errors: float = 0.0  # share of new connections that it answers with an error at once
-    slowed: float = 1.0  # share of its speed that it has left
+    speed_share: float = 1.0  # share of its speed that it has left
     load: float = 0.0
-    pile: float = 0.0
-    at_us: int = 0
+    backlog: float = 0.0
+    advanced_us: int = 0
     connections: int = 0
     groups: dict[int, int] = field(default_factory=dict)
-    sent: deque[tuple[int, float]] = field(default_factory=deque)  # loads sent while it was cold
-    sent_most: float = 0.0  # the most that came while it was cold, over what makes it fall
-    setups: float = 0.0  # work in all
-    probes: int = 0
-    loads_seen: float = 0.0  # sum of its loads, looked at once a second
-    looks: int = 0
+    recent_loads: deque[tuple[int, float]] = field(default_factory=deque)  # loads sent while it was cold
+    worst_overload: float = 0.0  # the most that came while it was cold, over what makes it fall
+    setup_work: float = 0.0  # work in all
+    health_checks: int = 0
+    utilization_sum: float = 0.0  # sum of its loads, looked at once a second
+    samples: int = 0
     report: tuple[float, ...] = ()  # as it was last refreshed
     report_us: int = -SECOND
 
     @property
-    def runs(self) -> bool:
+    def is_running(self) -> bool:
         """Whether its process is there."""
-        return not self.fallen and self.state != 2
+        return not self.crashed and self.availability != 2
 
-    def warmth(self, now: int) -> float:
+    def capacity_share(self, now: int) -> float:
         """Share of its capacity at this moment."""
         age = (now - self.started_us) / SECOND
-        if self.started_us <= 0 or age >= self.cold_s:
+        if self.started_us <= 0 or age >= self.slow_start_s:
             return 1.0
-        return self.cold_from + (1 - self.cold_from) * max(0.0, age) / self.cold_s
+        return self.slow_start_share + (1 - self.slow_start_share) * max(0.0, age) / self.slow_start_s
 
     def capacity(self, now: int) -> float:
         """Core-seconds of the yardstick a second."""
-        return self.cores * self.speed * self.slowed * self.warmth(now)
+        return self.cores * self.speed * self.speed_share * self.capacity_share(now)
 
     @property
-    def sick(self) -> bool:
+    def is_degraded(self) -> bool:
         """Whether it runs, and serves less than its list entry promises."""
-        return self.runs and (self.hung or self.errors > 0 or self.slowed < 1)
+        return self.is_running and (self.hung or self.errors > 0 or self.speed_share < 1)
 
-    def asked(self) -> float:
+    def demand(self) -> float:
         """Core-seconds of the yardstick that its connections ask for a second, their groups' among them."""
-        return (self.load + self.group_load * len(self.groups)) / self.per_core
+        return (self.load + self.group_load * len(self.groups)) / self.load_per_core
 
     def advance(self, now: int) -> None:
         """Work until now."""
-        if now > self.at_us:
-            spare = self.capacity(now) - self.asked()
-            self.pile = max(0.0, self.pile - spare * (now - self.at_us) / SECOND)
-            self.at_us = now
+        if now > self.advanced_us:
+            spare = self.capacity(now) - self.demand()
+            self.backlog = max(0.0, self.backlog - spare * (now - self.advanced_us) / SECOND)
+            self.advanced_us = now
 
-    def add(self, now: int, work: float) -> None:
+    def add_work(self, now: int, work: float) -> None:
         """Work that comes at once."""
         self.advance(now)
-        self.pile += work
+        self.backlog += work
 
     def wait_s(self, now: int) -> float:
         """How long what comes now waits behind what is piled up."""
         self.advance(now)
-        return self.pile / self.capacity(now)
+        return self.backlog / self.capacity(now)
 
-    def rho(self, now: int) -> float:
+    def utilization(self, now: int) -> float:
         """Load asked over capacity."""
-        return self.asked() / self.capacity(now)
+        return self.demand() / self.capacity(now)
 
-    def on_time(self, now: int, aim_s: float) -> float:
+    def share_in_time(self, now: int, aim_s: float) -> float:
         """Share of the echoes that come within an aim."""
-        if self.hung or not self.runs:
+        if self.hung or not self.is_running:
             return 0.0
-        behind, rho = self.wait_s(now), self.rho(now)
+        behind, rho = self.wait_s(now), self.utilization(now)
         left = aim_s - self.message_s - behind
         if left <= 0 or rho >= 1:
             return 0.0
         rate = self.cores * (1 - rho) / self.message_s
         return 1 - erlang_c(self.cores, rho) * math.exp(-rate * left)
 
-    def delay_s(self, now: int) -> float:
+    def mean_latency_s(self, now: int) -> float:
         """The mean time of an echo; while more is asked than it can do, the pile alone tells."""
-        rho = min(self.rho(now), 0.99)
+        rho = min(self.utilization(now), 0.99)
         wait = erlang_c(self.cores, rho) * self.message_s / (self.cores * (1 - rho))
         return self.message_s + wait + self.wait_s(now)
 
-    def overrun(self, now: int, load: float, times: float, window_us: int) -> bool:
+    def is_overloaded_by(self, now: int, load: float, times: float, window_us: int) -> bool:
         """Whether the load of a connection that is sent now pushes it over while it is cold.
 
         It can take new connections no faster than fills it over its warm-up, and of that rate as much as
         it is warm; so many times of it, over the window, make it fall.
         """
-        if self.warmth(now) >= 1:
-            self.sent.clear()
+        if self.capacity_share(now) >= 1:
+            self.recent_loads.clear()
             return False
-        self.sent.append((now, load))
-        while self.sent[0][0] < now - window_us:
-            self.sent.popleft()
-        room = times * self.capacity(now) * self.per_core / self.cold_s * window_us / SECOND
-        share = sum(part for _, part in self.sent) / room
-        self.sent_most = max(self.sent_most, share)
+        self.recent_loads.append((now, load))
+        while self.recent_loads[0][0] < now - window_us:
+            self.recent_loads.popleft()
+        room = times * self.capacity(now) * self.load_per_core / self.slow_start_s * window_us / SECOND
+        share = sum(part for _, part in self.recent_loads) / room
+        self.worst_overload = max(self.worst_overload, share)
         return share > 1
 
-    def hold(self, group: int, load: float) -> None:
+    def add_session(self, group: int, load: float) -> None:
         """A connection stands here."""
         self.connections += 1
         self.load += load
         self.groups[group] = self.groups.get(group, 0) + 1
 
-    def release(self, group: int, load: float) -> None:
+    def remove_session(self, group: int, load: float) -> None:
         """It does no longer."""
         self.connections -= 1
         self.load = max(0.0, self.load - load) if self.connections else 0.0
--- a/stepflow/fleet/synth.py
+++ b/stepflow/fleet/synth.py
@@ -6,10 +6,10 @@
 from pathlib import Path
 
 from stepflow.errors import InputError
-from stepflow.fleet.baselines import Maker
+from stepflow.fleet.baselines import PolicyFactory
 from stepflow.fleet.scenario import Scenario
 from stepflow.fleet.servers import Server
-from stepflow.fleet.simulation import World
+from stepflow.fleet.simulation import Simulation
 from stepflow.interface import Action, Event, Request, Settings
 from stepflow.traffic import Recorder
 
@@ -18,7 +18,7 @@
 SEGMENT = 16 << 20
 
 
-class _File:
+class _JournalFile:
     """Where one node's recorder writes to."""
 
     def __init__(self, folder: Path, life: int) -> None:
@@ -35,12 +35,12 @@
         return True
 
 
-class Scribe:
+class JournalWriter:
     """Records each node of a day; one that is killed leaves its journal without an end, as it would."""
 
     def __init__(self, folder: Path) -> None:
         self._folder = folder
-        self._files: list[_File] = []
+        self._files: list[_JournalFile] = []
         self._recorders: dict[int, Recorder] = {}
         self._now_us = BEGAN_US
 
@@ -49,14 +49,16 @@
         """All journals, each node's in order."""
         return [path for file in self._files for path in file.paths]
 
-    def node_started(self, node: int, life: int, settings: Settings) -> None:
+    def node_started(self, node: int, incarnation: int, settings: Settings) -> None:
         """A node's process starts: it records into a file of its own."""
         folder = self._folder / f"n{node}"
         folder.mkdir(parents=True, exist_ok=True)
         if before := self._recorders.get(node):
             before.flush(self._now_us)
-        self._files.append(_File(folder, life))
-        self._recorders[node] = Recorder(self._files[-1], KEY, f"n{node}", BEGAN_US + life, settings, SEGMENT)
+        self._files.append(_JournalFile(folder, incarnation))
+        self._recorders[node] = Recorder(
+            self._files[-1], KEY, f"n{node}", BEGAN_US + incarnation, settings, SEGMENT
+        )
 
     def event_handled(self, now: int, node: int, event: Event, actions: list[Action]) -> None:
         """One event of a node, which tells deadlines on its own clock, and what it decided."""
@@ -71,12 +73,12 @@
             recorder.end(BEGAN_US + now)
 
 
-def synth(scenario: Scenario, seed: int, folder: str | Path, maker: Maker) -> list[Path]:
+def synth(scenario: Scenario, seed: int, folder: str | Path, policy_factory: PolicyFactory) -> list[Path]:
     """Play a day and leave its journals in a new folder, one for each node; returns their paths."""
     target = Path(folder)
     if target.exists():
         raise InputError(f"{target}: is there already")
     target.mkdir(parents=True)
-    scribe = Scribe(target)
-    World(scenario, seed, maker, ears=(scribe,)).run()
-    return scribe.paths
+    writer = JournalWriter(target)
+    Simulation(scenario, seed, policy_factory, observers=(writer,)).run()
+    return writer.paths
--- a/stepflow/fleet/traffic.py
+++ b/stepflow/fleet/traffic.py
@@ -14,9 +14,9 @@
 from stepflow.fleet.scenario import Scenario
 from stepflow.fleet.streams import stream
 
-LOADS = 12  # of one connection, one after the other; the last one holds on
-SWING_S = 12.0  # mean time that a load holds
-CHANCES = 16  # uniform numbers that a client has for its waits
+LOADS_PER_SESSION = 12  # of one connection, one after the other; the last one holds on
+MEAN_LOAD_SPAN_S = 12.0  # mean time that a load holds
+DRAWS_PER_CLIENT = 16  # uniform numbers that a client has for its waits
 
 Floats = NDArray[np.float64]
 
@@ -25,19 +25,19 @@
 class Traffic:
     """Connections, those that stand at the start first. Arrays of n, but where another shape is told."""
 
-    stood: int
+    established: int
     at_us: NDArray[np.int64]  # 0 for those that stand
-    cls: NDArray[np.int64]
+    class_index: NDArray[np.int64]
     group: NDArray[np.int64]  # from 1
     zone: NDArray[np.int64]
     life_s: Floats  # what is left of it at `at_us`
     loads: Floats  # n, LOADS; in mean connection loads
-    swings_s: Floats  # n, LOADS: how long each holds
+    load_spans_s: Floats  # n, LOADS: how long each holds
     work: Floats  # of a set-up, over its class's mean
-    chances: Floats  # n, CHANCES
+    draws: Floats  # n, CHANCES
 
 
-def draw(scenario: Scenario, seed: int) -> Traffic:
+def draw_traffic(scenario: Scenario, seed: int) -> Traffic:
     """The traffic of a day."""
     day, classes = scenario.day, list(scenario.classes.values())
     shares = np.array([cls.share for cls in classes])
@@ -65,20 +65,20 @@
     # An exponential life has no memory: what is left of a standing one's is drawn like a fresh one's.
     life *= day.life / mean_life * stream(seed, "life").exponential(1.0, count)
     usual = load / mean_load * np.exp(sigma * stream(seed, "load").standard_normal(count) - sigma**2 / 2)
-    swings = stream(seed, "swing").standard_normal((count, LOADS))
+    swings = stream(seed, "swing").standard_normal((count, LOADS_PER_SESSION))
     loads = usual[:, None] * np.exp(swing[:, None] * swings - swing[:, None] ** 2 / 2)
     weights = 1.0 / np.arange(1, day.groups + 1) ** 0.7
     return Traffic(
-        stood=int(stood),
+        established=int(stood),
         at_us=np.concatenate([np.zeros(stood, np.int64), arrivals]),
-        cls=cls,
+        class_index=cls,
         zone=stream(seed, "zone").integers(0, max(1, day.zones), count),
         group=1 + stream(seed, "group").choice(day.groups, count, p=weights / weights.sum()),
         life_s=life,
         loads=loads,
-        swings_s=stream(seed, "swing time").exponential(SWING_S, (count, LOADS)),
+        load_spans_s=stream(seed, "swing time").exponential(MEAN_LOAD_SPAN_S, (count, LOADS_PER_SESSION)),
         work=stream(seed, "work").lognormal(-0.125, 0.5, count),
-        chances=stream(seed, "chances").random((count, CHANCES)),
+        draws=stream(seed, "chances").random((count, DRAWS_PER_CLIENT)),
     )
 
 
--- a/tests/fleet/test_fit.py
+++ b/tests/fleet/test_fit.py
@@ -9,11 +9,11 @@
 import pytest
 
 from stepflow.fleet import Trace, convert
-from stepflow.fleet.compare import Found, Run, Side
+from stepflow.fleet.compare import Comparison, Run, Side
 from stepflow.fleet.fit import FitError, fit, life, poisson, text
-from stepflow.fleet.policy_specs import maker
+from stepflow.fleet.policy_specs import policy_factory
 from stepflow.fleet.scenario import Day, Fault, Fitted, Scenario, Seen, read
-from stepflow.fleet.simulation import World
+from stepflow.fleet.simulation import Simulation
 from stepflow.fleet.synth import synth
 from tests.fleet.test_trace import Script
 from tests.test_daemon import command
@@ -55,7 +55,7 @@
 @pytest.fixture(scope="module")
 def trace(tmp_path_factory: pytest.TempPathFactory) -> Trace:
     folder = tmp_path_factory.mktemp("synth")
-    paths = synth(read(MADE, "made"), 3, folder / "journals", maker("present"))
+    paths = synth(read(MADE, "made"), 3, folder / "journals", policy_factory("present"))
     convert(paths, folder / "trace")
     return Trace(folder / "trace")
 
@@ -85,27 +85,27 @@
     told = read(text(fit(trace), "here"), "fitted")
     assert told.classes["rare"].share == 0  # a class that is absent stays one
     assert told.fitted.rate is not None and told.fitted.rate[0] < told.day.rate < told.fitted.rate[1]
-    rates = [told.drawn(seed).day.rate for seed in range(200)]
+    rates = [told.sampled(seed).day.rate for seed in range(200)]
     low, high = told.fitted.rate
     assert 0.88 <= np.mean([low <= rate <= high for rate in rates]) <= 0.99
-    assert len({World(told, seed).scenario.day.life for seed in (1, 2)}) == 2
-    assert told.beyond(told.seen.utilization) == []
+    assert len({Simulation(told, seed).scenario.day.life for seed in (1, 2)}) == 2
+    assert told.extrapolations(told.seen.utilization) == []
 
 
 def test_a_question_beyond_the_trace_is_said_to_be_one() -> None:
     """A trace of a calm day asked about overload."""
     seen = Seen(rate=12.0, utilization=0.5)
     calm = Scenario(Day(rate=10), seen=seen)
-    assert calm.beyond(0.52) == [] and Scenario(Day(rate=99)).beyond(9.0) == []
-    (burst,) = Scenario(Day(rate=10), faults=(Fault("burst", 3, times=2.2),), seen=seen).beyond(0.52)
-    (full,) = calm.beyond(0.8)
+    assert calm.extrapolations(0.52) == [] and Scenario(Day(rate=99)).extrapolations(9.0) == []
+    (burst,) = Scenario(Day(rate=10), faults=(Fault("burst", 3, times=2.2),), seen=seen).extrapolations(0.52)
+    (full,) = calm.extrapolations(0.8)
     assert "22 connections a second" in burst and "0.8 of the fleet's capacity" in full
 
 
 def test_compare_passes_the_warning_on() -> None:
     side = Side("trace {\n utilization 0.5\n}\n", "f", "present")
     rows = [(1, Run({"peak_load": 0.5}), Run({"peak_load": 0.7}))]
-    assert Found((side, side), 0.95, 2, rows, 2).beyond() == [
+    assert Comparison((side, side), 0.95, 2, rows, 2).extrapolations() == [
         "f: up to 0.7 of the fleet's capacity, and the trace held 0.5 at the most"
     ]
 
--- a/tests/fleet/test_fleet.py
+++ b/tests/fleet/test_fleet.py
@@ -14,12 +14,12 @@
 from stepflow.daemon import FileError
 from stepflow.fleet.baselines import RandomChoice
 from stepflow.fleet.compare import CompareError, Side, interval, runs_for
-from stepflow.fleet.measurements import Tally, score
-from stepflow.fleet.policy_specs import SpecError, maker
+from stepflow.fleet.measurements import Measurements, score
+from stepflow.fleet.policy_specs import PolicySpecError, policy_factory
 from stepflow.fleet.scenario import Class, Day, Fault, Kind, Scenario, read
 from stepflow.fleet.servers import SECOND, Server, erlang_c
-from stepflow.fleet.simulation import World
-from stepflow.fleet.traffic import draw
+from stepflow.fleet.simulation import Simulation
+from stepflow.fleet.traffic import draw_traffic
 from stepflow.interface import (
     Action,
     Event,
@@ -42,12 +42,12 @@
 
 
 def server() -> Server:
-    return Server("s", 0, 3, 2.0, 10.0, 0.3, 8.0, cap=100, group_load=0.0, message_s=0.004)
+    return Server("s", 0, 3, 2.0, 10.0, 0.3, 8.0, max_sessions=100, group_load=0.0, message_s=0.004)
 
 
-def played(scenario: Scenario, seed: int = 1, policy: object = Policy) -> tuple[World, Tally]:
-    world = World(scenario, seed, policy)  # type: ignore[arg-type]
-    return world, world.run()
+def played(scenario: Scenario, seed: int = 1, policy: object = Policy) -> tuple[Simulation, Measurements]:
+    simulation = Simulation(scenario, seed, policy)  # type: ignore[arg-type]
+    return simulation, simulation.run()
 
 
 @pytest.mark.parametrize(("cores", "rho", "chance"), [(1, 0.7, 0.7), (2, 0.5, 1 / 3), (3, 2 / 3, 4 / 9)])
@@ -57,39 +57,41 @@
 
 def test_work_beyond_capacity_piles_up_and_is_worked_off_again() -> None:
     one = server()
-    one.hold(1, 90.0)  # asks for 9 core-seconds a second of 6
+    one.add_session(1, 90.0)  # asks for 9 core-seconds a second of 6
     one.advance(2 * SECOND)
-    assert one.rho(2 * SECOND) == 1.5 and one.pile == pytest.approx(6.0)
-    assert one.wait_s(2 * SECOND) == pytest.approx(1.0) and one.on_time(2 * SECOND, 0.05) == 0.0
-    one.release(1, 90.0)
-    assert one.wait_s(3 * SECOND) == 0.0 and one.on_time(3 * SECOND, 0.05) == 1.0
+    assert one.utilization(2 * SECOND) == 1.5 and one.backlog == pytest.approx(6.0)
+    assert one.wait_s(2 * SECOND) == pytest.approx(1.0) and one.share_in_time(2 * SECOND, 0.05) == 0.0
+    one.remove_session(1, 90.0)
+    assert one.wait_s(3 * SECOND) == 0.0 and one.share_in_time(3 * SECOND, 0.05) == 1.0
 
 
 def test_a_cold_server_warms_evenly_and_falls_by_what_is_sent_at_once() -> None:
     one = server()
     one.started_us = SECOND
-    assert [one.warmth(at * SECOND) for at in (1, 5, 9)] == pytest.approx([0.3, 0.65, 1.0])
-    room = 2.5 * 1.5 * one.capacity(SECOND) * one.per_core / one.cold_s  # filled no sooner than it is warm
-    assert not one.overrun(SECOND, room * 0.99, 2.5, 1_500_000)
-    assert one.overrun(SECOND + 1000, room * 0.05, 2.5, 1_500_000)
-    assert not one.overrun(9 * SECOND, room * 9, 2.5, 1_500_000)  # warm
+    assert [one.capacity_share(at * SECOND) for at in (1, 5, 9)] == pytest.approx([0.3, 0.65, 1.0])
+    room = (
+        2.5 * 1.5 * one.capacity(SECOND) * one.load_per_core / one.slow_start_s
+    )  # filled no sooner than it is warm
+    assert not one.is_overloaded_by(SECOND, room * 0.99, 2.5, 1_500_000)
+    assert one.is_overloaded_by(SECOND + 1000, room * 0.05, 2.5, 1_500_000)
+    assert not one.is_overloaded_by(9 * SECOND, room * 9, 2.5, 1_500_000)  # warm
 
 
 def test_more_load_never_brings_more_echoes_in_time() -> None:
     shares = []
     for load in range(0, 70, 5):
         one = server()
-        one.hold(1, float(load))
-        shares.append(one.on_time(0, 0.05))
+        one.add_session(1, float(load))
+        shares.append(one.share_in_time(0, 0.05))
     assert shares == sorted(shares, reverse=True) and shares[0] == 1.0 and shares[-1] == 0.0
 
 
 def test_a_burst_leaves_all_other_draws_as_they_are() -> None:
     burst = replace(SMALL, faults=(Fault("burst", 5, 4, times=3.0),))
-    plain, other = draw(SMALL, 3), draw(burst, 3)
-    assert len(other.at_us) > len(plain.at_us) and plain.stood == other.stood
-    assert np.array_equal(plain.group[: plain.stood], other.group[: plain.stood])
-    assert np.array_equal(plain.loads[: plain.stood], other.loads[: plain.stood])
+    plain, other = draw_traffic(SMALL, 3), draw_traffic(burst, 3)
+    assert len(other.at_us) > len(plain.at_us) and plain.established == other.established
+    assert np.array_equal(plain.group[: plain.established], other.group[: plain.established])
+    assert np.array_equal(plain.loads[: plain.established], other.loads[: plain.established])
 
 
 def test_a_run_repeats_itself_to_the_last_figure() -> None:
@@ -116,14 +118,18 @@
 
 @pytest.mark.parametrize("fault", FAULTS, ids=lambda fault: fault.what)
 def test_what_the_world_counts_adds_up_through_every_fault(fault: Fault) -> None:
-    world, tally = played(replace(SMALL, faults=(fault,)))
-    standing = sum(c.up for node in world.nodes for c in node.clients.values())
-    assert standing == sum(one.connections for one in world.servers) > 0
-    for one in world.servers:
-        held = [c for node in world.nodes for c in node.clients.values() if c.up and c.server is one]
+    simulation, measurements = played(replace(SMALL, faults=(fault,)))
+    standing = sum(c.established for node in simulation.nodes for c in node.clients.values())
+    assert standing == sum(one.connections for one in simulation.servers) > 0
+    for one in simulation.servers:
+        held = [
+            c for node in simulation.nodes for c in node.clients.values() if c.established and c.server is one
+        ]
         assert one.load == pytest.approx(sum(c.load for c in held)) and sum(one.groups.values()) == len(held)
-    assert (tally.served <= tally.wanted + 1e-9).all() and 0.2 < score(SMALL, tally).service <= 1
-    assert all(len(node.clients) < 400 for node in world.nodes)
+    assert (measurements.served <= measurements.wanted + 1e-9).all() and 0.2 < score(
+        SMALL, measurements
+    ).service <= 1
+    assert all(len(node.clients) < 400 for node in simulation.nodes)
 
 
 def test_a_setting_that_changes_amid_a_run_holds_from_then_on() -> None:
@@ -159,25 +165,25 @@
         def run_ended(self, now: int, servers: object) -> None:
             tries.extend((at, count) for at, count in self.came.values())
 
-    World(changed, 1, RandomChoice, ears=(Counting(),)).run()
+    Simulation(changed, 1, RandomChoice, observers=(Counting(),)).run()
     before = [count for at, count in tries if 3 * SECOND < at < 7 * SECOND]
     after = [count for at, count in tries if at >= 8 * SECOND]
     assert max(before) > 2 >= max(after) > 0
 
 
 def test_a_hung_server_s_connections_tell_next_to_no_load_until_it_is_back() -> None:
-    world = World(replace(SMALL, faults=(Fault("hang", 4, 1.5, 0.2),)), 1)
+    simulation = Simulation(replace(SMALL, faults=(Fault("hang", 4, 1.5, 0.2),)), 1)
     told: list[tuple[int, float, float]] = []
-    feed = world.feed
+    feed = simulation.handle_event
 
     def fed(node: Any, event: Event) -> None:
         if isinstance(event, SessionReport) and event.kind == SessionReportKind.LOAD:
             client = node.clients[event.request_id]
-            told.append((world.now, event.value, client.load * 1000))
+            told.append((simulation.now, event.value, client.load * 1000))
         feed(node, event)
 
-    world.feed = fed  # type: ignore[method-assign]
-    world.run()
+    simulation.handle_event = fed  # type: ignore[method-assign]
+    simulation.run()
     low = [at for at, value, load in told if value < 0.2 * load]
     assert low and min(low) >= 4 * SECOND and max(low) < 5.5 * SECOND
 
@@ -216,7 +222,7 @@
 
 @pytest.mark.parametrize("spec", ["KP=0.1", "present,KP=0.1,KI=0", "random", "present"])
 def test_a_policy_is_made_by_its_name(spec: str) -> None:
-    made: Any = maker(spec)(SMALL.settings(), 1)
+    made: Any = policy_factory(spec)(SMALL.settings(), 1)
     assert made.handle(0, Started())
     if "KP" in spec:
         assert vars(sys.modules[type(made.controller).__module__])["KP"] == 0.1 != controller.KP
@@ -226,8 +232,8 @@
     "spec", ["best", "NONE=1", "KP=high", "random,KP=1", "rev:", "rev:no-such", "rev:-h"]
 )
 def test_a_name_that_means_nothing_is_turned_down(spec: str) -> None:
-    with pytest.raises(SpecError, match=spec.split(",")[0].replace("-", ".")):
-        maker(spec)
+    with pytest.raises(PolicySpecError, match=spec.split(",")[0].replace("-", ".")):
+        policy_factory(spec)
 
 
 def test_an_interval_covers_its_mean_as_often_as_it_says() -> None:
--- a/tests/fleet/test_replay.py
+++ b/tests/fleet/test_replay.py
@@ -11,10 +11,10 @@
 
 from standins.live import play
 from stepflow.fleet.compare import CompareError
-from stepflow.fleet.measurements import Tally
+from stepflow.fleet.measurements import Measurements
 from stepflow.fleet.replay import Check, check, prediction
 from stepflow.fleet.scenario import Class, Day, Fault, Kind, Scenario
-from stepflow.fleet.simulation import World
+from stepflow.fleet.simulation import Simulation
 from tests.test_daemon import command
 
 TINY = Scenario(
@@ -35,21 +35,21 @@
 
 
 def test_a_run_outside_its_bars_is_told_so() -> None:
-    def nothing(scenario: Scenario, seed: int) -> tuple[Tally, float]:
-        tally = World(scenario, seed).tally
-        tally.wanted += 1.0
-        return tally, 0.0
+    def nothing(scenario: Scenario, seed: int) -> tuple[Measurements, float]:
+        measurements = Simulation(scenario, seed).measurements
+        measurements.wanted += 1.0
+        return measurements, 0.0
 
     told: list[Check] = []
-    (found,) = check(TINY, nothing, [1], 3, told=told.append)
+    (found,) = check(TINY, nothing, [1], 3, on_checked=told.append)
     assert told == [found] and not found.within and found.measured == 0 < found.predicted.low
 
 
 @pytest.mark.parametrize("what", ["hang", "drain", "start", "crash", "restart", "list-down"])
 def test_a_scenario_plays_on_sockets_through_a_fault(what: str) -> None:
-    tally, _ = play(replace(TINY, faults=(Fault(what, 1.5, 1.0, 0.4),)), 2)
-    assert tally.wanted.sum() > 5 and tally.probes > 0 and 0 < tally.requests < 60
-    assert 0 < tally.served.sum() <= tally.wanted.sum() + 1e-9
+    measurements, _ = play(replace(TINY, faults=(Fault(what, 1.5, 1.0, 0.4),)), 2)
+    assert measurements.wanted.sum() > 5 and measurements.health_checks > 0 and 0 < measurements.requests < 60
+    assert 0 < measurements.served.sum() <= measurements.wanted.sum() + 1e-9
 
 
 def test_a_fault_that_is_not_played_here_is_turned_down_and_not_left_out() -> None:
--- a/tests/fleet/test_report.py
+++ b/tests/fleet/test_report.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from stepflow.fleet.compare import Found, Side, compare, save
+from stepflow.fleet.compare import Comparison, Side, compare, save
 from stepflow.fleet.report import ReportError, page, write
 from tests.test_daemon import command
 
@@ -17,11 +17,11 @@
 
 
 @pytest.fixture(scope="module")
-def found() -> Found:
+def found() -> Comparison:
     return compare((Side(TEXT, "f", "random"), Side(TEXT, "f", "present")), 3, 1, jobs=2)
 
 
-def test_a_page_says_what_compare_said_and_loads_nothing(found: Found, tmp_path: Path) -> None:
+def test_a_page_says_what_compare_said_and_loads_nothing(found: Comparison, tmp_path: Path) -> None:
     save(found, tmp_path)
     assert write(tmp_path, tmp_path / "page.html") == 1
     text = (tmp_path / "page.html").read_text()
@@ -34,10 +34,12 @@
     assert again == text  # a page made anew is the same to the letter
 
 
-def test_a_page_warns_of_what_its_trace_never_held_and_of_an_early_end(found: Found, tmp_path: Path) -> None:
+def test_a_page_warns_of_what_its_trace_never_held_and_of_an_early_end(
+    found: Comparison, tmp_path: Path
+) -> None:
     seen = TEXT + "trace {\n utilization 0.01\n}\n"
     sides = (Side(seen, "f", "random"), found.sides[1])
-    save(Found(sides, found.level, 2, found.rows, 9), tmp_path)
+    save(Comparison(sides, found.level, 2, found.rows, 9), tmp_path)
     text = page(tmp_path)
     assert "A extrapolates: up to" in text and "B extrapolates" not in text
     assert "Ended early: 3 of 9 days were played." in text
@@ -53,7 +55,7 @@
     ],
 )
 def test_a_broken_folder_is_named_and_the_old_page_stays(
-    spoil: object, said: str, found: Found, tmp_path: Path
+    spoil: object, said: str, found: Comparison, tmp_path: Path
 ) -> None:
     save(found, tmp_path)
     (runs,) = (path for path in tmp_path.glob("*.parquet") if "series" not in path.name)
@@ -65,7 +67,7 @@
     assert out.read_text() == "as it was"
 
 
-def test_report_by_the_command_line(found: Found, tmp_path: Path) -> None:
+def test_report_by_the_command_line(found: Comparison, tmp_path: Path) -> None:
     save(found, tmp_path)
     done = command("fleet", "report", str(tmp_path), "-o", str(tmp_path / "page.html"))
     assert done.returncode == 0 and done.stdout.endswith("page.html: 1 comparisons\n")
--- a/tests/fleet/test_revisions.py
+++ b/tests/fleet/test_revisions.py
@@ -9,12 +9,12 @@
 import pytest
 
 from stepflow import interface
-from stepflow.fleet.policy_specs import maker
+from stepflow.fleet.policy_specs import policy_factory
 from stepflow.fleet.private_package import PrivatePackage
 from stepflow.fleet.revisions import Converter, RevisionError, RevisionPolicy, aligned, load_revision
 from stepflow.fleet.scenario import Fault, Scenario
 from stepflow.fleet.servers import Server
-from stepflow.fleet.simulation import World
+from stepflow.fleet.simulation import Simulation
 from stepflow.interface import (
     Action,
     AttemptResult,
@@ -73,7 +73,7 @@
 
 def transcript(scenario: Scenario, spec: str) -> Transcript:
     found = Transcript()
-    World(scenario, 1, maker(spec), ears=(found,)).run()
+    Simulation(scenario, 1, policy_factory(spec), observers=(found,)).run()
     return found
 
 
--- a/tests/test_code_shape.py
+++ b/tests/test_code_shape.py
@@ -29,7 +29,7 @@
     "stepflow/cli/fleet.py:compare",
     "stepflow/fleet/fit.py:_classes",
     "stepflow/fleet/fit.py:_servers",
-    "stepflow/fleet/traffic.py:draw",
+    "stepflow/fleet/traffic.py:draw_traffic",
     "stepflow/node/process/config.py:load",
     "stepflow/node/process/service.py:Node.__init__",
     "stepflow/policy/decide.py:Policy.on_attempt_ended",
--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -8,12 +8,12 @@
 
 import pytest
 
-from stepflow.fleet.audit import Day, Played, fold, play
+from stepflow.fleet.audit import Day, Played, findings_of, play
 from stepflow.fleet.measurements import score
-from stepflow.fleet.policy_specs import of_source, sources
-from stepflow.fleet.rule_checker import Referee, Rule
+from stepflow.fleet.policy_specs import factory_from_texts, policy_texts
+from stepflow.fleet.rule_checker import Rule, RuleChecker
 from stepflow.fleet.scenario import Fault, load
-from stepflow.fleet.simulation import World
+from stepflow.fleet.simulation import Simulation
 from stepflow.interface import (
     Action,
     AttemptEnded,
@@ -44,7 +44,7 @@
 def test_a_hard_day_keeps_every_rule(name: str, seed: int) -> None:
     day = Day(name, (DAYS / f"{name}.conf").read_text(), seed)
     found = play(day)
-    assert [(rule.name, rule.first) for rule in found.rules if rule.broken] == []
+    assert [(rule.name, rule.first_violation) for rule in found.rules if rule.violations] == []
     assert found.score.whole > 0.5  # a policy that refused everybody would keep the rules as well
 
 
@@ -112,7 +112,7 @@
     rule: str, name: str, faults: tuple[Fault, ...], changes: dict[str, str]
 ) -> None:
     """Else the days above would pass whatever the module did: these are the lines that keep them."""
-    rooms = sources()
+    rooms = policy_texts()
     for line, other in changes.items():
         [room] = [name for name, text in rooms.items() if text.count(line) == 1]
         rooms[room] = rooms[room].replace(line, other)
@@ -121,25 +121,25 @@
         told = replace(told, day=replace(told.day, seconds=12, list_s=(0.0, 0.05)), faults=faults)
     broken: list[str] = []
     for seed in range(1, 9):  # whether a day comes to the changed line is its seed's affair
-        referee = Referee()
-        World(told, seed, of_source(rooms, f"changed for {rule}"), ears=(referee,)).run()
-        broken = [one.name for one in referee.rules if one.broken]
+        checker = RuleChecker()
+        Simulation(told, seed, factory_from_texts(rooms, f"changed for {rule}"), observers=(checker,)).run()
+        broken = [one.name for one in checker.rules if one.violations]
         if broken:
             break
     assert rule in broken
 
 
-def heard(*events: Event | Action) -> Referee:
-    """What a referee makes of a node's life, a second for each event."""
-    referee = Referee()
-    referee.node_started(0, 1, Settings(limits=Limits(max_attempts=2)))
+def heard(*events: Event | Action) -> RuleChecker:
+    """What a checker makes of a node's life, a second for each event."""
+    checker = RuleChecker()
+    checker.node_started(0, 1, Settings(limits=Limits(max_attempts=2)))
     for second, event in enumerate(events):
         if isinstance(event, Action):
-            referee.event_handled(second * SECOND, 0, TimerFired(0), [event])
+            checker.event_handled(second * SECOND, 0, TimerFired(0), [event])
         else:
-            referee.event_handled(second * SECOND, 0, event, [])
-    referee.run_ended(60 * SECOND, [])
-    return referee
+            checker.event_handled(second * SECOND, 0, event, [])
+    checker.run_ended(60 * SECOND, [])
+    return checker
 
 
 def request(expires: int = 30) -> Request:
@@ -175,20 +175,22 @@
     ],
 )
 def test_the_referee_tells_right_from_wrong(events: list[Event], broken: list[str]) -> None:
-    referee = heard(EndpointListUpdate(FULL, (entry("a"),)), *events)
-    assert [name for name, rule in vars(referee).items() if isinstance(rule, Rule) and rule.broken] == broken
+    checker = heard(EndpointListUpdate(FULL, (entry("a"),)), *events)
+    assert [
+        name for name, rule in vars(checker).items() if isinstance(rule, Rule) and rule.violations
+    ] == broken
 
 
 def test_a_margin_is_that_of_the_worst_day() -> None:
     day = Day("calm", (DAYS / "calm.conf").read_text(), 1)
     first, second = Rule("r", 2.0), Rule("r", 2.0)
-    first.saw(1.0, "here")
-    second.saw(1.5, "there")
-    quiet = score(load(DAYS / "calm.conf"), World(load(DAYS / "calm.conf"), 1).tally)
-    (found,) = fold([Played(day, [first], quiet), Played(Day("x", "", 7), [second], quiet)])
+    first.record(1.0, "here")
+    second.record(1.5, "there")
+    quiet = score(load(DAYS / "calm.conf"), Simulation(load(DAYS / "calm.conf"), 1).measurements)
+    (found,) = findings_of([Played(day, [first], quiet), Played(Day("x", "", 7), [second], quiet)])
     assert (found.margin, found.file, found.seed, found.kept) == (0.25, "x", 7, True)
-    second.saw(3.0, "there")
-    (found,) = fold([Played(Day("x", "", 7), [second], quiet), Played(day, [first], quiet)])
+    second.record(3.0, "there")
+    (found,) = findings_of([Played(Day("x", "", 7), [second], quiet), Played(day, [first], quiet)])
     assert found.margin == -0.5 and found.broken == ["x seed 7, 1 times, first there"]
 
 
