--- a/benchmarks/footprint.py
+++ b/benchmarks/footprint.py
@@ -46,7 +46,7 @@
         found[1] += grew - within
 machinery._load_unlocked = load
 from stepflow import lazy_imports
-lazy_imports.begin()
+lazy_imports.install()
 import stepflow.node.process.start, stepflow.node.process.service
 print(json.dumps([len(sys.modules), added]))
 """
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -56,7 +56,7 @@
 OTHER = bytes.fromhex("0a9011f26c1f")
 
 
-def decode_one(text: str) -> Event | wire.Boot | wire.Retire:
+def decode_one(text: str) -> Event | wire.StartInstance | wire.StopInstance:
     body = bytes.fromhex("3c 04000000 03000000" + text)
     [(who, event)] = wire.decode(2, memoryview(body))
     assert who == 3
