--- a/stepflow/address.py
+++ b/stepflow/address.py
@@ -1,12 +1,18 @@
-"""An address to listen on or to connect to."""
+"""Network addresses, to listen on or to connect to."""
 
 from __future__ import annotations
 
 from typing import NamedTuple
 
+_PORT_LIMIT = 1 << 16
+
+
+class AddressError(ValueError):
+    """A value that is no address; its text is one line, and shows the value."""
+
 
 class Address(NamedTuple):
-    """HOST:PORT, read."""
+    """A host and a port, written HOST:PORT; the host may be any name or number without further checks."""
 
     host: str
     port: int
@@ -16,10 +22,14 @@
 
     @classmethod
     def parse(cls, text: object) -> Address:
-        """Read HOST:PORT; a ValueError says what is wrong with it."""
+        """Read HOST:PORT.
+
+        Raises:
+            AddressError: It is no text of that form, or the port is out of range.
+        """
         if not isinstance(text, str):
-            raise ValueError(f"{text!r} is not HOST:PORT")
+            raise AddressError(f"{text!r} is not HOST:PORT")
         host, colon, port = text.rpartition(":")
-        if not (host and colon and port.isascii() and port.isdigit() and int(port) < 1 << 16):
-            raise ValueError(f"{text!r} is not HOST:PORT")
+        if not (host and colon and port.isascii() and port.isdigit() and int(port) < _PORT_LIMIT):
+            raise AddressError(f"{text!r} is not HOST:PORT")
         return cls(host, int(port))
--- a/stepflow/errors.py
+++ b/stepflow/errors.py
@@ -1,4 +1,9 @@
-"""What is wrong with what somebody has given the program, and files that can't be read for a moment."""
+"""Errors of what operators give the program, and reading files that can't be read for a moment.
+
+`InputError` is the base of such errors in all packages: its text is one line that names the file, and the
+process ends with exit code 2. One that may pass (a machine short of descriptors, a network file system that
+is away) is marked `is_transient`, so that a starting process reads again for a while.
+"""
 
 from __future__ import annotations
 
@@ -10,29 +15,35 @@
 
 T = TypeVar("T")
 
-READ_RETRY_DELAY_S = 0.05  # between two tries to read a file at the start
-READ_RETRY_LIMIT_S = 10.0  # a process is owed to be ready within 30 s
+READ_RETRY_DELAY_S = 0.05
+READ_RETRY_LIMIT_S = 10.0  # of the 30 s within which a process has to be ready
 
 
 class InputError(Exception):
-    """A file or a value that can't be taken: its text is one line, and names the file; exit code 2."""
+    """A file or a value that can't be used."""
 
-    is_transient = False  # the file could not be read just now: it may be had a moment later
+    is_transient = False  # the file could not be read just now, and may be readable a moment later
 
 
-def mark_read_error(made: InputError, fault: OSError) -> InputError:
-    """What is wrong with a file that could not be read, marked where that may pass."""
-    made.is_transient = fault.errno in TRANSIENT_FILE_ERRORS
-    return made
+def mark_read_error(error: InputError, cause: OSError) -> InputError:
+    """Return the error of a file that could not be read, marked by whether its cause may pass."""
+    error.is_transient = cause.errno in TRANSIENT_FILE_ERRORS
+    return error
 
 
 def read_with_retries(read: Callable[[], T]) -> T:
-    """Read something at the start, again while what keeps it from being read may pass."""
-    until = time.monotonic() + READ_RETRY_LIMIT_S
+    """Return what `read` returns; while it fails with a transient error, call it again for a while.
+
+    It blocks between two calls, so it is for the start only, before the reactor runs.
+
+    Raises:
+        InputError: The error is not transient, or did not pass in time.
+    """
+    give_up_at = time.monotonic() + READ_RETRY_LIMIT_S
     while True:
         try:
             return read()
-        except InputError as fault:
-            if not fault.is_transient or time.monotonic() >= until:
+        except InputError as error:
+            if not error.is_transient or time.monotonic() >= give_up_at:
                 raise
             time.sleep(READ_RETRY_DELAY_S)
--- a/stepflow/lazy_imports.py
+++ b/stepflow/lazy_imports.py
@@ -1,11 +1,11 @@
-"""What `run` does not load: parts of libraries that are imported in passing, and that a node never calls.
+"""Lazy imports: puts off modules that libraries import in passing and a node never calls, to save memory.
 
-structlog brings asyncio, pickle and its own tests' means; Twisted brings a cookie jar, and with it a mail
-parser, for one name that it passes on. Two hundred nodes on a machine pay for each of them 200 times. `begin`
-puts such modules off until something asks for a name of theirs; then they load in full, as ever. Nothing is
-left out, and no library is changed.
+structlog imports asyncio, pickle and helpers for its own tests; Twisted imports a cookie jar, and with it a
+mail parser, for one name that it exports. Two hundred nodes on one machine pay for each module 200 times.
+`install` puts such modules off until something asks for one of their names; then they load in full. No
+library is changed, and programs that don't call `install` are not affected.
 
-Measured by `python -m benchmarks.footprint`; a test holds the count of modules that `run` loads.
+`python -m benchmarks.footprint` measures what is saved; a test limits the count of modules that `run` loads.
 """
 
 from __future__ import annotations
@@ -17,8 +17,8 @@
 from importlib.util import LazyLoader, module_from_spec
 from types import ModuleType
 
-# Modules that nobody reads a name of while they are imported, so that a stand-in will do until then.
-PUT_OFF = frozenset(
+# No importer reads a name of these while it is imported itself, so that an empty module will do until later.
+LAZY_MODULES = frozenset(
     {
         "http.cookiejar",
         "logging",
@@ -31,18 +31,23 @@
         "structlog.twisted",
     }
 )
-# Twisted takes three names from asyncio, for callers that await: these parts of it hold them.
-ASYNCIO = {"AbstractEventLoop": "asyncio.events", "Future": "_asyncio", "iscoroutine": "asyncio.coroutines"}
+# The names that Twisted takes from asyncio while it is imported, and the submodules that define them.
+ASYNCIO_SUBMODULES = {
+    "AbstractEventLoop": "asyncio.events",
+    "Future": "_asyncio",
+    "iscoroutine": "asyncio.coroutines",
+}
 
 
 class LazyFinder:
-    """Finds what is put off, and gives it a loader that waits."""
+    """A finder of `sys.meta_path` that gives the lazy modules a loader that waits for the first name."""
 
     @classmethod
     def find_spec(
         cls, name: str, path: Sequence[str] | None = None, target: ModuleType | None = None
     ) -> ModuleSpec | None:
-        if name not in PUT_OFF:
+        """Return a lazy module's spec; None for other modules, which the next finder then looks for."""
+        if name not in LAZY_MODULES:
             return None
         spec = PathFinder.find_spec(name, path, target)
         if spec is not None and spec.loader is not None:
@@ -51,17 +56,17 @@
 
 
 class LazyAsyncio(ModuleType):
-    """The package whose names come from its parts, as long as those that are known are enough."""
+    """asyncio, whose known names and submodules are imported one by one; any other name loads it in full."""
 
     def __getattr__(self, name: str) -> object:
         spec = self.__spec__
         if spec is None or (name.startswith("__") and name != "__all__"):
             raise AttributeError(name)
-        if part := ASYNCIO.get(name):
-            return getattr(import_module(part), name)
+        if submodule := ASYNCIO_SUBMODULES.get(name):
+            return getattr(import_module(submodule), name)
         if PathFinder.find_spec(f"{spec.name}.{name}", self.__path__) is not None:
             return import_module(f"{spec.name}.{name}")
-        # Something unforeseen is asked for: from here on the package itself.
+        # An unforeseen name: from here on this is the package itself.
         self.__class__ = ModuleType  # type: ignore[assignment]
         assert spec.loader is not None
         spec.loader.exec_module(self)
@@ -69,7 +74,7 @@
 
 
 def install() -> None:
-    """Put them off; what is loaded already stays."""
+    """Put the lazy modules off; those that are loaded already stay. Call it before they are imported."""
     if "asyncio" not in sys.modules and (spec := PathFinder.find_spec("asyncio")) is not None:
         package = module_from_spec(spec)
         package.__class__ = LazyAsyncio
--- a/stepflow/os_errors.py
+++ b/stepflow/os_errors.py
@@ -1,6 +1,8 @@
-"""System calls that fail for a moment, told apart from those that speak of the other side.
+"""Error numbers of system calls, sorted by what they say and by whether the call may soon succeed.
 
-Sources: accept(2), connect(2), socket(2), open(2), read(2) of the Linux manual.
+A call can fail for a moment on this machine's account (a shortage), or for what the other side did; only the
+latter says anything about an endpoint. Sources: accept(2), connect(2), socket(2), open(2), read(2) of the
+Linux manual.
 """
 
 from __future__ import annotations
@@ -8,7 +10,7 @@
 import errno
 from datetime import timedelta
 
-# accept(2) passes on what has gone wrong with the one connection that it was to return.
+# accept(2) reports what went wrong with the one connection that it was to return; the next call may succeed.
 SINGLE_CONNECTION_ERRORS = frozenset(
     {
         errno.ECONNABORTED,
@@ -28,22 +30,22 @@
 RESOURCE_SHORTAGE = frozenset(
     {errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EAGAIN, errno.EINTR}
 )
-# connect(2) and socket(2) on this machine's own account: no word from the other side.
+# connect(2) and socket(2) failed on this machine: the endpoint was not reached, and is not to blame.
 LOCAL_CONNECT_ERRORS = RESOURCE_SHORTAGE | {errno.EADDRNOTAVAIL, errno.ENETUNREACH, errno.ENETDOWN}
-# open(2), read(2), bind(2) and write(2) in a folder that is there.
+# open(2), read(2), bind(2) and write(2) in a folder that exists.
 TRANSIENT_FILE_ERRORS = RESOURCE_SHORTAGE | {errno.EIO, errno.ESTALE, errno.ENOSPC, errno.EDQUOT}
 
-ACCEPT_RETRY_DELAY = timedelta(milliseconds=5)  # after a shortage: the reactor would ask without a pause
+ACCEPT_RETRY_DELAY = timedelta(milliseconds=5)  # after a shortage, when the reactor would call again at once
 CONNECT_RETRY_DELAY = timedelta(milliseconds=20)
 LISTEN_RETRY_DELAY = timedelta(milliseconds=100)
-LISTEN_RETRY_LIMIT = timedelta(seconds=20)  # a process is owed to be ready within 30 s
+LISTEN_RETRY_LIMIT = timedelta(seconds=20)  # of the 30 s within which a process has to be ready
 
 
-def errno_of(fault: BaseException | None) -> int:
-    """The error number behind a failure of Twisted or of Python; 0 where there is none."""
-    for name in ("osError", "errno"):
-        number = getattr(fault, name, None)
+def errno_of(error: BaseException | None) -> int:
+    """Return the error number behind an exception of Twisted or of Python; 0 where there is none."""
+    for name in ("osError", "errno"):  # ConnectError of Twisted has its number in the first
+        number = getattr(error, name, None)
         if isinstance(number, int):
             return number
-    inner = getattr(fault, "socketError", None)
-    return errno_of(inner) if isinstance(inner, OSError) else 0
+    cause = getattr(error, "socketError", None)  # of CannotListenError
+    return errno_of(cause) if isinstance(cause, OSError) else 0
