--- a/benchmarks/terms.py
+++ b/benchmarks/terms.py
@@ -1,9 +1,9 @@
-"""Terms of the fleet between real processes: python -m benchmarks.terms [--nodes N ...] [--rounds N].
+"""Guarantees of the fleet, between real processes: python -m benchmarks.terms [--nodes N ...] [--rounds N].
 
-For each number of nodes: the most that a cold server got of all of them within the settings' window, over
-what it may (N + 2 root N + 2), where some servers or nearly all are replaced, or seven in ten nodes killed as
-well; and the seconds until the last node has the list of a discovery that was silent and then serves calls in
-turn.
+For each number of nodes: the most that a restarted server got of all of them within the settings' window,
+over what is allowed (N + 2 root N + 2), where some servers or nearly all are restarted, or seven in ten nodes
+killed as well; and the seconds until the last node has the list of a discovery that was silent and then
+serves calls one by one.
 """
 
 from __future__ import annotations
@@ -12,43 +12,60 @@
 import asyncio
 import tempfile
 from collections.abc import Callable, Coroutine
+from functools import partial
 from pathlib import Path
 from typing import Any
 
 from benchmarks.memory import configuration
 from standins.fleet import Fleet
-from standins.ramp import outage, ramp
+from standins.ramp import measure_outage, measure_slow_start
 
 SERVERS = 10
-EACH_S, SILENT_S = 0.02, 7.3
+KILLED_SHARE = 0.7
+CALL_S, OUTAGE_S = 0.02, 7.3
 
+Measurement = Callable[[Path], Coroutine[Any, Any, float]]
+
+
+def measurements(settings: dict[str, Any], nodes: int) -> dict[str, Measurement]:
+    """Return the measurements for a number of nodes by what they show; each takes a folder to work in."""
+    killed = round(KILLED_SHARE * nodes)
+
+    def slow_start(restarted: int, killed: int) -> Measurement:
+        return partial(
+            measure_slow_start,
+            nodes=nodes,
+            servers=SERVERS,
+            restarted=restarted,
+            killed=killed,
+            settings=settings,
+        )
 
-def cases(settings: dict[str, Any], nodes: int) -> dict[str, Callable[[Path], Coroutine[Any, Any, float]]]:
-    part = round(0.7 * nodes)
     return {
-        "3 of 10 cold": lambda folder: ramp(folder, nodes, SERVERS, 3, 0, settings),
-        "the same, 7 in 10 nodes killed": lambda folder: ramp(folder, nodes, SERVERS, 3, part, settings),
-        "9 of 10 cold": lambda folder: ramp(folder, nodes, SERVERS, 9, 0, settings),
-        "until the list is had, s (6 at the most)": lambda folder: outage(
-            folder, nodes, EACH_S, SILENT_S, settings
+        "3 of 10 cold": slow_start(3, 0),
+        "the same, 7 in 10 nodes killed": slow_start(3, killed),
+        "9 of 10 cold": slow_start(9, 0),
+        "until the list is had, s (6 at the most)": partial(
+            measure_outage, nodes=nodes, call_s=CALL_S, outage_s=OUTAGE_S, settings=settings
         ),
     }
 
 
 def main() -> int:
+    """Print a line for each number of nodes and measurement, with the result of each round."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--nodes", type=int, nargs="+", default=[6, 20, 30])
     parser.add_argument("--rounds", type=int, default=3)
-    told = parser.parse_args()
+    arguments = parser.parse_args()
     settings = {**configuration(Fleet([]))["settings"], "kinds": ["k"], "azs": ["room"]}
     print(f"{'nodes':>6}  {'case':42} each round")
-    for nodes in told.nodes:
-        for name, play in cases(settings, nodes).items():
-            found = []
-            for _ in range(told.rounds):
+    for nodes in arguments.nodes:
+        for name, measure in measurements(settings, nodes).items():
+            results = []
+            for _ in range(arguments.rounds):
                 with tempfile.TemporaryDirectory() as folder:
-                    found.append(asyncio.run(play(Path(folder))))
-            print(f"{nodes:6}  {name:42} {'  '.join(f'{one:.2f}' for one in found)}", flush=True)
+                    results.append(asyncio.run(measure(Path(folder))))
+            print(f"{nodes:6}  {name:42} {'  '.join(f'{value:.2f}' for value in results)}", flush=True)
     return 0
 
 
