--- /dev/null
+++ b/tests/daemon/test_operator_file.py
@@ -0,0 +1,76 @@
+"""The operator's file: what it may say, and how its errors are named."""
+
+from __future__ import annotations
+
+import pytest
+from hypothesis import given
+from hypothesis import strategies as st
+
+from stepflow.daemon import FileError, Log, OperatorFile, Record, parse, read, read_text
+
+KEY = "0123456789abcdef"
+
+
+def test_a_complete_file_is_read() -> None:
+    model = read_text(
+        f"""
+        # what the log looks like
+        log {{
+            form json   # for the collector
+        }}
+        record {{
+            folder "/var/lib/step flow"
+            key {KEY}
+            segment 64M
+            segments 3
+        }}
+        """,
+        "f",
+    )
+    assert model == OperatorFile(Log(form="json"), Record("/var/lib/step flow", KEY, 64 << 20, 3))
+
+
+def test_the_shipped_file_equals_the_defaults() -> None:
+    assert read("deploy/stepflow.conf") == OperatorFile()
+
+
+@pytest.mark.parametrize(
+    ("text", "said"),
+    [
+        ("log {\n form yaml\n}", "f:2: log.form: Invalid enum value 'yaml'"),
+        ("log {\n color on\n}", "f:2: log.color: no such directive"),
+        ("\n\nshout {\n}", "f:3: shout: no such directive"),
+        ("log {\n form text\n form json\n}", "f:3: log.form: stands a second time"),
+        ("log {\n}\nlog {\n}", "f:3: log: stands a second time"),
+        ("log {\n form\n}", "f:2: log.form: takes one value, not 0"),
+        ("log json", "f:1: log: not a block"),
+        ("log {\n form text", "f:1: log: its block is never closed"),
+        ("}", "f:1: '}' without a block"),
+        ("{", "f:1: a block without a name"),
+        ("log {\n form {\n }\n}", "f:2: form: a block in the block 'log'"),
+        ("log { form text }", "f:1: log: a brace amid a line"),
+        ('log {\n form "text\n}', "f:2: a quote that is never closed"),
+        (f"record {{\n folder x\n key {KEY}\n segment 3T\n}}", "f:4: record.segment: '3T' is not a size"),
+        (
+            f"record {{\n folder x\n key {KEY}\n segment 1K\n}}",
+            "f:4: record.segment: Expected `int` >= 65536",
+        ),
+        (f"record {{\n folder x\n key {KEY}\n segments no\n}}", "f:4: record.segments: 'no' is not a whole"),
+        ("record {\n folder x\n key short\n}", "f:3: record.key: Expected `str` of length >= 16"),
+        ("record {\n folder x\n}", "f:1: record: Object missing required field `key`"),
+    ],
+)
+def test_an_error_names_the_line_and_the_directive(text: str, said: str) -> None:
+    with pytest.raises(FileError) as fault:
+        read_text(text, "f")
+    assert str(fault.value).startswith(said) and "\n" not in str(fault.value)
+
+
+@given(st.text(alphabet="ab{}#\" \n\t\\'", max_size=60))
+def test_any_text_is_parsed_or_is_a_file_error(text: str) -> None:
+    try:
+        lines = [one.line for one in parse(text, "f")]
+    except FileError as fault:
+        assert str(fault).startswith("f:")
+    else:
+        assert lines == sorted(lines)
--- a/tests/node/runtime/test_lines.py
+++ b/tests/node/runtime/test_lines.py
@@ -13,10 +13,10 @@
 @given(st.lists(st.text(alphabet="ab\r\n", max_size=6)), st.lists(st.integers(1, 5)))
 def test_lines_are_the_same_however_the_stream_is_cut(texts: list[str], cuts: list[int]) -> None:
     stream = "".join(text + "\r\n" for text in texts).encode() + b"half"
-    scanner, found, at = LineScanner(), [], 0
+    scanner, found, position = LineScanner(), [], 0
     for size in [*cuts, len(stream)]:
-        scanner.feed(stream[at : at + size])
-        at += size
+        scanner.feed(stream[position : position + size])
+        position += size
         while (line := scanner.next_line()) is not None:
             found.append(bytes(line))
     assert found == stream.split(b"\r\n")[:-1]
@@ -24,7 +24,7 @@
 
 
 @pytest.mark.parametrize(("size", "overlong"), [(4094, False), (4095, True)])
-def test_a_line_may_be_4_kib_with_its_delimiter(size: int, overlong: bool) -> None:
+def test_a_line_may_have_4_kib_with_its_delimiter(size: int, overlong: bool) -> None:
     scanner = LineScanner()
     scanner.feed(b"x" * size + b"\r\n")
     assert (scanner.next_line() is None) == overlong == scanner.overlong
--- a/tests/node/runtime/test_slots.py
+++ b/tests/node/runtime/test_slots.py
@@ -5,7 +5,7 @@
 from stepflow.node.runtime.slots import SlotTable
 
 
-def test_a_stale_id_never_reaches_the_slot_s_next_holder() -> None:
+def test_a_stale_id_never_reaches_the_next_item_of_its_slot() -> None:
     table: SlotTable[str] = SlotTable(2)
     first, second = table.add("a"), table.add("b")
     assert first is not None and second is not None and table.add("c") is None  # full
--- a/tests/node/runtime/test_timers.py
+++ b/tests/node/runtime/test_timers.py
@@ -13,24 +13,24 @@
 from tests.node.runtime.virtual_clock import HandClock
 
 
-def test_deadlines_come_in_order_through_one_call_of_the_reactor() -> None:
+def test_timers_fire_in_order_through_one_delayed_call_of_the_reactor() -> None:
     reactor = TwistedClock()
-    deadlines = Timers(HandClock(reactor), cast(Reactor, reactor), Counters())
-    came: list[int] = []
+    timers = Timers(HandClock(reactor), cast(Reactor, reactor), Counters())
+    fired: list[int] = []
 
     def fail() -> None:
-        came.append(0)
-        raise RuntimeError("a fault must not hold up the others")
+        fired.append(0)
+        raise RuntimeError("the others fire all the same")
 
     for second in (3, 1, 2):
-        deadlines.after(timedelta(seconds=second), lambda second=second: came.append(second))  # type: ignore[misc]
-    deadlines.after(timedelta(seconds=1), fail)
-    off = [deadlines.after(timedelta(seconds=1), fail) for _ in range(2 * COMPACT_FROM)]
-    for deadline in off:
-        deadline.cancel()
-        deadline.cancel()
+        timers.after(timedelta(seconds=second), lambda second=second: fired.append(second))  # type: ignore[misc]
+    timers.after(timedelta(seconds=1), fail)
+    cancelled = [timers.after(timedelta(seconds=1), fail) for _ in range(2 * COMPACT_FROM)]
+    for timer in cancelled:
+        timer.cancel()
+        timer.cancel()
     assert len(reactor.getDelayedCalls()) == 1
     reactor.advance(1.5)
-    assert came == [1, 0]
+    assert fired == [1, 0]
     reactor.advance(10)
-    assert came == [1, 0, 2, 3] and not reactor.getDelayedCalls()
+    assert fired == [1, 0, 2, 3] and not reactor.getDelayedCalls()
--- /dev/null
+++ b/tests/node/test_log_form.py
@@ -0,0 +1,25 @@
+"""The form of the log, as the operator's file says."""
+
+from __future__ import annotations
+
+import json
+import signal
+from pathlib import Path
+
+from tests.node_kit import Node, Peer, opening
+
+
+def test_the_form_of_the_log_is_the_operator_file_s_also_after_a_reload(tmp_path: Path) -> None:
+    path = tmp_path / "op.conf"
+    path.write_text("log {\n form json\n}\n")
+    node = Node(Peer("s-1"))
+    node.env["STEPFLOW_CONF"] = str(path)
+    with node:
+        assert node.client(opening()).read() == "UP r1"
+        path.write_text("log {\n form yaml\n}\n")
+        node.process.send_signal(signal.SIGHUP)
+        event = json.loads(node.wait_log("turned down").string)
+        assert event["level"] == "warning" and event["fault"].startswith(f"{path}:2: log.form: ")
+        path.write_text("log {\n form text\n}\n")
+        node.process.send_signal(signal.SIGHUP)
+        node.wait_log("level=info event=reloaded ")
--- /dev/null
+++ b/tests/node/test_recording.py
@@ -0,0 +1,94 @@
+"""Recordings of a node at work."""
+
+from __future__ import annotations
+
+import errno
+import signal
+import time
+from collections import Counter
+from pathlib import Path
+
+from standins.preload import Call, Machine
+from stepflow.traffic.writer import journals
+from tests.node_kit import PATIENCE, Node, Peer, opening
+from tests.traffic.recorder_kit import KEY, count_kinds
+
+
+def record_file(tmp_path: Path, folder: str) -> str:
+    path = tmp_path / "op.conf"
+    path.write_text(f"record {{\n folder {folder}\n key {KEY}\n segment 64K\n}}\n")
+    return str(path)
+
+
+def test_a_node_records_its_sessions_and_ends_the_journal_in_order(tmp_path: Path) -> None:
+    node = Node(peer := Peer("s-1"))
+    node.env["STEPFLOW_CONF"] = record_file(tmp_path, str(tmp_path / "t"))
+    with node:
+        for number in range(3):
+            client = node.client(opening(number + 1))
+            assert client.read() == "UP r1"
+            at_peer = peer.standing.get(timeout=PATIENCE)
+            at_peer.send("LOAD 12.5")
+            assert client.read() == "LOAD 12.5"
+            client.close()
+        node.terminate()
+        node.wait_log("counters: ")
+    (path,) = journals(str(tmp_path / "t"))
+    found = count_kinds(Path(path))
+    assert [found[name] for name in ("REQUEST", "UP", "LOAD", "OUTCOME", "END")] == [3, 3, 3, 3, 1]
+    assert found["LIST"] >= 1 and b"5c0f6e1a2b3d4c59" not in Path(path).read_bytes()
+
+
+def test_blocks_are_written_after_transient_errors_of_the_disk(tmp_path: Path) -> None:
+    """The recording had ended for good, with half a block at its end."""
+    machine = Machine(tmp_path)
+    node = Node(Peer("s-1"))
+    node.env.update(machine.env, STEPFLOW_CONF=record_file(tmp_path, str(tmp_path / "t")))
+    with node:
+        machine.fail(Call.WRITE, 0.7)
+        machine.fail(Call.OPEN, 0.7, [errno.ENOSPC, errno.EIO])
+        machine.fail(Call.SHORT_WRITE, 0.7)
+        answers: Counter[str] = Counter()
+        for number in range(40):
+            client = node.client(opening(number + 1))
+            answers[client.read().split()[0]] += 1
+            client.close()
+            time.sleep(0.03)
+        node.terminate()
+        time.sleep(0.4)
+        machine.heal()
+        node.wait_log("counters: ")
+    assert machine.injected(Call.WRITE) + machine.injected(Call.OPEN) > 0
+    found = sum((Counter(count_kinds(Path(path))) for path in journals(str(tmp_path / "t"))), Counter())
+    assert (found["REQUEST"], found["LOST"], found["END"]) == (40, 0, 1)
+    assert answers == Counter({"UP": found["UP"], "BUSY": found["REFUSE"]})
+
+
+def test_an_error_of_the_disk_ends_the_recording_and_not_the_node(tmp_path: Path) -> None:
+    (tmp_path / "file").write_text("")  # in the folder's place
+    node = Node(Peer("s-1"))
+    node.env["STEPFLOW_CONF"] = record_file(tmp_path, str(tmp_path / "file"))
+    with node:
+        node.wait_log("the recording ends, the node goes on")
+        assert node.client(opening()).read() == "UP r1"
+
+
+def test_a_reload_begins_and_ends_a_recording_with_the_established_sessions(tmp_path: Path) -> None:
+    path = tmp_path / "op.conf"
+    path.write_text("")
+    node = Node(Peer("s-1"))
+    node.env["STEPFLOW_CONF"] = str(path)
+    with node:
+        client = node.client(opening())
+        assert client.read() == "UP r1"
+        record_file(tmp_path, str(tmp_path / "t"))
+        node.process.send_signal(signal.SIGHUP)
+        node.wait_log("records traffic")
+        node.wait_log("event=reloaded")
+        path.write_text("")
+        node.process.send_signal(signal.SIGHUP)
+        node.wait_log("event=reloaded")
+        (found,) = journals(str(tmp_path / "t"))
+        assert count_kinds(Path(found))["STANDING"] >= 1 and count_kinds(Path(found))["END"] == 1
+        client.send("M 1")
+        assert client.read() == "M 1"
--- a/tests/node/test_wall_clock.py
+++ b/tests/node/test_wall_clock.py
@@ -15,7 +15,7 @@
 from tests.node_kit import PATIENCE, Node, Peer, opening
 
 HOUR = 3600.0
-WATCHED = 1.2  # seconds in which a step is noticed
+WATCHED = 1.2  # seconds in which a step is detected
 SLACK = 0.5  # seconds after its time in which an answer still counts
 
 
@@ -25,13 +25,13 @@
 
 
 def on(machine: Machine, node: Node) -> Node:
-    """The node on this machine."""
+    """A node whose process runs under this machine's faults."""
     node.env.update(machine.env)
     return node
 
 
 def test_a_request_is_answered_in_its_time_after_the_wall_clock_went_back(machine: Machine) -> None:
-    """Its attempt hangs: only a deadline can end it, and none came until the clock had caught up."""
+    """Its attempt hangs: only a timer can end it, and none came until the clock had caught up."""
     with on(machine, Node(Peer("s-1", OPEN=None))) as node:
         machine.step_wall_clock(-HOUR)
         time.sleep(WATCHED)  # what was armed before the step is overdue by now
@@ -46,7 +46,9 @@
 
 
 @pytest.mark.parametrize("seconds", [-HOUR, -2.0, 2.0, HOUR])
-def test_a_node_leaves_in_its_time_whatever_the_wall_clock_does(machine: Machine, seconds: float) -> None:
+def test_a_graceful_shutdown_keeps_its_schedule_across_wall_clock_steps(
+    machine: Machine, seconds: float
+) -> None:
     with on(machine, Node(peer := Peer("s-1"))) as node:
         client = node.client(opening())
         assert client.read() == "UP r1"
--- a/tests/policy/test_send_safety.py
+++ b/tests/policy/test_send_safety.py
@@ -33,7 +33,7 @@
     return Driver(settings, [entry(id, cell=id) for id in range(servers)])
 
 
-def test_a_repeat_that_never_ran_leaves_the_first_attempt_bound() -> None:
+def test_a_rejected_retry_keeps_the_request_bound_to_the_first_endpoint() -> None:
     """The first may have run at the same server; its repeat's refusal unbound the request for all servers."""
     drive = driver(KEYED)
     [first] = only(StartAttempt, drive.request(1))
@@ -51,7 +51,7 @@
 
 
 @pytest.mark.parametrize("cls", [ONCE, KEYED])
-def test_what_may_have_run_is_not_harmless_to_refuse(cls: RequestClass) -> None:
+def test_a_request_that_may_have_run_is_not_safe_to_reject(cls: RequestClass) -> None:
     drive = driver(cls)
     assert drive.policy.is_safe_to_reject(1)  # it was never sent
     [send] = only(StartAttempt, drive.request(1))
@@ -63,7 +63,7 @@
     assert anywhere.policy.is_safe_to_reject(1)
 
 
-def test_a_line_is_not_begun_at_a_server_that_began_to_drain_while_it_was_dialled() -> None:
+def test_no_line_is_sent_to_an_endpoint_that_began_to_drain_during_the_connect() -> None:
     drive = driver(RequestClass())
     [send] = only(StartAttempt, drive.request(1))
     assert drive.policy.may_send_attempt(drive.now, 1)
@@ -71,7 +71,7 @@
     assert not drive.policy.may_send_attempt(drive.now, 1)
 
 
-def test_a_line_is_not_begun_at_a_server_that_is_gone_nor_for_a_client_that_left() -> None:
+def test_no_line_is_sent_to_a_removed_endpoint_or_for_a_disconnected_client() -> None:
     drive = driver(RequestClass())
     [send] = only(StartAttempt, drive.request(1))
     drive.news(entry(send.endpoint, state=2))
@@ -82,7 +82,7 @@
     assert not drive.policy.may_send_attempt(drive.now, 2)
 
 
-def test_a_repeat_is_not_begun_once_the_window_of_the_first_attempt_is_over() -> None:
+def test_no_retry_is_sent_after_the_deduplication_window_of_the_first_attempt() -> None:
     """Decided within the window and dialled for longer than was left of it, it would have run twice."""
     drive = driver(KEYED)
     [first] = only(StartAttempt, drive.request(1, wait_us=5 * SECOND))
--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -33,7 +33,7 @@
     TimerFired,
 )
 from tests.bench import SECOND, entry
-from tests.daemon.test_daemon import command
+from tests.command_kit import command
 
 DAYS = Path(__file__).resolve().parent.parent / "example" / "fleet"
 NAMES = ("calm", "roll", "herd", "zone", "split", "join")
--- a/tests/test_fit.py
+++ b/tests/test_fit.py
@@ -15,7 +15,7 @@
 from stepflow.fleet.scenario import Day, Fault, Fitted, Scenario, Seen, read
 from stepflow.fleet.synth import synth
 from stepflow.fleet.world import World
-from tests.daemon.test_daemon import command
+from tests.command_kit import command
 from tests.test_trace import Script
 
 MADE = """
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -31,7 +31,7 @@
     Started,
 )
 from stepflow.policy import Policy, controller
-from tests.daemon.test_daemon import command
+from tests.command_kit import command
 
 SMALL = Scenario(
     Day(seconds=15, warm=2, servers=6, nodes=2, rate=8, life=20, groups=20),
--- a/tests/test_format_files.py
+++ b/tests/test_format_files.py
@@ -205,7 +205,7 @@
 def test_a_bad_operator_s_file_gets_its_line(
     tmp_path: Path, capsys: pytest.CaptureFixture[str], text: str | bytes | None, said: str
 ) -> None:
-    """Beside those that tests/test_daemon.py holds."""
+    """Beside those that tests/daemon and tests/test_command_line.py hold."""
     path = tmp_path / "stepflow.conf"
     if text is not None:
         path.write_bytes(text.encode() if isinstance(text, str) else text)
@@ -537,7 +537,7 @@
 def test_a_bad_platform_s_file_gets_its_line(
     tmp_path: Path, capsys: pytest.CaptureFixture[str], tree: object, said: str | None
 ) -> None:
-    """Beside those that tests/test_daemon.py holds."""
+    """Beside those that tests/daemon and tests/test_command_line.py hold."""
     path = tmp_path / "config.json"
     if tree is not None:
         saved(path, tree)
--- a/tests/test_replay.py
+++ b/tests/test_replay.py
@@ -15,7 +15,7 @@
 from stepflow.fleet.scenario import Class, Day, Fault, Kind, Scenario
 from stepflow.fleet.tally import Tally
 from stepflow.fleet.world import World
-from tests.daemon.test_daemon import command
+from tests.command_kit import command
 
 TINY = Scenario(
     Day(seconds=4, warm=1, servers=3, nodes=2, rate=4, life=5, groups=5, list_s=(0.2, 0.4), utilization=0.3),
--- a/tests/test_report.py
+++ b/tests/test_report.py
@@ -9,7 +9,7 @@
 
 from stepflow.fleet.compare import Found, Side, compare, save
 from stepflow.fleet.report import ReportError, page, write
-from tests.daemon.test_daemon import command
+from tests.command_kit import command
 
 TEXT = (
     "day {\n seconds 12\n servers 4\n nodes 1\n rate 5\n life 12\n}\nkind a {\n}\nkind <b> {\n speed 0.5\n}\n"
--- a/tests/test_trace.py
+++ b/tests/test_trace.py
@@ -28,8 +28,8 @@
     StartAttempt,
 )
 from stepflow.traffic import Recorder
-from tests.daemon.test_daemon import command
-from tests.traffic.test_traffic import KEY, SERVER, SETTINGS, Kept
+from tests.command_kit import command
+from tests.traffic.recorder_kit import KEY, SERVER, SETTINGS, MemorySink
 
 BEGAN = 10_000_000
 
@@ -38,7 +38,7 @@
     """Sessions by hand; `save` writes the journals and converts them."""
 
     def __init__(self, segment: int = 1 << 30) -> None:
-        self.sink = Kept()
+        self.sink = MemorySink()
         self.recorder = Recorder(self.sink, KEY, "n0", BEGAN, SETTINGS, segment)
         self.feed(0, EndpointListUpdate(ListUpdateKind.FULL, (SERVER,)))
 
