--- a/stepflow/daemon/model.py
+++ b/stepflow/daemon/model.py
@@ -46,7 +46,7 @@
 
 
 class OperatorFile(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """The whole file; a part that it doesn't name is off, or as by default."""
+    """The complete file; a part that it doesn't name is off, or as by default."""
 
     log: Log = Log()
     record: Record | None = None
--- a/stepflow/logs.py
+++ b/stepflow/logs.py
@@ -22,7 +22,7 @@
 LEVELS = {"debug": 10, "info": 20, "warning": 30, "error": 40}  # by name, as Python's `logging` counts them
 FORMS = ("text", "json")
 
-# Parts of Twisted whose events tell operators nothing: each factory's start and end, mostly.
+# Parts of Twisted whose events are of no use to operators: mostly each factory's start and end.
 _IGNORED_TWISTED_SOURCES = ("twisted.web.client", "twisted.internet.protocol")
 _LEVEL_OF_TWISTED = {LogLevel.warn: "warning", LogLevel.error: "error", LogLevel.critical: "error"}
 
--- a/stepflow/node/core/attempts.py
+++ b/stepflow/node/core/attempts.py
@@ -42,16 +42,16 @@
             return
         context.downstream.check_disconnected()
         now = self._clock.now()
-        client_waits_us = context.request.expires_us - micros(now)
-        wait_us = min(timeout_us, client_waits_us) if timeout_us else client_waits_us
+        time_left_us = context.request.expires_us - micros(now)
+        timeout_us = min(timeout_us, time_left_us) if timeout_us else time_left_us
         context.attempts += 1
         context.endpoint, context.attempt_started = endpoint, now
-        if context.attempts > context.max_attempts or wait_us <= 0 or context.answered:
+        if context.attempts > context.max_attempts or timeout_us <= 0 or context.answered:
             self.ended(context, AttemptResult.NOT_SENT)
             return
-        wait = timedelta(microseconds=wait_us)
-        self._requests.log.attempt_started(context, wait)
-        context.attempt = self._upstream.start_attempt(context, endpoint, wait)
+        timeout = timedelta(microseconds=timeout_us)
+        self._requests.log.attempt_started(context, timeout)
+        context.attempt = self._upstream.start_attempt(context, endpoint, timeout)
         if context.attempt is None:
             self.ended(context, AttemptResult.CONNECT_FAILED)
 
--- a/stepflow/node/core/core.py
+++ b/stepflow/node/core/core.py
@@ -165,7 +165,7 @@
         return context
 
     def client_disconnected(self, context: RequestContext) -> None:
-        """The client left before its answer: an attempt that is still out would only waste work."""
+        """The client disconnected before its answer: an attempt that goes on would only waste work."""
         if context.answered:
             return
         self._requests.mark_disconnected(context)
--- a/stepflow/node/core/event_queue.py
+++ b/stepflow/node/core/event_queue.py
@@ -55,7 +55,7 @@
         try:
             actions = self._policy.handle(now_us, event)
         except Exception:
-            # The node survives a fault of the policy, and the request at hand still gets its answer.
+            # An error in the policy must not end the node, and the request at hand still gets its answer.
             self._counters.faults += 1
             log.exception("the decision module failed", on=repr(event))
             actions = _fail_request_of(event)
--- a/stepflow/node/core/interfaces.py
+++ b/stepflow/node/core/interfaces.py
@@ -15,10 +15,14 @@
 
 
 class Downstream(Protocol):
-    """The client's side of one request; the core calls exactly one of its answers."""
+    """The client's side of one request.
+
+    The core calls one of `session_established`, `reject`, `fail` and `complete`, and none for a client that
+    has disconnected.
+    """
 
     def check_disconnected(self) -> None:
-        """Call `Core.client_disconnected` now if the client has left, though nothing was read of that yet."""
+        """Call `Core.client_disconnected` now if the client has disconnected, unread so far."""
 
     def session_established(self, attempt: Attempt) -> None:
         """Join the client with the attempt, which is up."""
@@ -49,13 +53,13 @@
 class Upstream(Protocol):
     """The way to the endpoints."""
 
-    def start_attempt(self, context: RequestContext, peer: str, wait: timedelta) -> Attempt | None:
-        """Start an attempt that may take `wait`; None where the endpoint has no address."""
+    def start_attempt(self, context: RequestContext, endpoint: str, timeout: timedelta) -> Attempt | None:
+        """Start an attempt that may take so long; None where the endpoint has no address."""
 
-    def start_health_check(self, peer: str) -> None:
+    def start_health_check(self, endpoint: str) -> None:
         """Ask an endpoint for its load report; `Core.health_check_ended` follows."""
 
-    def close_idle(self, peer: str) -> None:
+    def close_idle(self, endpoint: str) -> None:
         """Close the idle connections to an endpoint."""
 
 
@@ -66,7 +70,7 @@
         """Begin to watch the list, or end that."""
 
     def fetch(self) -> None:
-        """Ask for the whole list once."""
+        """Ask for the complete list once."""
 
 
 @dataclass(slots=True, eq=False)
--- a/stepflow/node/core/requests.py
+++ b/stepflow/node/core/requests.py
@@ -56,7 +56,7 @@
             self._contexts.remove(context.id)
 
     def count_attempt(self, context: RequestContext) -> None:
-        """Count an attempt whose line was sent whole."""
+        """Count an attempt whose line was sent completely."""
         self._counters.attempts += 1
         self._class_counts[context.request.class_index].attempts += 1
 
@@ -72,7 +72,7 @@
         self.log.answered(context, "UP", "the peer's answer")
 
     def mark_disconnected(self, context: RequestContext) -> None:
-        """Note that the client left before its answer: none is owed any more."""
+        """Note that the client disconnected before its answer: none is owed any more."""
         context.answered = True
         self._counters.left += 1
         self.log.answered(context, "none", "the client left")
--- a/stepflow/node/runtime/counters.py
+++ b/stepflow/node/runtime/counters.py
@@ -16,7 +16,7 @@
     served: int = 0
     refused: int = 0  # answered BUSY
     failed: int = 0  # answered ERR
-    attempts: int = 0  # whose line was sent whole
+    attempts: int = 0  # whose line was sent completely
 
 
 @dataclass(slots=True)
@@ -30,7 +30,7 @@
     malformed: int = 0  # clients answered ERR for what they sent, or failed to send in time
     evicted: int = 0  # client connections without a request, closed for want of descriptors
     table_full: int = 0  # requests rejected for want of a slot or a descriptor
-    attempts: int = 0  # whose line was sent whole
+    attempts: int = 0  # whose line was sent completely
     retries: int = 0  # attempts after the first of their request
     served: int = 0  # requests answered UP, or by their endpoint without a session
     rejected: int = 0  # requests answered BUSY
--- a/stepflow/node/runtime/lines.py
+++ b/stepflow/node/runtime/lines.py
@@ -44,7 +44,7 @@
         self._buffer, self._position = data, 0
 
     def next_line(self) -> memoryview | None:
-        """The next whole line without its delimiter, valid until the next `feed`; None once there is none."""
+        """The next complete line, less its delimiter, valid until the next `feed`; None if none is left."""
         end = self._buffer.find(self.delimiter, self._position)
         length = (len(self._buffer) if end < 0 else end + len(self.delimiter)) - self._position
         if length > self.MAX_LENGTH:
--- a/stepflow/node/runtime/request_log.py
+++ b/stepflow/node/runtime/request_log.py
@@ -52,8 +52,8 @@
         if debugging():
             log.debug("request turned away", request=client_request_id, why=reason)
 
-    def attempt_started(self, context: LoggedRequest, wait: timedelta) -> None:
-        """An attempt was started, which may take `wait`."""
+    def attempt_started(self, context: LoggedRequest, timeout: timedelta) -> None:
+        """An attempt was started, which may take so long."""
         self._counters.retries += context.attempts > 1
         if debugging():
             log.debug(
@@ -61,7 +61,7 @@
                 request=context.client_request_id,
                 peer=context.endpoint,
                 attempt=context.attempts,
-                waits_ms=millis(wait),
+                waits_ms=millis(timeout),
             )
 
     def attempt_ended(self, context: LoggedRequest, result: AttemptResult) -> None:
--- a/stepflow/node/runtime/transports.py
+++ b/stepflow/node/runtime/transports.py
@@ -54,7 +54,7 @@
         """Close the connection now, by a reset."""
 
     def connectionLost(self, reason: Failure) -> None:
-        """Close the socket and tell the protocol."""
+        """Close the socket and notify the protocol."""
 
     def setTcpNoDelay(self, enabled: bool) -> None:
         """Whether small writes are sent at once."""
@@ -66,10 +66,10 @@
         """Go on reading."""
 
     def registerProducer(self, producer: Any, streaming: bool) -> None:
-        """Have a producer told when data can be sent."""
+        """Call a producer when data can be sent."""
 
     def unregisterProducer(self) -> None:
-        """Tell the producer nothing more."""
+        """Call the producer no more."""
 
     def fileno(self) -> int:
         """The socket's file descriptor."""
--- a/stepflow/traffic/journal.py
+++ b/stepflow/traffic/journal.py
@@ -4,7 +4,7 @@
     block   = length crc payload    4 bytes each, little endian; the CRC-32 is of the payload
     payload = a MessagePack array of rows, each an array whose first item is the row's kind
 
-The first row of each file is a HEADER, so that each file can be read by itself. A block is whole or it
+The first row of each file is a HEADER, so that each file can be read by itself. A block is complete or it
 doesn't count: the reader stops at the first that is incomplete or damaged, and names the byte where it
 begins. Kinds and items that a later version may add are passed over.
 """
@@ -201,7 +201,7 @@
 
 
 def _read_first_payload(file: BinaryIO) -> bytes:
-    """The payload of the first block; empty where that isn't whole."""
+    """The payload of the first block; empty where that is incomplete or damaged."""
     try:
         block = _read_block(file)
     except _DamagedBlockError:
--- a/stepflow/traffic/recorder.py
+++ b/stepflow/traffic/recorder.py
@@ -1,6 +1,6 @@
 """Turns the policy's events and actions into rows of the journal.
 
-It knows no file: it hands whole blocks to a sink.
+It knows no file: it hands complete blocks to a sink.
 """
 
 from __future__ import annotations
@@ -40,7 +40,7 @@
 
 
 class Sink(Protocol):
-    """Takes whole blocks, each for the current file or as the first of the next file."""
+    """Takes complete blocks, each for the current file or as the first of the next file."""
 
     def put(self, data: bytes, begins: bool) -> bool:
         """Take a block; `begins`: into a new file. False: the block was dropped."""
