--- a/stepflow/traffic/journal.py
+++ b/stepflow/traffic/journal.py
@@ -37,7 +37,7 @@
 class Kind(IntEnum):
     """The kinds of rows, with the items behind the kind; `t` is in microseconds since `began_us`."""
 
-    HEADER = 0  # {version, node, began_us, zones, kinds, classes, fields, settings}
+    HEADER = 0  # {version, node, began_us, zones, kinds, balancers, fields, classes}
     REQUEST = 1  # t, id, class, group, wait_us, repeated, returned
     SEND = 2  # t, id, server, timeout_us
     UP = 3  # t, id, wait_us
@@ -51,7 +51,7 @@
     LIST = 11  # t, form, [[server, zone, kind, cell, availability, size, started_us], ...]
     PROBED = 12  # t, server, result, wait_us, [report]
     STANDING = 13  # t, id, class, group, server, load: a session that is older than this file or process
-    SETTINGS = 14  # t, {the header's keys that changed}
+    SETTINGS = 14  # t, {the header's keys about the settings}
     LOST = 15  # t, rows that were dropped here, since the disk took none
     END = 16  # t: the recording was ended in order
 
