--- a/tests/fleet/test_fit.py
+++ b/tests/fleet/test_fit.py
@@ -15,7 +15,7 @@
 from stepflow.fleet.scenario import Day, Fault, Fitted, Scenario, Seen, read
 from stepflow.fleet.simulation import Simulation
 from stepflow.fleet.synth import synth
-from tests.daemon.test_daemon import command
+from tests.command_kit import command
 from tests.fleet.test_trace import Script
 
 MADE = """
--- a/tests/policy/test_fault_scenarios.py
+++ b/tests/policy/test_fault_scenarios.py
@@ -32,7 +32,7 @@
     StartAttempt,
     TimerFired,
 )
-from tests.daemon.test_daemon import command
+from tests.command_kit import command
 from tests.policy.driver import SECOND, entry
 
 DAYS = Path(__file__).resolve().parents[2] / "example" / "fleet"
