--- a/tests/budgets/test_processes.py
+++ b/tests/budgets/test_processes.py
@@ -1,4 +1,4 @@
-"""Real processes that divide a whole, with failing links between them: no window holds more."""
+"""Real processes that share a limit, with failing links between them: no window exceeds the limit."""
 
 from __future__ import annotations
 
@@ -9,134 +9,146 @@
 import sys
 from collections import deque
 from collections.abc import Awaitable, Callable
+from typing import NamedTuple
 
 import pytest
 
 from standins.links import Links
 from stepflow.budgets.timing import FULL_LIMIT
 
-PLACES, PORT = 3, 7946
+MEMBERS, PORT = 3, 7946
 WINDOW_NS = 1_000_000_000
-PATIENCE = 30.0
+PATIENCE_S = 30.0
 
 
-class Story:
-    """Some processes, the links between them, and what each wrote of its spending."""
+class Use(NamedTuple):
+    """One use of the limit, as the process printed it."""
+
+    used_ns: int
+    amount: int
+    member: int
+
+
+class Processes:
+    """The members' processes, the links between them, and all uses of the limit."""
 
     def __init__(self, seed: int) -> None:
-        self.links = Links(PLACES, seed)
+        self.links = Links(MEMBERS, seed)
         self.processes: dict[int, asyncio.subprocess.Process] = {}
-        self.spent: list[tuple[int, int, int]] = []  # when, how much, by whom
+        self.uses: list[Use] = []
         self._readers: list[asyncio.Task[None]] = []
 
-    async def start(self, place: int) -> None:
-        host, port = self.links.listen[place]
-        told = {
-            "number": place,
+    async def start(self, member: int) -> None:
+        host, port = self.links.listen[member]
+        arguments = {
+            "number": member,
             "listen": f"{host}:{port}",
-            "peers": self.links.addresses_known_to(place),
+            "peers": self.links.addresses_known_to(member),
             "demand": 1.0,
         }
         process = await asyncio.create_subprocess_exec(
-            sys.executable, "-m", "standins.sharer", json.dumps(told), stdout=asyncio.subprocess.PIPE
+            sys.executable, "-m", "standins.sharer", json.dumps(arguments), stdout=asyncio.subprocess.PIPE
         )
         assert process.stdout is not None
-        assert (await asyncio.wait_for(process.stdout.readline(), PATIENCE)) == b"listens\n"
-        self.processes[place] = process
-        self._readers.append(asyncio.create_task(self._read(place, process.stdout)))
+        assert (await asyncio.wait_for(process.stdout.readline(), PATIENCE_S)) == b"listens\n"
+        self.processes[member] = process
+        self._readers.append(asyncio.create_task(self._read_uses(member, process.stdout)))
 
-    async def _read(self, place: int, stream: asyncio.StreamReader) -> None:
+    async def _read_uses(self, member: int, stream: asyncio.StreamReader) -> None:
         while line := await stream.readline():
-            when, amount = line.split()
-            self.spent.append((int(when), int(amount), place))
+            used_ns, amount = line.split()
+            self.uses.append(Use(int(used_ns), int(amount), member))
 
-    async def end(self, place: int) -> None:
-        process = self.processes.pop(place)
+    async def kill(self, member: int) -> None:
+        process = self.processes.pop(member)
         process.kill()
         await process.wait()
 
-    async def reaches(self, share: float, by: set[int] | None = None) -> None:
-        """Wait until so much of the whole was spent within the last second."""
-        async with asyncio.timeout(PATIENCE):
+    async def wait_for_usage(self, share: float, by: set[int] | None = None) -> None:
+        """Wait until some members have used this share of the limit within the last window."""
+        async with asyncio.timeout(PATIENCE_S):
             while True:
                 await asyncio.sleep(0.05)
-                last = max((when for when, _, _ in self.spent), default=0) - WINDOW_NS
-                recent = [s for s in self.spent if s[0] > last and (by is None or s[2] in by)]
-                if sum(amount for _, amount, _ in recent) >= share * FULL_LIMIT:
+                window_start = max((use.used_ns for use in self.uses), default=0) - WINDOW_NS
+                recent = [use for use in self.uses if use.used_ns > window_start]
+                used = sum(use.amount for use in recent if by is None or use.member in by)
+                if used >= share * FULL_LIMIT:
                     return
 
-    def worst(self) -> int:
-        """The most that was spent within any window."""
-        held: deque[tuple[int, int]] = deque()
+    def max_in_window(self) -> int:
+        """The most that was used within any window."""
+        window: deque[Use] = deque()
         most = total = 0
-        for when, amount, _ in sorted(self.spent):
-            held.append((when, amount))
-            total += amount
-            while held[0][0] <= when - WINDOW_NS:
-                total -= held.popleft()[1]
+        for use in sorted(self.uses):
+            window.append(use)
+            total += use.amount
+            while window[0].used_ns <= use.used_ns - WINDOW_NS:
+                total -= window.popleft().amount
             most = max(most, total)
         return most
 
-    async def play(self, story: Callable[[Story], Awaitable[None]]) -> None:
+    async def run(self, scenario: Callable[[Processes], Awaitable[None]]) -> None:
         # Addresses of their own: a free port may be another test's a moment later.
         pid = os.getpid()
-        await self.links.open([(f"127.{120 + n}.{pid >> 8 & 255}.{pid & 255}", PORT) for n in range(PLACES)])
+        await self.links.open(
+            [(f"127.{120 + member}.{pid >> 8 & 255}.{pid & 255}", PORT) for member in range(MEMBERS)]
+        )
         try:
-            for place in range(PLACES):
-                await self.start(place)
-            await self.reaches(0.75)
-            await story(self)
+            for member in range(MEMBERS):
+                await self.start(member)
+            await self.wait_for_usage(0.75)
+            await scenario(self)
         finally:
-            for place in tuple(self.processes):
-                await self.end(place)
+            for member in tuple(self.processes):
+                await self.kill(member)
             await asyncio.gather(*self._readers)
             self.links.close()
-        assert self.worst() <= FULL_LIMIT
+        assert self.max_in_window() <= FULL_LIMIT
 
 
-async def lossy(story: Story) -> None:
-    """A fifth of all datagrams lost, a tenth doubled, some 150 ms late."""
-    for link in story.links.by_pair.values():
+async def lossy_links(processes: Processes) -> None:
+    """A fifth of all datagrams lost, a tenth duplicated, some 150 ms late."""
+    for link in processes.links.by_pair.values():
         link.loss, link.duplicates, link.delay_range_s = 0.2, 0.1, (0.0, 0.15)
     await asyncio.sleep(4)
-    await story.reaches(0.7)
+    await processes.wait_for_usage(0.7)
 
 
-async def killed(story: Story) -> None:
-    """One dies: what it held serves again. Back within 300 ms under its name, it has a part again."""
-    await story.end(2)
+async def killed_members(processes: Processes) -> None:
+    """One dies: its leases serve again. Back within 300 ms under its number, it has a share again."""
+    await processes.kill(2)
     await asyncio.sleep(3)
-    await story.reaches(0.78, by={0, 1})
-    await story.start(2)
-    await story.reaches(0.2, by={2})
-    await story.end(1)
+    await processes.wait_for_usage(0.78, by={0, 1})
+    await processes.start(2)
+    await processes.wait_for_usage(0.2, by={2})
+    await processes.kill(1)
     await asyncio.sleep(0.3)
-    await story.start(1)
-    await story.reaches(0.2, by={1})
+    await processes.start(1)
+    await processes.wait_for_usage(0.2, by={1})
 
 
-async def paused(story: Story) -> None:
-    """One stands still for longer than its lease, and wakes up as one that owns what is kept."""
-    story.processes[1].send_signal(signal.SIGSTOP)
+async def a_paused_member(processes: Processes) -> None:
+    """One is stopped for longer than its lease, and goes on with its reserved share only."""
+    processes.processes[1].send_signal(signal.SIGSTOP)
     await asyncio.sleep(5)
-    await story.reaches(0.78, by={0, 2})
-    story.processes[1].send_signal(signal.SIGCONT)
-    await story.reaches(0.2, by={1})
+    await processes.wait_for_usage(0.78, by={0, 2})
+    processes.processes[1].send_signal(signal.SIGCONT)
+    await processes.wait_for_usage(0.2, by={1})
 
 
-async def split(story: Story) -> None:
-    """Two against one, healed while the one holds what is over, then cut one way only."""
-    story.links.set_partition({0})
+async def partitions(processes: Processes) -> None:
+    """Two against one, healed while the one holds leases that are over, then cut one way only."""
+    processes.links.set_partition({0})
     await asyncio.sleep(4)
-    await story.reaches(0.78, by={1, 2})
-    story.links.set_partition({0}, is_cut=False)
-    await story.reaches(0.2, by={0})
-    story.links.set_partition({2}, both_ways=False)
+    await processes.wait_for_usage(0.78, by={1, 2})
+    processes.links.set_partition({0}, is_cut=False)
+    await processes.wait_for_usage(0.2, by={0})
+    processes.links.set_partition({2}, both_ways=False)
     await asyncio.sleep(4)
-    story.links.set_partition({2}, is_cut=False, both_ways=False)
-    await story.reaches(0.2, by={2})
+    processes.links.set_partition({2}, is_cut=False, both_ways=False)
+    await processes.wait_for_usage(0.2, by={2})
 
 
-@pytest.mark.parametrize("story", [lossy, killed, paused, split])
-def test_processes_never_spend_more_than_the_whole(story: Callable[[Story], Awaitable[None]]) -> None:
-    asyncio.run(Story(seed=1).play(story))
+@pytest.mark.parametrize("scenario", [lossy_links, killed_members, a_paused_member, partitions])
+def test_processes_never_exceed_the_limit(scenario: Callable[[Processes], Awaitable[None]]) -> None:
+    asyncio.run(Processes(seed=1).run(scenario))
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -90,7 +90,7 @@
     )
 
 
-def test_list_entries() -> None:
+def test_entries_of_an_endpoint_list() -> None:
     event = decode_one(
         "64 39000000 29000000 02 02000000"
         "0a124a07 431f 00 0000 0000 00 0000803f 0000000000000000"
@@ -101,7 +101,7 @@
     )
 
 
-def test_connection_already_open() -> None:
+def test_an_adopted_session() -> None:
     event = decode_one(
         "1e 2f000000 192b6f0ec22e0900 0000 0000 640ad2557c3bf091 da05840000000000 e02e0000"
         "107cf3d901648e2b 01 0a9011f2 6c1f"
@@ -110,24 +110,36 @@
     assert event == SessionAdopted(request, OTHER)
 
 
-def test_news_of_attempts() -> None:
-    assert decode_one("6e 14000000 c4913a5d4c060000 22240000 0a124a07 431f 0000") == SessionEstablished(
-        REQUEST, 0, SERVER, 0x2422
-    )
-    assert decode_one("46 15000000 c4913a5d4c060000 0000 0a124a07 431f 01 0000003f") == SessionReport(
-        REQUEST, 0, SERVER, 1, 0.5
-    )
-    assert decode_one("14 17000000 c4913a5d4c060000 0a124a07 431f 44480000 01 00 0000 00") == AttemptEnded(
-        REQUEST, 0, SERVER, 0, True, 0x4844
-    )
+@pytest.mark.parametrize(
+    ("record", "event"),
+    [
+        (
+            "6e 14000000 c4913a5d4c060000 22240000 0a124a07 431f 0000",
+            SessionEstablished(REQUEST, 0, SERVER, 0x2422),
+        ),
+        (
+            "46 15000000 c4913a5d4c060000 0000 0a124a07 431f 01 0000003f",
+            SessionReport(REQUEST, 0, SERVER, 1, 0.5),
+        ),
+        (
+            "14 17000000 c4913a5d4c060000 0a124a07 431f 44480000 01 00 0000 00",
+            AttemptEnded(REQUEST, 0, SERVER, 0, True, 0x4844),
+        ),
+        ("0a 0a000000 02000000 0400 68692037", PeerMessageReceived(2, b"hi 7")),
+    ],
+)
+def test_events_of_sessions_attempts_and_peers(record: str, event: Event) -> None:
+    assert decode_one(record) == event
+
+
+def test_a_health_check_with_a_load_report() -> None:
     report = decode_one("50 1c000000 0a9011f2 6c1f 00 78050000 04 cdcccc3e 0000003f 00000c43 52b81e3f")
     assert isinstance(report, HealthCheckEnded)
     assert report[:3] == (OTHER, 0, 1400)
     assert report.load_report == pytest.approx((0.4, 0.5, 140.0, 0.62), abs=1e-6)
-    assert decode_one("0a 0a000000 02000000 0400 68692037") == PeerMessageReceived(2, b"hi 7")
 
 
-def test_hint_counts_only_where_marked() -> None:
+def test_a_load_counts_only_where_its_flag_is_set() -> None:
     event = decode_one(
         "5a 29000000 0100000000000000 0000 1a 0000 e02e0000 da058400000000000000000000000000 0000000000000000"
     )
@@ -162,7 +174,7 @@
 
 
 @pytest.mark.parametrize("data", [EXAMPLE_BATCH[:10], EXAMPLE_BATCH[:40], struct.pack("<IIQ", 0, 3, 0)])
-def test_cut_frames(data: bytes) -> None:
+def test_a_cut_frame_raises(data: bytes) -> None:
     with pytest.raises(wire.WireError):
         wire.read_batch(io.BytesIO(data))
 
@@ -180,7 +192,7 @@
         (2, "3c 04000000 03000000 78 0c000000 0100000000000000 09000000"),  # settings cut short
     ],
 )
-def test_malformed_records(count: int, text: str) -> None:
+def test_a_malformed_record_raises(count: int, text: str) -> None:
     with pytest.raises(wire.WireError):
         list(wire.decode(count, memoryview(bytes.fromhex(text))))
 
@@ -215,7 +227,7 @@
 @pytest.mark.parametrize(
     "line", ["costs.probe=cheap", "group_size=0", "policy_limits.probing=yes", "classes.count=nan", "zone=-1"]
 )
-def test_unreadable_setting_is_named(line: str) -> None:
+def test_an_error_names_the_setting(line: str) -> None:
     with pytest.raises(SettingsError, match=line.split("=")[0].replace(".", r"\.")):
         parse_settings(line)
     with pytest.raises(SettingsError, match=r"classes\.0\.effect"):
