--- a/tests/test_any_settings.py
+++ b/tests/test_any_settings.py
@@ -1,4 +1,4 @@
-"""Settings of any customer, whatever they say: the decisions go on, through events in any order."""
+"""Any valid settings and any order of events: the policy raises nothing."""
 
 from __future__ import annotations
 
@@ -36,8 +36,8 @@
 VALUES = (0.0, 0.2, 4.0, -1.0, float("nan"), float("inf"))
 
 
-def tree(rng: random.Random) -> dict[str, Any]:
-    """Settings at their ends: nothing, next to nothing, and far more than the sites we know have."""
+def random_settings(rng: random.Random) -> dict[str, Any]:
+    """Settings at their extremes: nothing, next to nothing, and far more than known sites have."""
 
     def one(*values: Any) -> Any:
         return rng.choice(values)
@@ -88,15 +88,15 @@
     }
 
 
-class Story:
-    """Events at random for one module; each that speaks of an attempt speaks of one that is out or up."""
+class RandomEvents:
+    """Random events for one policy; those of attempts are of pending ones or of established sessions."""
 
     def __init__(self, seed: int) -> None:
         self.rng = rng = random.Random(seed)
-        self.settings = parse_node_settings(tree(rng)).policy
-        self.policy, self.now, self.ids = Policy(self.settings, seed), 1_000_000_000, 0
-        self.out: dict[int, EndpointId] = {}
-        self.up: dict[int, tuple[int, EndpointId]] = {}
+        self.settings = parse_node_settings(random_settings(rng)).policy
+        self.policy, self.now, self.request_count = Policy(self.settings, seed), 1_000_000_000, 0
+        self.pending: dict[int, EndpointId] = {}
+        self.established: dict[int, tuple[int, EndpointId]] = {}
         self.timers: list[tuple[int, int]] = []
         self.answered: set[int] = set()
         self.feed(Started())
@@ -108,8 +108,8 @@
                 assert action.delay_us >= 0
                 self.timers.append((self.now + action.delay_us, action.token))
             elif isinstance(action, StartAttempt):
-                assert action.request_id not in self.out
-                self.out[action.request_id] = action.endpoint
+                assert action.request_id not in self.pending
+                self.pending[action.request_id] = action.endpoint
             elif isinstance(action, (RejectRequest, FailRequest)):
                 assert action.request_id not in self.answered
                 self.answered.add(action.request_id)
@@ -139,59 +139,70 @@
         self.timers = [timer for timer in self.timers if timer[0] > self.now]
         for _, token in due:
             self.feed(TimerFired(token))
-        rng.choice([self.comes, self.comes, self.answer, self.end, self.tell, self.list, self.leave])()
+        events = (
+            self.request,
+            self.request,
+            self.answer_attempt,
+            self.end_session,
+            self.end_health_check,
+            self.update_list,
+            self.disconnect_or_reload,
+        )
+        rng.choice(events)()
 
-    def comes(self) -> None:
-        rng, self.ids = self.rng, self.ids + 1
+    def request(self) -> None:
+        rng, self.request_count = self.rng, self.request_count + 1
         expires = self.now + rng.choice([0, 1, 200_000, 2_000_000])
         load = rng.choice([None, 0.0, 1.0, 1e12])
         cls = rng.randrange(len(self.settings.classes))
         again = rng.random() < 0.3, rng.random() < 0.3
         group = rng.getrandbits(3)
-        self.feed(Request(self.ids, cls, expires, load, rng.randrange(4), 7, group, *again))
+        self.feed(Request(self.request_count, cls, expires, load, rng.randrange(4), 7, group, *again))
 
-    def answer(self) -> None:
-        if not self.out:
+    def answer_attempt(self) -> None:
+        if not self.pending:
             return
-        id = self.rng.choice(list(self.out))
-        server, flight = self.out.pop(id), self.policy.requests[id]
-        number = flight.attempts - 1
+        id = self.rng.choice(list(self.pending))
+        endpoint, request = self.pending.pop(id), self.policy.requests[id]
+        number = request.attempts - 1
         if self.rng.random() < 0.5:
-            self.feed(SessionEstablished(id, number, server, self.rng.choice([0, 900_000])))
+            self.feed(SessionEstablished(id, number, endpoint, self.rng.choice([0, 900_000])))
             kind = self.rng.choice(list(SessionReportKind))
-            self.feed(SessionReport(id, number, server, kind, self.rng.choice(VALUES)))
-            self.up[id] = number, server
+            self.feed(SessionReport(id, number, endpoint, kind, self.rng.choice(VALUES)))
+            self.established[id] = number, endpoint
         else:
             result = self.rng.choice(list(AttemptResult))
-            self.feed(AttemptEnded(id, number, server, result, id in self.answered, 1000, self.report()))
+            self.feed(AttemptEnded(id, number, endpoint, result, id in self.answered, 1000, self.report()))
 
-    def end(self) -> None:
-        if self.up:
-            id = self.rng.choice(list(self.up))
-            number, server = self.up.pop(id)
+    def end_session(self) -> None:
+        if self.established:
+            id = self.rng.choice(list(self.established))
+            number, endpoint = self.established.pop(id)
             result = self.rng.choice([AttemptResult.OK, AttemptResult.RESET, AttemptResult.CANCELLED])
-            self.feed(AttemptEnded(id, number, server, result, True, 1000))
+            self.feed(AttemptEnded(id, number, endpoint, result, True, 1000))
 
-    def tell(self) -> None:
+    def end_health_check(self) -> None:
         result = self.rng.choice(list(AttemptResult))
         self.feed(HealthCheckEnded(f"s{self.rng.randrange(9)}", result, 500, self.report()))
 
-    def list(self) -> None:
+    def update_list(self) -> None:
         self.feed(EndpointListUpdate(self.rng.choice(list(ListUpdateKind)), self.entries()))
 
-    def leave(self) -> None:
-        """A client goes, or new settings come."""
+    def disconnect_or_reload(self) -> None:
+        """A client disconnects, or the settings are reloaded."""
         if self.rng.random() < 0.5:
-            self.feed(ClientDisconnected(self.rng.randint(1, max(1, self.ids))))
+            self.feed(ClientDisconnected(self.rng.randint(1, max(1, self.request_count))))
         else:
-            self.settings = merge_settings(self.settings, parse_node_settings(tree(self.rng)).policy)
+            self.settings = merge_settings(
+                self.settings, parse_node_settings(random_settings(self.rng)).policy
+            )
             self.policy.update_settings(self.settings)
 
 
 @pytest.mark.parametrize("seed", range(8))
 def test_no_settings_and_no_order_of_events_raise(seed: int) -> None:
-    """A server that starts a moment from now, where none starts cold, divided by nothing."""
+    """An endpoint with a start time in the future once divided by 0 where slow start was off."""
     for number in range(40):
-        story = Story(seed * 1000 + number)
+        events = RandomEvents(seed * 1000 + number)
         for _ in range(150):
-            story.step()
+            events.step()
