--- a/standins/members.py
+++ b/standins/members.py
@@ -122,16 +122,16 @@
         self.now = end
 
     def _schedule_faults(self, end: float) -> None:
-        kinds = (
+        faults = (
             (self.faults.cuts, self._cut_link),
             (self.faults.partitions, self._partition),
             (self.faults.pauses, self._pause),
             (self.faults.kills, self._kill),
         )
-        for rate, fault in kinds:
+        for rate, inject in faults:
             when = self.now
             while rate > 0 and (when := when + self.rng.expovariate(rate) * SECOND) < end:
-                self.schedule(when, fault)
+                self.schedule(when, inject)
 
     def _start(self, member: VirtualMember) -> None:
         if member.is_up:
--- a/stepflow/budgets/__init__.py
+++ b/stepflow/budgets/__init__.py
@@ -1,1 +1,1 @@
-"""What is bounded for the whole fleet and divided among its nodes. Pure: no clock, no I/O."""
+"""Limits that hold for the whole fleet and are divided among its nodes. Pure: no clock, no I/O."""
--- a/stepflow/budgets/shared_limits.py
+++ b/stepflow/budgets/shared_limits.py
@@ -1,13 +1,13 @@
 """Limits that hold for all members together, divided among them so that no failure breaks one.
 
 The rule: in no window does the sum of what all members use of a limit exceed it, whichever messages are lost,
-late or doubled, whichever links are cut, whoever is paused, killed or started again (proof: docs/budgets.md).
+late or duplicated, whichever links are cut, whoever is paused, killed or restarted (proof: docs/budgets.md).
 
-- A limit is a million millionths. Each member has an equal part of it, its base share. - A quarter of that is
-its reserved share, which it may use whatever it hears. - The rest is leased by majority votes (`leases`), so
-that the share of a dead member serves again. A member that
-  reaches no majority has its reserved share only. Of two members neither is a majority without the other:
-  there nothing is leased, and each has its whole base share.
+- A limit has a million millionths. Each member has an equal part of it, its base share.
+- A quarter of that is its reserved share, which it may use whatever messages it gets.
+- The rest is leased by majority votes (`leases`), so that the share of a dead member is used again. A member
+  that reaches no majority has its reserved share only. Of two members neither is a majority without the
+  other: there nothing is leased, and each has its whole base share.
 - A member lends what it does not need of its base share (`loans`).
 
 `SharedLimits` routes the messages and holds the accounts of all limits. It is pure: times and messages in,
--- a/stepflow/simhost.py
+++ b/stepflow/simhost.py
@@ -66,7 +66,7 @@
             raise wire.WireError(f"event for instance {instance}, which was never started")
         try:
             return policy.handle(now, event)
-        except Exception as error:  # the simulator is told of any fault in a decision
+        except Exception as error:  # whatever it is, the simulator gets a report
             raise PolicyError(instance, error) from error
 
 
--- a/stepflow/upstream/endpoint_group.py
+++ b/stepflow/upstream/endpoint_group.py
@@ -1,4 +1,4 @@
-"""The endpoint list as discovery last told it: each endpoint's address and entry, and the list's revision.
+"""The endpoint list as discovery last reported it: each endpoint's address and entry, and a revision.
 
 A message of discovery is an object: `targets` holds entries, `all` whether they are the complete list or
 changes to it, and `rev` its revision. Capacities are relative to 1, `boot_ms` is Unix time in milliseconds.
@@ -35,11 +35,11 @@
 class _Entry(NamedTuple):
     endpoint: Endpoint
     address: Address
-    raw: object  # as discovery told it
+    raw: object  # as discovery sent it
 
 
 class EndpointGroup:
-    """The endpoint list as discovery last told it.
+    """The endpoint list as discovery last reported it.
 
     It owns the numbers of zones and of kinds of machine: those named in the settings come first, and others
     are numbered as they appear.
--- a/stepflow/upstream/start_times.py
+++ b/stepflow/upstream/start_times.py
@@ -1,9 +1,9 @@
 """When endpoints started, on this process's own clock. Pure: times in, times out, all in microseconds.
 
 Discovery tells Unix times of another machine's clock, and this machine's wall clock may have been stepped
-before the process began. What the process can trust is when it was told of a start: that is never before the
-start, and a healthy discovery tells of it soon. So the smallest delay from any start to the message about it
-shows how far the two clocks are apart: this one is behind where the delay is below zero, and ahead by what
+before the process began. What the process can trust is when a message reported a start: that is never before
+the start, and a healthy discovery reports it soon. So the smallest delay from any start to the message about
+it shows how far the two clocks are apart: this one is behind where the delay is below zero, and ahead by what
 exceeds the usual delay.
 """
 
@@ -19,7 +19,7 @@
 
 
 class _KnownStart(NamedTuple):
-    told_us: int  # as discovery told it
+    reported_us: int  # as discovery reported it
     local_us: int  # on this process's clock
 
 
@@ -27,7 +27,7 @@
 
 
 class StartTimes:
-    """Converts start times to this process's clock; a start that is told again gets the same time again."""
+    """Converts start times to this process's clock; a start that is reported again gets the same time."""
 
     def __init__(self) -> None:
         self._known_starts: dict[EndpointId, _KnownStart] = {}
@@ -37,7 +37,7 @@
     def localize(self, now: int, is_full_list: bool, endpoints: Iterable[Endpoint]) -> tuple[Endpoint, ...]:
         """Return a message's endpoints with their start times on this process's clock."""
         entries = tuple(endpoints)
-        if self._had_list:  # of a first list it is not known when its starts were told
+        if self._had_list:  # nobody knows when the starts of a first list were first reported
             self._learn_delay(now, entries)
         localized = tuple(entry._replace(started_us=self._local_start(now, entry)) for entry in entries)
         if is_full_list:
@@ -51,7 +51,7 @@
 
     def _is_new_start(self, entry: Endpoint) -> bool:
         known = self._known_starts.get(entry.id, _UNKNOWN_START)
-        return entry.started_us > 0 and known.told_us != entry.started_us
+        return entry.started_us > 0 and known.reported_us != entry.started_us
 
     def _learn_delay(self, now: int, entries: Iterable[Endpoint]) -> None:
         delays = [now - entry.started_us for entry in entries if self._is_new_start(entry)]
--- a/stepflow/wire/events.py
+++ b/stepflow/wire/events.py
@@ -118,7 +118,7 @@
 
 
 def _marks(flags: int) -> tuple[bool, bool, bool]:
-    """Return the last fields of a `Request`: whether it is a retry, amid a flow, and migrated."""
+    """Return the last fields of a `Request`: whether it is a retry, in the middle of a flow, and migrated."""
     return bool(flags & IS_RETRY), bool(flags & IS_MID_FLOW), bool(flags & IS_MIGRATED)
 
 
