--- a/stepflow/node/clients/connection.py
+++ b/stepflow/node/clients/connection.py
@@ -117,8 +117,8 @@
         except MalformedRequestError:
             self._malformed()
             return
-        # Bytes behind the line would go on to the endpoint as the session's, but no client may send any
-        # before its answer.
+        # No client may send anything before its answer: bytes behind the line could only go on to the
+        # endpoint as if they were the session's.
         if not self.at_end or opening.numeric_id in self._request_ids:
             self._malformed()
             return
--- a/stepflow/node/clients/factory.py
+++ b/stepflow/node/clients/factory.py
@@ -46,6 +46,8 @@
         self._services, self._reactor, self._upstreams = services, reactor, upstreams
         self._admission = DescriptorAdmission(free_descriptors, services.counters)
         self._request_ids: set[int] = set()  # of the requests that are open
+        # Bound once for all connections: each would hold a bound method of its own else.
+        self._parse_line: Callable[[bytes], OpenRequest] = self._parse
 
     @property
     def open_connections(self) -> int:
@@ -90,7 +92,7 @@
             client.reject(timedelta(0))
 
     def _new_connection(self) -> ClientConnection:
-        return ClientConnection(self._services, self._admission, self._request_ids, self._parse)
+        return ClientConnection(self._services, self._admission, self._request_ids, self._parse_line)
 
     def _parse(self, line: bytes) -> OpenRequest:
         """Parse an OPEN line by the settings as they are now."""
