--- a/tests/node/clients/test_eviction.py
+++ b/tests/node/clients/test_eviction.py
@@ -15,12 +15,12 @@
     with Node(Peer("s-1"), change=few_sockets) as node:
         first = node.client(opening())
         assert first.read() == "UP r1"
-        crowd = [node.client() for _ in range(300)]
+        silent = [node.client() for _ in range(300)]
         client = node.client(opening(2))
         assert client.read() == "UP r1"
         assert len(os.listdir(f"/proc/{node.process.pid}/fd")) <= 128
-        assert crowd[0].read() == "BUSY"  # a request on its way would have its answer
-        assert crowd[0].read() in ("", "RESET")
+        assert silent[0].read() == "BUSY"  # the answer of an OPEN line on its way
+        assert silent[0].read() in ("", "RESET")
         first.send("M 1 unharmed")
         assert first.read() == "M 1 unharmed"
 
@@ -32,10 +32,10 @@
     with Node(Peer("s-1"), change=few_sockets) as node:
         slow = node.client()
         slow.sock.sendall(opening().encode()[:40])
-        assert node.client("PING").read() == "PONG"  # so the node has read that
-        crowd = [node.client() for _ in range(200)]
-        assert crowd[0].read() == "BUSY"  # a request on its way would have its answer
-        assert crowd[0].read() in ("", "RESET")
+        assert node.client("PING").read() == "PONG"  # so the node has read the part
+        silent = [node.client() for _ in range(200)]
+        assert silent[0].read() == "BUSY"  # the answer of an OPEN line on its way
+        assert silent[0].read() in ("", "RESET")
         slow.send(opening()[40:])
         assert slow.read() == "UP r1"
 
@@ -45,11 +45,11 @@
     with Node(Peer("s-1"), change=few_sockets) as node:
         oldest = node.client("PING")
         assert oldest.read() == "PONG"
-        crowd = [node.client() for _ in range(56)]  # nearly all there is room for
-        crowd[-1].send("PING")
-        assert crowd[-1].read() == "PONG"  # so all have been taken
+        silent = [node.client() for _ in range(56)]  # nearly all descriptors
+        silent[-1].send("PING")
+        assert silent[-1].read() == "PONG"  # so all have been accepted
         node.freeze()
-        crowd += [node.client() for _ in range(80)]  # heard of first
+        silent += [node.client() for _ in range(80)]  # which the node reads first
         oldest.send(opening())
         node.thaw()
         assert oldest.read() == "UP r1"
@@ -59,10 +59,10 @@
     """Discovery is down for a while, and is read as soon as it is back; endpoints are still probed."""
     discovery = Discovery(refuse=3)
     with Node(peer := Peer("s-1"), discovery=discovery, change=few_sockets) as node:
-        crowd = [node.client() for _ in range(150)]
+        silent = [node.client() for _ in range(150)]
         assert node.client(opening()).read() == "UP r1"
         while discovery.refuse:
-            crowd.append(node.client())
+            silent.append(node.client())
             assert node.client("PING").read() == "PONG"
         assert discovery.calls.get(timeout=PATIENCE)
         second = Peer("s-2")
--- a/tests/node/test_node_late_connects.py
+++ b/tests/node/test_node_late_connects.py
@@ -25,7 +25,7 @@
     with connecting(endpoint) as (node, _, client):
         client.close()
         node.wait_counted("left", 1)
-        with suppress(TimeoutError):  # the dial was called off: there is nothing to come up
+        with suppress(TimeoutError):  # the connect was cancelled: there is nothing to come up
             assert endpoint.open(patience=3).read() in ("", "RESET")
 
 
--- a/tests/node/test_node_session_ends.py
+++ b/tests/node/test_node_session_ends.py
@@ -52,8 +52,8 @@
     """Else it would stay for good, with its endpoint's lines held back behind what it leaves unread."""
     assert timedelta(seconds=3) > DEAF + DEAF_LOOK
     with Node(peer := Peer("s-1")) as node:
-        deaf = node.client(opening())
-        assert deaf.read() == "UP r1"
+        stuck = node.client(opening())
+        assert stuck.read() == "UP r1"
         flood(peer.standing.get(timeout=PATIENCE))
         other = node.client(opening(2))
         assert other.read() == "UP r1"
@@ -73,7 +73,7 @@
         first.send("X 1 anyone there")
         pieces.sock.sendall(b"X 1 any")
         other.send("X 1 anyone there")
-        assert other.read() == "MOVE"  # the peer is held to hang by now, for both
+        assert other.read() == "MOVE"  # the endpoint counts as hung by now, for both
         pieces.sock.sendall(b"one there\r\n")
         assert [first.read(), first.read(), first.read()] == ["X 1 anyone there", "MOVE", ""]
 
--- a/tests/node/test_node_shutdown.py
+++ b/tests/node/test_node_shutdown.py
@@ -19,13 +19,13 @@
 
 def test_sigterm_migrates_sessions_and_prints_the_counters() -> None:
     with Node(Peer("s-1")) as node:
-        standing = [node.client(opening(number)) for number in range(3)]
-        assert [client.read() for client in standing] == ["UP r1"] * 3
+        sessions = [node.client(opening(number)) for number in range(3)]
+        assert [client.read() for client in sessions] == ["UP r1"] * 3
         node.terminate()
         node.wait_log("event=leaves connections=3")
-        standing.append(node.client(opening(9)))
-        assert standing[-1].read() == "UP r1"  # clients keep coming for a while
-        assert [client.read() for client in standing] == ["MOVE"] * 4
+        sessions.append(node.client(opening(9)))
+        assert sessions[-1].read() == "UP r1"  # clients keep coming for a while
+        assert [client.read() for client in sessions] == ["MOVE"] * 4
         node.wait_log("counters: .* requests=4 .* served=4 .* moved=4 ")
         assert node.process.wait(PATIENCE) == 0
 
@@ -90,14 +90,14 @@
 def test_sigterm_answers_unopened_clients_without_a_reset(part: str) -> None:
     """A request may be on its way when the process exits."""
     with Node(Peer("s-1")) as node:
-        resting = node.client()
-        resting.sock.sendall(part.encode())
+        unopened = node.client()
+        unopened.sock.sendall(part.encode())
         if "PING" in part:
-            assert resting.read() == "PONG"
+            assert unopened.read() == "PONG"
         node.terminate()
-        assert resting.read() == "BUSY"
-        resting.send(opening()[len(part) if "OPEN" in part else 0 :])
-        assert resting.read() in ("", "RESET")  # never sent on
+        assert unopened.read() == "BUSY"
+        unopened.send(opening()[len(part) if "OPEN" in part else 0 :])
+        assert unopened.read() in ("", "RESET")  # and no attempt is made
         assert node.process.wait(PATIENCE) == 0 and node.peers[0].lines.empty()
 
 
