--- a/tests/node/admin/test_admin_site.py
+++ b/tests/node/admin/test_admin_site.py
@@ -1,4 +1,4 @@
-"""Stories of the operators' address."""
+"""The operators' HTTP address."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from tests.node_kit import PATIENCE, Line, Node, Peer, opening
 
 
-def test_readyz_says_whether_the_node_serves_until_it_exits() -> None:
+def test_readyz_tells_whether_the_node_serves_until_it_exits() -> None:
     with Node(Peer("s-1")) as node:
         client = node.client(opening())
         assert client.read() == "UP r1"
@@ -30,13 +30,13 @@
     ("method", "path", "status"),
     [("GET", "/", 404), ("GET", "/v1/readyz/x", 404), ("POST", "/v1/metrics", 405)],
 )
-def test_other_calls_are_refused(method: str, path: str, status: int) -> None:
+def test_unknown_paths_and_methods_are_refused(method: str, path: str, status: int) -> None:
     with Node(Peer("s-1")) as node:
         assert node.ops(path, method)[0] == status
 
 
 @pytest.mark.parametrize("part", [b"", b"GET /v1/metrics HT", b"GET /v1/metrics HTTP/1.1\r\nx: "])
-def test_callers_with_no_whole_call_keep_no_others_out(part: bytes) -> None:
+def test_incomplete_calls_do_not_block_other_callers(part: bytes) -> None:
     """Each of them has its place for a while only, and the node's clients lose none to them."""
     with Node(Peer("s-1")) as node:
         held = [Line(socket.create_connection(node.ops_address)) for _ in range(3 * MAX_CALLS)]
@@ -56,7 +56,7 @@
         (None, "BUSY", "served:0 refused:1 failed:0 attempts:1"),
     ],
 )
-def test_the_figures_follow_each_request(answer: str | None, said: str, counts: str) -> None:
+def test_metrics_count_each_request_by_its_answer(answer: str | None, said: str, counts: str) -> None:
     def try_once(config: dict[str, Any]) -> None:
         config["settings"]["policy_limits"]["most_tries"] = 1
 
@@ -70,8 +70,8 @@
         assert f"edge_gw.in_flight:{standing}|g" in lines and "edge_gw.map_servers_known:1|g" in lines
 
 
-def test_a_request_that_the_node_itself_rejects_counts_as_refused() -> None:
-    """While it leaves, no module hears of it; the figures missed it."""
+def test_request_rejected_during_shutdown_counts_as_refused() -> None:
+    """Regression: the policy gets no request during the shutdown, and the metrics missed it."""
     with Node(Peer("s-1")) as node:
         client, late = node.client(opening()), node.client()
         assert client.read() == "UP r1"
@@ -82,7 +82,7 @@
         assert "edge_gw.requests.view.refused:1|c" in node.ops("/v1/metrics")[1].split("\n")
 
 
-def test_a_figure_s_name_holds_nothing_that_parts_its_fields() -> None:
+def test_metric_names_hold_no_separators() -> None:
     counters = Counters()
     counters.of("a:b|c").served = 7
     assert render(counters, Gauges(0, 0, 0)).startswith(b"edge_gw.requests.a_b_c.served:7|c\n")
--- a/tests/node/process/test_handover.py
+++ b/tests/node/process/test_handover.py
@@ -1,4 +1,4 @@
-"""Stories of a node's two processes, while one replaces the other."""
+"""Hand-over between a node's two processes, while one replaces the other."""
 
 from __future__ import annotations
 
@@ -38,8 +38,8 @@
     config["settings"]["classes"][0]["give_up_us"] = 60_000_000
 
 
-def test_the_second_process_takes_over_and_nobody_goes_unheard() -> None:
-    """It died at bind; clients of one listener that closes would be reset with its queue."""
+def test_successor_takes_over_and_every_client_is_answered() -> None:
+    """Regression: the successor failed to bind; a listener of its own would have reset the other's queue."""
     with Node(Peer("s-1"), change=long_waits) as old:
         client, slow = old.client(opening(1)), old.client()
         assert client.read() == "UP r1"
@@ -63,8 +63,8 @@
             assert [line.read() for line in (client, slow, *fresh)] == ["MOVE"] * 9
 
 
-def test_a_session_is_passed_amid_a_line_and_goes_on_to_its_end() -> None:
-    """Moved clients all came again at once, and most of them were rejected at first."""
+def test_session_is_passed_amid_a_line_with_its_owed_echo() -> None:
+    """Regression: sessions were migrated, and clients that came again at once were mostly rejected."""
     with Node(peer := Peer("s-1", X=None), change=long_waits) as old:
         client = old.client(opening())
         assert client.read() == "UP r1"
@@ -82,7 +82,7 @@
             assert client.read() == "MOVE"
 
 
-def test_a_session_that_the_successor_does_not_want_is_moved() -> None:
+def test_session_that_the_successor_refuses_is_migrated() -> None:
     with Node(Peer("s-1"), change=long_waits) as old:
         client = old.client(opening())
         assert client.read() == "UP r1"
@@ -95,8 +95,8 @@
             assert old.process.wait(PATIENCE) == 0
 
 
-def test_a_session_is_offered_when_nothing_of_it_is_unsent() -> None:
-    """What waited in this process for a slow reader would be lost with it."""
+def test_session_is_offered_once_nothing_of_it_is_unsent() -> None:
+    """What this process has not sent to a slow reader yet would be lost with it."""
     with Node(peer := Peer("s-1"), change=long_waits) as old:
         client = old.client(opening())
         assert client.read() == "UP r1"
@@ -110,7 +110,7 @@
             assert [client.read() for _ in range(2000)] == [text] * 2000
 
 
-def test_the_second_process_goes_on_from_the_list_that_the_first_one_has() -> None:
+def test_successor_continues_from_the_predecessors_endpoint_list() -> None:
     discovery = Discovery('{"rev":7,"all":false,"targets":[]}')
     with Node(first := Peer("s-1"), second := Peer("s-2"), discovery=discovery) as old:
         assert discovery.calls.get(timeout=PATIENCE) == "/v1/servers?watch=1&from=1"
@@ -125,7 +125,7 @@
             assert first.lines.empty() and second.lines.qsize() == 4
 
 
-def test_a_second_process_that_dies_leaves_the_first_one_serving_and_a_third_can_follow() -> None:
+def test_predecessor_serves_on_when_its_successor_dies_and_accepts_another() -> None:
     with Node(Peer("s-1")) as old:
         with old.successor() as dead:
             dead.process.kill()
@@ -156,8 +156,8 @@
 
 
 @pytest.mark.parametrize("dies", [True, False])
-def test_a_process_told_to_end_serves_until_its_successor_does(dies: bool) -> None:
-    """It closed its listener at once: who came then waited at a process that did not serve yet."""
+def test_process_serves_after_sigterm_until_its_successor_serves(dies: bool) -> None:
+    """Regression: it closed its listener at once, and clients waited at a process that did not serve yet."""
     with Node(Peer("s-1"), change=long_waits) as old:
         client = old.client(opening())
         assert client.read() == "UP r1"
@@ -172,8 +172,8 @@
             assert old.process.wait(PATIENCE) == 0
 
 
-def test_what_waits_at_a_successor_that_dies_is_answered_by_the_process_before() -> None:
-    """The queue of the listener died with it: all were reset."""
+def test_requests_waiting_at_a_successor_that_dies_are_answered() -> None:
+    """Regression: the listener's queue ended with the successor, and all clients were reset."""
     with Node(Peer("s-1"), change=long_waits) as old:
         client = old.client(opening())
         assert client.read() == "UP r1"
@@ -190,7 +190,7 @@
 
 
 @pytest.mark.parametrize("said", [None, "[]", "nonsense", "{}"])
-def test_a_start_does_not_depend_on_what_it_finds(said: str | None) -> None:
+def test_start_succeeds_whatever_answers_on_the_handover_path(said: str | None) -> None:
     """The socket of a process that was killed, or one that answers badly."""
     node, sock = Node(Peer("s-1")), socket.socket(socket.AF_UNIX)
     sock.bind(f"{node.folder}/stepflow-n0")
@@ -215,7 +215,7 @@
 
 
 @pytest.mark.parametrize("broken", ["cost_in_means", "mean_load", "class_load", "servers"])
-def test_what_was_learned_goes_on_and_what_cannot_be_read_changes_nothing(broken: str) -> None:
+def test_snapshot_is_restored_and_an_unreadable_one_changes_nothing(broken: str) -> None:
     settings = parse_node_settings(SETTINGS).policy
     old, new, other = (Policy(settings, seed) for seed in (1, 2, 3))
     for policy in (old, new, other):
@@ -241,8 +241,8 @@
 
 
 @pytest.mark.parametrize("apart_s", [-3600, 0, 3600])
-def test_what_was_learned_is_as_old_to_a_process_whose_clock_began_at_another_time(apart_s: int) -> None:
-    """The wall clock was stepped between two starts: each further report failed the decision module."""
+def test_report_ages_hold_across_clocks_that_began_at_other_times(apart_s: int) -> None:
+    """Regression: after a step of the wall clock between two starts each further report failed the policy."""
     settings = parse_node_settings(SETTINGS).policy
     old, new = Policy(settings, 1), Policy(settings, 2)
     entry = Endpoint("s-1", 0, 0, 0, Availability.READY, 1.0, 0)
--- a/tests/node/process/test_handover_form.py
+++ b/tests/node/process/test_handover_form.py
@@ -98,7 +98,7 @@
     return record_handover()
 
 
-def test_the_state_has_these_keys_and_values(today: Recording) -> None:
+def test_state_message_form(today: Recording) -> None:
     [state] = today.messages("list")
     assert json.loads(today.old[0]) == state
     assert list(state) == ["list", "learned"]
@@ -123,7 +123,7 @@
     assert figures["servers"]["s-2"]["report_age_us"] == -1  # nobody has asked it
 
 
-def test_a_session_has_these_keys_and_values(today: Recording) -> None:
+def test_session_message_form(today: Recording) -> None:
     [message] = today.messages("session")
     assert list(message) == ["number", "session"] and message["number"] == 1
     session = message["session"]
@@ -132,7 +132,7 @@
     assert {key: session[key] for key in SESSION} == SESSION
 
 
-def test_the_small_messages_have_these_keys_and_values(today: Recording) -> None:
+def test_small_messages_form(today: Recording) -> None:
     assert today.messages("taken", by="new") == [{"taken": 1, "by_other": True}]
     assert today.messages("all") == [{"all": True}]
     for by in ("old", "new"):
@@ -140,7 +140,7 @@
         assert told and all(form(message) == {"descriptors": "int"} for message in told)
 
 
-def test_nothing_else_is_sent_and_descriptors_go_to_the_successor_only(today: Recording) -> None:
+def test_no_other_messages_are_sent_and_descriptors_go_to_the_successor_only(today: Recording) -> None:
     said = {by: [json.loads(line) for line in getattr(today, by)] for by in ("old", "new")}
     words = {by: {key for message in messages for key in message} for by, messages in said.items()}
     assert words == {
@@ -152,7 +152,7 @@
 
 @pytest.mark.parametrize("by", ["old", "new"])
 @pytest.mark.parametrize("key", ["list", "session", "all", "taken", "descriptors"])
-def test_what_is_sent_has_the_form_that_older_processes_read(today: Recording, key: str, by: str) -> None:
+def test_messages_keep_the_form_that_older_processes_read(today: Recording, key: str, by: str) -> None:
     before, now = (recording.messages(key, by) for recording in (load_recording(), today))
     if key == "descriptors":  # as often as there is time
         before, now = before[:1], now[:1]
@@ -227,7 +227,7 @@
     return re.findall(r'.*(?:level["=: ]+(?:warning|error|critical)|Traceback).*', log)
 
 
-def test_an_older_process_hands_over_and_its_session_goes_on() -> None:
+def test_session_of_an_older_process_goes_on() -> None:
     discovery = Discovery(LISTED)
     with replayed(discovery=discovery) as replay:
         client, server = replay.client, replay.server
@@ -248,7 +248,7 @@
         assert logged_above_info(replay.node) == []
 
 
-def test_what_an_older_process_has_told_is_told_to_the_next_one() -> None:
+def test_state_of_an_older_process_is_passed_on_unchanged() -> None:
     """Each figure comes out under the key that it went in by; s-2 drains, so no step moves its own."""
     drained = {
         "cost": 0.09,
@@ -298,7 +298,7 @@
         assert figures[key] == learned[key], key
 
 
-def test_a_session_that_is_not_taken_is_told_so() -> None:
+def test_refused_session_is_answered_as_refused() -> None:
     """Its class is unknown here; the older process keeps it."""
     with replayed() as replay:
         [line] = [line for line in load_recording().old if "session" in json.loads(line)]
--- a/tests/node/process/test_reload.py
+++ b/tests/node/process/test_reload.py
@@ -1,4 +1,4 @@
-"""Stories of new settings at SIGHUP."""
+"""Reload at SIGHUP: new settings, and files that are refused."""
 
 from __future__ import annotations
 
@@ -19,8 +19,8 @@
     return settings
 
 
-def test_a_class_comes_and_another_goes_while_sessions_stand() -> None:
-    """All settings were left as they were, and the clients of a new class got ERR."""
+def test_reload_replaces_a_class_while_sessions_go_on() -> None:
+    """Regression: no settings changed, and clients of the new class got ERR."""
 
     def rename(settings: Any) -> None:
         settings["classes"][0]["name"] = "look"
@@ -40,7 +40,7 @@
         assert "edge_gw.reloads_ok:1|c" in figures
 
 
-def test_what_is_open_keeps_its_limit_of_attempts_and_what_comes_has_the_new_one() -> None:
+def test_reload_changes_the_attempt_limit_of_new_requests_only() -> None:
     def once(settings: Any) -> None:
         settings["policy_limits"]["most_tries"] = 1
         settings["classes"][0]["effect"] = "once"
@@ -95,8 +95,8 @@
         put(2 * SETTINGS["classes"], "settings", "classes"),
     ],
 )
-def test_a_broken_file_changes_nothing_at_all(spoil: Callable[[Any], object]) -> None:
-    """Defaults filled what a file was short of, and its other half was taken."""
+def test_reload_of_a_bad_file_changes_nothing(spoil: Callable[[Any], object]) -> None:
+    """Regression: defaults replaced missing keys, and the rest of the file was taken."""
     second = Discovery()
     with Node(Peer("s-1"), discovery=(discovery := Discovery())) as node:
         assert discovery.calls.get(timeout=PATIENCE)
@@ -111,7 +111,7 @@
         assert second.calls.empty()
 
 
-def test_an_altered_class_gets_a_new_number_and_an_old_one_its_own_again() -> None:
+def test_changed_class_gets_a_new_index_and_a_restored_one_its_old_index() -> None:
     first = parse_node_settings(SETTINGS).policy
     altered = parse_node_settings(changed(put(9_000_000, "classes", "give_up_us"))).policy
     table = merge_settings(first, altered)
--- a/tests/node/process/test_snapshot_form.py
+++ b/tests/node/process/test_snapshot_form.py
@@ -1,4 +1,4 @@
-"""The learned figures as they are stored for a successor: each key, with the value that it has to hold."""
+"""The form of a stored snapshot: each key, with the value that it has to hold."""
 
 from __future__ import annotations
 
@@ -31,8 +31,9 @@
 
 SECOND = 1_000_000
 TOLD_AT = 3 * SECOND + 250_000
+RESTORED_AT = 40 * SECOND
 
-# What the events below leave behind, computed by commit 5fd6943. No two figures of a server are equal.
+# What the events below leave behind, computed by commit 5fd6943. No two values of an endpoint are equal.
 STORED: dict[str, Any] = {
     "loads_told": 2,
     "mean_load": 5.0,
@@ -69,8 +70,8 @@
 }
 
 
-class Module:
-    """The decision module: the one place here that names what is inside the program."""
+class StoredPolicy:
+    """A policy with its snapshot in the stored form: this alone names what is inside the program."""
 
     def __init__(self, *classes: str) -> None:
         settings = json.loads(json.dumps(SETTINGS))
@@ -78,8 +79,8 @@
         settings["classes"] = [{**settings["classes"][0], "name": name} for name in classes]
         self._policy = Policy(parse_node_settings(settings).policy, 1)
 
-    def list_servers(self, at_us: int, **kinds: int) -> None:
-        """Servers s-1 and so on, each with the number of its kind."""
+    def list_endpoints(self, at_us: int, **kinds: int) -> None:
+        """Endpoints s-1 and so on, each with the number of its kind."""
         ready = Availability.READY
         entries = tuple(
             Endpoint(uid.replace("_", "-"), 0, kind, 0, ready, 1.0 + kind, 0) for uid, kind in kinds.items()
@@ -87,14 +88,14 @@
         self._policy.handle(at_us, EndpointListUpdate(ListUpdateKind.DELTA, entries))
 
     def run_through_events(self) -> None:
-        """Set-ups, reports, controller steps and a failure, at fixed moments."""
+        """Sessions, load reports, controller steps and a failure, at fixed moments."""
         handle, ok = self._policy.handle, AttemptResult.OK
         handle(SECOND, Started())
-        self.list_servers(SECOND, s_1=0)
+        self.list_endpoints(SECOND, s_1=0)
         handle(SECOND + 1000, Request(64, 0, 9 * SECOND, load=4.0))
         handle(SECOND + 1500, HealthCheckEnded("s-1", ok, 500, (0.2, 0.0, 0.2)))
         handle(SECOND + 2000, SessionEstablished(64, 0, "s-1", 800))
-        self.list_servers(SECOND + 3000, s_2=1, s_3=0)
+        self.list_endpoints(SECOND + 3000, s_2=1, s_3=0)
         handle(SECOND + 4000, SessionAdopted(Request(65, 1, 0, load=6.0), "s-2"))
         handle(2 * SECOND, HealthCheckEnded("s-1", ok, 1500, (0.4, 0.0, 0.4)))
         handle(2 * SECOND, HealthCheckEnded("s-2", ok, 2500, (0.9, 0.0, 0.9)))
@@ -102,26 +103,33 @@
         handle(3 * SECOND, TimerFired(0))
         handle(3 * SECOND + 100, AttemptEnded(65, 0, "s-2", AttemptResult.CONNECT_FAILED, True, 0))
 
-    def store(self, now_us: int) -> Any:
-        """What it has learned, as the other process reads it."""
+    def take(self, now_us: int) -> Any:
+        """Its snapshot, as the other process reads it."""
         snapshot = take_snapshot(self._policy, now_us)
         return json.loads(json.dumps(msgspec.to_builtins(snapshot, str_keys=True)))
 
-    def take_over(self, stored: dict[str, Any], now_us: int) -> None:
+    def restore(self, stored: dict[str, Any], now_us: int) -> None:
         restore_snapshot(self._policy, read_snapshot(stored), now_us)
 
 
+def successor(*classes: str) -> StoredPolicy:
+    """A policy that has learned nothing of the three endpoints of STORED."""
+    policy = StoredPolicy(*classes)
+    policy.list_endpoints(RESTORED_AT, s_1=0, s_2=1, s_3=0)
+    return policy
+
+
 def flat(value: Any, path: str = "") -> dict[str, Any]:
-    """Each figure under the path of its keys."""
+    """Each value under the path of its keys."""
     if not isinstance(value, dict):
         return {path: value}
     return {at: figure for key, item in value.items() for at, figure in flat(item, f"{path}/{key}").items()}
 
 
-def test_each_figure_is_stored_under_its_key() -> None:
-    module = Module("view", "edit")
-    module.run_through_events()
-    stored = module.store(TOLD_AT)
+def test_snapshot_stores_each_value_under_its_key() -> None:
+    policy = StoredPolicy("view", "edit")
+    policy.run_through_events()
+    stored = policy.take(TOLD_AT)
     assert list(flat(stored)) == list(flat(STORED))  # in this order, too
     assert flat(stored) == pytest.approx(flat(STORED), rel=1e-9)
     assert {path: type(figure) for path, figure in flat(stored).items()} == {
@@ -129,28 +137,26 @@
     }
 
 
-def test_a_new_process_takes_each_figure_over_to_the_same_value() -> None:
-    module, now = Module("view", "edit"), 40 * SECOND
-    module.list_servers(now, s_1=0, s_2=1, s_3=0)
-    assert module.store(now) != STORED
-    module.take_over(STORED, now)
-    assert module.store(now) == STORED
+def test_restored_snapshot_is_taken_again_unchanged() -> None:
+    policy, now = successor("view", "edit"), RESTORED_AT
+    assert policy.take(now) != STORED
+    policy.restore(STORED, now)
+    assert policy.take(now) == STORED
 
 
-def test_classes_go_by_name_where_the_two_processes_number_them_apart() -> None:
-    module, now = Module("edit", "look", "view"), 40 * SECOND
-    module.list_servers(now, s_1=0, s_2=1, s_3=0)
-    module.take_over(STORED, now)
-    assert module.store(now) == STORED
+def test_classes_are_matched_by_name() -> None:
+    policy, now = successor("edit", "look", "view"), RESTORED_AT
+    policy.restore(STORED, now)
+    assert policy.take(now) == STORED
 
 
-# The cost of a server without a report is not taken over: it is its kind's.
-TAKEN_OVER = [path for path in flat(STORED) if path != "/servers/s-3/cost"]
+# The cost of an endpoint without a report is not restored: it is its kind's.
+RESTORED_PATHS = [path for path in flat(STORED) if path != "/servers/s-3/cost"]
 
 
-@pytest.mark.parametrize("path", TAKEN_OVER)
-def test_no_figure_is_taken_over_from_another_s_key(path: str) -> None:
-    """One stored figure is changed, and this one alone is another in the new process."""
+@pytest.mark.parametrize("path", RESTORED_PATHS)
+def test_each_key_is_restored_to_its_own_value(path: str) -> None:
+    """One stored value is changed, and this one alone is another in the new process."""
     changed = json.loads(json.dumps(STORED))
     *parents, key = path.strip("/").split("/")
     holder = changed
@@ -159,39 +165,36 @@
     holder[key] = holder[key] * 2 if holder[key] != -1 else 5_000
     if path == "/servers/s-3/report_age_us":
         changed["servers"]["s-3"]["cost"] = 0.0625  # from now on its own
-    module, now = Module("view", "edit"), 40 * SECOND
-    module.list_servers(now, s_1=0, s_2=1, s_3=0)
-    module.take_over(changed, now)
+    policy, now = successor("view", "edit"), RESTORED_AT
+    policy.restore(changed, now)
     if path == "/cost_in_means/0":
         changed["servers"]["s-3"]["cost"] = changed["cost_in_means"]["0"]
-    assert module.store(now) == changed
+    assert policy.take(now) == changed
 
 
 @pytest.mark.parametrize("key", list(STORED))
-def test_a_state_without_one_of_its_keys_is_not_taken_over(key: str) -> None:
-    module, now = Module("view", "edit"), 40 * SECOND
-    module.list_servers(now, s_1=0, s_2=1, s_3=0)
-    before = module.store(now)
+def test_snapshot_without_a_key_is_refused(key: str) -> None:
+    policy, now = successor("view", "edit"), RESTORED_AT
+    before = policy.take(now)
     with pytest.raises(HandoverMessageError, match=f"missing required field `{key}`"):
-        module.take_over({name: item for name, item in STORED.items() if name != key}, now)
-    assert module.store(now) == before
+        policy.restore({name: item for name, item in STORED.items() if name != key}, now)
+    assert policy.take(now) == before
 
 
 @pytest.mark.parametrize("key", list(STORED["servers"]["s-1"]))
-def test_a_server_without_one_of_its_keys_is_not_taken_over(key: str) -> None:
-    module, now = Module("view", "edit"), 40 * SECOND
-    module.list_servers(now, s_1=0, s_2=1, s_3=0)
-    before, broken = module.store(now), json.loads(json.dumps(STORED))
+def test_endpoint_snapshot_without_a_key_is_refused(key: str) -> None:
+    policy, now = successor("view", "edit"), RESTORED_AT
+    before, broken = policy.take(now), json.loads(json.dumps(STORED))
     del broken["servers"]["s-2"][key]
     with pytest.raises(HandoverMessageError, match=f"missing required field `{key}`"):
-        module.take_over(broken, now)
-    assert module.store(now) == before
+        policy.restore(broken, now)
+    assert policy.take(now) == before
 
 
-def test_the_figures_of_commit_5fd6943_are_taken_over_to_the_same_values() -> None:
+def test_snapshot_of_commit_5fd6943_is_restored_unchanged() -> None:
     told = json.loads(load_recording().old[0])["learned"]
-    module, now = Module("view"), 40 * SECOND
-    module.list_servers(now, s_1=0, s_2=0)
-    module.take_over(told, now)
+    policy, now = StoredPolicy("view"), RESTORED_AT
+    policy.list_endpoints(now, s_1=0, s_2=0)
+    policy.restore(told, now)
     told["servers"]["s-2"]["cost"] = told["cost_in_means"]["0"]  # no report has come of it
-    assert module.store(now) == told
+    assert policy.take(now) == told
--- a/tests/node/process/test_transient_errors.py
+++ b/tests/node/process/test_transient_errors.py
@@ -1,4 +1,4 @@
-"""System calls that fail for a moment, under real processes: what was accepted gets its answer."""
+"""Transient errors of system calls, with real processes: every accepted client is answered."""
 
 from __future__ import annotations
 
@@ -39,8 +39,8 @@
 
 
 @pytest.mark.parametrize("error", [errno.ENFILE, errno.EMFILE, errno.ENOBUFS, errno.ENOMEM])
-def test_clients_wait_while_accept_fails_for_want_of_something(machine: Machine, error: int) -> None:
-    """At EMFILE all who waited were accepted and closed unheard."""
+def test_clients_wait_while_accept_lacks_resources(machine: Machine, error: int) -> None:
+    """Regression: at EMFILE all waiting clients were accepted and closed without an answer."""
     with on(machine, Node(Peer("s-1"))) as node:
         machine.fail(Call.ACCEPT, 1.0, [error])
         clients = [node.client(opening(number)) for number in range(20)]
@@ -54,7 +54,7 @@
 
 
 @pytest.mark.parametrize("error", [errno.ECONNABORTED, errno.EPROTO, errno.ENETUNREACH, errno.EHOSTUNREACH])
-def test_an_error_of_one_connection_keeps_no_other_from_being_accepted(machine: Machine, error: int) -> None:
+def test_error_of_one_connection_does_not_stop_accepting(machine: Machine, error: int) -> None:
     with on(machine, Node(Peer("s-1"))) as node:
         machine.fail(Call.ACCEPT, 0.5, [error])
         assert [node.client(opening(number)).read() for number in range(10)] == ["UP r1"] * 10
@@ -62,8 +62,8 @@
         assert "Traceback" not in node.process.communicate(timeout=PATIENCE)[1]
 
 
-def test_clients_that_wait_at_the_listener_s_end_are_answered_though_accept_fails(machine: Machine) -> None:
-    """Whoever waited was reset with the listener."""
+def test_clients_waiting_when_the_listener_closes_are_answered_though_accept_fails(machine: Machine) -> None:
+    """Regression: waiting clients were reset with the listener."""
     with on(machine, Node(Peer("s-1"))) as node:
         node.terminate()
         node.wait_log("event=leaves")
@@ -76,8 +76,8 @@
 
 
 @pytest.mark.parametrize("call", [Call.SOCKET, Call.CONNECT])
-def test_an_attempt_waits_while_this_machine_can_make_no_connection(machine: Machine, call: Call) -> None:
-    """The request had used up its attempts within a millisecond, and its servers were held to fail."""
+def test_attempt_waits_while_no_local_connection_can_be_made(machine: Machine, call: Call) -> None:
+    """Regression: a request used up its attempts within a millisecond, and endpoints counted as failing."""
     with on(machine, Node(Peer("s-1"), Peer("s-2"))) as node:
         machine.fail(call, 1.0)
         healed_after(machine, 0.1)
@@ -86,10 +86,10 @@
         node.wait_counted("retries", 0)
 
 
-def test_a_node_gets_ready_though_files_and_sockets_fail_at_its_start(
+def test_node_becomes_ready_though_files_and_sockets_fail_at_the_start(
     machine: Machine, tmp_path: Path
 ) -> None:
-    """It ended with 1 or 2."""
+    """Regression: it exited with 1 or 2."""
     node = on(machine, Node(Peer("s-1")))
     machine.env["STANDIN_FOLDER"] = node.folder
     node.env.update(machine.env)
@@ -100,8 +100,8 @@
         assert node.client(opening()).read() == "UP r1"
 
 
-def test_a_configuration_that_cannot_be_read_for_a_moment_is_read_again(machine: Machine) -> None:
-    """It was turned down: the node went on with the discovery of before."""
+def test_reload_reads_an_unreadable_configuration_again(machine: Machine) -> None:
+    """Regression: the reload failed, and the node stayed with its old discovery."""
     node = on(machine, Node(Peer("s-1")))
     machine.env["STANDIN_FOLDER"] = node.folder
     node.env.update(machine.env)
@@ -117,8 +117,8 @@
         moved.close()
 
 
-def test_a_signal_that_comes_while_the_files_are_read_reloads_them(monkeypatch: pytest.MonkeyPatch) -> None:
-    """It was passed over: the node served by the file of before it."""
+def test_sighup_during_the_start_reloads_the_files(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Regression: the signal was lost, and the node served by the older file."""
     seen: list[Any] = []
 
     def load(environ: object, before: object = None) -> object:
@@ -139,8 +139,8 @@
     assert seen == [[signal.SIGHUP]]
 
 
-def test_discovery_that_refused_a_connection_is_called_again() -> None:
-    """The call's end was lost in an exception, and the node never called again."""
+def test_discovery_is_called_again_after_a_refused_connection() -> None:
+    """Regression: the call's end was lost in an exception, and the node never called again."""
     with socket.create_server(("127.0.0.1", 0)) as taken:
         address = taken.getsockname()
 
@@ -154,8 +154,8 @@
             opened.accept()[0].close()
 
 
-def test_nothing_begins_for_a_client_whose_end_lies_unread(machine: Machine) -> None:
-    """A turn of many events takes long, and the end of a client comes behind them."""
+def test_no_attempt_starts_for_a_client_whose_end_is_unread(machine: Machine) -> None:
+    """The client's end is read late, behind many other events of a reactor turn."""
     with on(machine, Node(peer := Peer("s-1", OPEN="BUSY"))) as node:
         client = node.client(opening(d=1000))
         assert peer.lines.get(timeout=PATIENCE).startswith("OPEN")
@@ -173,8 +173,8 @@
 @pytest.mark.parametrize(
     ("error", "told"), [(errno.ETIMEDOUT, "MOVE"), (errno.EHOSTUNREACH, "MOVE"), (errno.ECONNRESET, "RESET")]
 )
-def test_a_session_whose_way_to_its_peer_broke_is_moved(machine: Machine, error: int, told: str) -> None:
-    """Its client was cut off without a MOVE, though the peer answered others. A reset is the peer's own."""
+def test_session_is_migrated_when_its_network_path_breaks(machine: Machine, error: int, told: str) -> None:
+    """Regression: its client got no MOVE, though others were answered. A reset is the endpoint's own."""
     with on(machine, Node(Peer("s-1"))) as node:
         client = node.client(opening())
         assert client.read() == "UP r1"
@@ -185,8 +185,8 @@
         assert node.client(opening(2)).read() == "UP r1"
 
 
-def test_an_exit_is_in_order_though_signals_come_to_its_very_end() -> None:
-    """The interpreter makes signals deadly again as it ends: the process died of a SIGHUP."""
+def test_exit_code_is_0_though_signals_come_until_the_end() -> None:
+    """Regression: the interpreter restores default handlers as it ends, and the process died of a SIGHUP."""
     with Node(Peer("s-1")) as node:
         node.terminate()
         while node.process.poll() is None:
@@ -195,8 +195,8 @@
         assert node.process.returncode == 0
 
 
-def test_a_node_serves_and_exits_in_order_though_its_log_cannot_be_written() -> None:
-    """The first line of the log ended it."""
+def test_node_serves_and_exits_in_order_with_an_unwritable_log() -> None:
+    """Regression: the first line of the log ended the process."""
     with socket.create_server(("127.0.0.1", 0)) as free:
         address = free.getsockname()
     node = Node(Peer("s-1"))
--- a/tests/test_terms.py
+++ b/tests/test_terms.py
@@ -1,4 +1,4 @@
-"""Stories of the fleet test's terms for `run`, and of what a node of a large fleet may take."""
+"""The fleet test's terms for `run`, and what a node of a large fleet may load and hold."""
 
 from __future__ import annotations
 
