--- a/stepflow/node/process/handover.py
+++ b/stepflow/node/process/handover.py
@@ -76,7 +76,7 @@
     def __init__(self, reactor: Reactor, timers: Timers, process: HandoverProcess, path: str) -> None:
         self._reactor, self._timers, self._process = reactor, timers, process
         if len(path) > MAX_PATH_BYTES:
-            log.warning("no successor will find a path as long as this", path=path)
+            log.warning("the hand-over path is too long", path=path)
             path = ""
         self._path = path
         self._found: FoundPredecessor | None = None  # called once, then None
@@ -200,7 +200,7 @@
             self._port = self._reactor.listenUNIX(self._path, HandoverChannelFactory(self), mode=SOCKET_MODE)
             log.info("waits for a successor")
         except (CannotListenError, OSError) as error:
-            log.warning("no successor can be told anything", fault=error)
+            log.warning("can't listen for a successor", fault=error)
             if errno_of(error) in LOCAL_CONNECT_ERRORS | TRANSIENT_FILE_ERRORS:
                 self._timers.after(LISTEN_RETRY_DELAY, self._await_successor)
 
@@ -217,7 +217,7 @@
         try:
             return self._process.adopt_session(read_session(offered), client, endpoint)
         except (HandoverMessageError, ValueError, OSError):
-            log.exception("a session that was passed can't be gone on with")
+            log.exception("a passed session can't be adopted")
             return False
         finally:  # what was adopted has copies of its own
             os.close(client)
--- a/stepflow/node/process/reload.py
+++ b/stepflow/node/process/reload.py
@@ -88,4 +88,4 @@
         parts.load_reports.update_settings(update)
         parts.clients.classes = class_indexes(self.settings, update.policy)
         parts.clients.tenants = tenant_indexes(self.settings)
-        log.info("takes settings", classes=",".join(cls.name for cls in update.policy.classes))
+        log.info("settings updated", classes=",".join(cls.name for cls in update.policy.classes))
--- a/stepflow/node/process/service.py
+++ b/stepflow/node/process/service.py
@@ -87,7 +87,7 @@
         try:
             _, known = self._parts.endpoint_group.apply(state.endpoint_list or self._config.known)
         except EndpointListError as error:
-            log.warning("the known list is passed over", fault=error)
+            log.warning("the known endpoint list can't be read", fault=error)
             known = ()
         discovery = self._parts.discovery
         self._parts.core.start(self._parts.upstreams, discovery, known)
@@ -104,7 +104,7 @@
         try:
             snapshot = read_snapshot(state.snapshot)
         except HandoverMessageError as error:
-            log.warning("what the process before has learned can't be read", fault=repr(error))
+            log.warning("the predecessor's snapshot can't be read", fault=repr(error))
             return
         restore_snapshot(self._parts.policy, snapshot, micros(self._predecessor_found_at))
 
--- a/tests/node/process/test_reload.py
+++ b/tests/node/process/test_reload.py
@@ -29,7 +29,7 @@
         client = node.client(opening())
         assert client.read() == "UP r1"
         node.reload(settings=changed(rename))
-        node.wait_log("takes settings.* classes=look")
+        node.wait_log("settings updated.* classes=look")
         node.wait_log("event=reloaded")
         assert node.client(opening(2)).read() == "ERR malformed"
         assert node.client(opening(3).replace("c=view", "c=look")).read() == "UP r1"
--- a/tests/test_terms.py
+++ b/tests/test_terms.py
@@ -51,7 +51,7 @@
         moved.close()
     assert peer.lines.get(timeout=PATIENCE).startswith("OPEN ")
     said = node.seen + log
-    assert said.count("no successor can be told anything") == (0 if unix else 1)
+    assert said.count("can't listen for a successor") == (0 if unix else 1)
     assert said.count("refused ") == (0 if unix else 1), said
 
 
@@ -80,7 +80,7 @@
         assert node.client(opening()).read() == "UP r1"
         node.terminate()
         log = node.process.communicate(timeout=PATIENCE)[1]
-    assert (node.seen + log).count("no successor can be told anything") == 1
+    assert (node.seen + log).count("can't listen for a successor") == 1
 
 
 def test_an_idle_node_loads_little_and_holds_little() -> None:
