--- a/stepflow/cli/check.py
+++ b/stepflow/cli/check.py
@@ -1,6 +1,6 @@
 """`stepflow check`: whether a file would be taken, before a node is asked to.
 
-Responsible for its printing and exit code; the file is read as a node reads it. Errors: told, one line a
+Responsible for its printing and exit code; the file is read as a node reads it. Errors: printed, one line a
 file.
 """
 
--- a/stepflow/node/admin/metrics.py
+++ b/stepflow/node/admin/metrics.py
@@ -1,7 +1,7 @@
 """The node's metrics as operators fetch them: statsd lines.
 
-Responsible for the names of the metrics, which never change (docs/operations.md), and for which gauges are
-told. Owns nothing. Counts are since the process's start; gauges hold at the moment of the call.
+Responsible for the names of the metrics, which never change (docs/operations.md), and for which gauges there
+are. Owns nothing. Counts are since the process's start; gauges hold at the moment of the call.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 PREFIX = "edge_gw"
 EXCLUDED_BELOW_HEALTH = 0.1  # an endpoint with less of its weight is as good as left out
-# Counters that are told under the names of their fields.
+# Counters that are shown under the names of their fields.
 PLAIN_COUNTERS = ("overdue", "retries", "clock_steps", "late_deadlines")
 _RESERVED = re.compile(r"[^\w.-]", re.ASCII)  # a class's name must hold none of the separators of a line
 
--- a/stepflow/node/process/config.py
+++ b/stepflow/node/process/config.py
@@ -46,7 +46,7 @@
 
 
 class NodeConfig(NamedTuple):
-    """All that a node is told at its start; the fields are named as the file's keys, which the log tells."""
+    """A node's configuration at its start; its fields have the names of the file's keys."""
 
     name: str
     listen: Address
@@ -121,7 +121,7 @@
     if replaced is not None and (key := find_missing_key(replaced.tree, tree)):
         raise ConfigError(f"{path}: {key} is missing, or not what it was")
     source = _Source(path, file, environ)
-    # In the order in which faults have always been told: of several, the first is.
+    # In this order, since of several errors the first is reported.
     ops, seed = source.ops_address(), source.seed()
     listen, discovery = source.address("listen"), source.address("discovery")
     return NodeConfig(
--- a/stepflow/node/process/handover_messages.py
+++ b/stepflow/node/process/handover_messages.py
@@ -63,7 +63,7 @@
 
     @property
     def has_snapshot(self) -> bool:
-        """Whether the older process has told what it has learned."""
+        """Whether the older process has sent a snapshot."""
         return self.snapshot is not msgspec.UNSET
 
 
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -35,12 +35,12 @@
 LINE = "tests/test_it.py::test_red the peer hangs, issue 30\n"
 
 
-def test_a_listed_test_is_passed_over_and_told(tmp_path: Path) -> None:
+def test_listed_failure_is_passed_over_and_printed(tmp_path: Path) -> None:
     code, said = run(tmp_path, LINE)
     assert code == 0 and "known red: tests/test_it.py::test_red fails" in said and "issue 30" in said
 
 
-def test_a_listed_test_that_passes_is_told_as_such(tmp_path: Path) -> None:
+def test_listed_test_that_passes_is_printed_as_passing(tmp_path: Path) -> None:
     code, said = run(tmp_path, LINE, red="True")
     assert code == 0 and "known red: tests/test_it.py::test_red passes" in said
 
@@ -54,6 +54,6 @@
         ("tests/test_it.py::test_red\n", True, "not a test, its cause and its issue"),
     ],
 )
-def test_anything_else_fails_the_run(tmp_path: Path, lines: str, other: bool, why: str) -> None:
+def test_other_failures_and_bad_lists_fail_the_run(tmp_path: Path, lines: str, other: bool, why: str) -> None:
     code, said = run(tmp_path, lines, other)
     assert code != 0 and why in said
--- a/tests/test_terms.py
+++ b/tests/test_terms.py
@@ -27,7 +27,7 @@
 
 
 @pytest.mark.parametrize("unix", [True, False])
-def test_a_whole_life_calls_nothing_that_the_platform_refuses(unix: bool) -> None:
+def test_whole_life_makes_no_call_that_the_platform_refuses(unix: bool) -> None:
     """Start, SIGHUP that moves discovery, a served session, SIGTERM: no program, no fork, IPv4 only.
 
     Where Unix sockets are refused too the node serves all the same, and says once that nobody can replace it.
@@ -55,7 +55,7 @@
     assert said.count("refused ") == (0 if unix else 1), said
 
 
-def test_what_is_refused_is_refused() -> None:
+def test_hook_refuses_each_forbidden_call() -> None:
     """The test above can fail: each of these raises under its hook."""
     code = (
         "import tests.refused as r, sys, os, socket, subprocess\n"
@@ -73,7 +73,7 @@
     assert done.stdout.split() == ["raised"] * 6 and done.stderr.count("refused ") == 6
 
 
-def test_a_folder_that_no_unix_socket_can_be_made_in_keeps_no_client_waiting() -> None:
+def test_unusable_handover_folder_delays_no_client() -> None:
     node = Node(Peer("s-1"))
     node.env["TMPDIR"] = f"{node.folder}/not/there"
     with node:
@@ -83,7 +83,7 @@
     assert (node.seen + log).count("can't listen for a successor") == 1
 
 
-def test_an_idle_node_loads_little_and_holds_little() -> None:
+def test_idle_node_holds_little_memory() -> None:
     """Two hundred of them share a machine. SIGUSR1 shows that it idles, not that it still starts."""
     with Node(Peer("s-1")) as node:
         node.process.send_signal(signal.SIGUSR1)
@@ -112,7 +112,7 @@
 )
 
 
-def test_run_loads_no_more_modules_than_it_needs() -> None:
+def test_run_loads_only_the_modules_it_needs() -> None:
     names = loaded(LEAN)
     foreign = {name for name in names if not name.startswith("stepflow")}
     assert len(foreign) <= MOST_FOREIGN_MODULES, len(foreign)
@@ -132,5 +132,5 @@
         "from structlog.testing import capture_logs; capture_logs",
     ],
 )
-def test_what_is_put_off_is_there_in_full_once_it_is_asked_for(use: str) -> None:
+def test_lazily_imported_modules_are_whole_once_used(use: str) -> None:
     assert loaded(f"{LEAN}\n{use}")
