--- a/stepflow/node/process/service.py
+++ b/stepflow/node/process/service.py
@@ -93,7 +93,8 @@
         self._parts.core.start(self._parts.upstreams, discovery, known)
         if state.has_snapshot:
             log.info("takes over from the process that serves", node=self.name)
-            self._predecessor, self._predecessor_found_at = state, self.now()
+            self._predecessor = HandoverState(snapshot=state.snapshot)  # its list is not needed again
+            self._predecessor_found_at = self.now()
             self._restore_snapshot(state)
         if self._reloader.settings.polls_endpoint_list:
             self._listen(listener)
@@ -185,10 +186,9 @@
 
     # The end.
 
-    def terminate(self, signalled_at: timedelta | None = None) -> None:
+    def terminate(self, signalled_at: timedelta) -> None:
         """Begin the graceful shutdown, counted from the moment that the signal came."""
-        begun = self.now() if signalled_at is None else signalled_at
-        self._parts.shutdown.begin(begun, self._listener)
+        self._parts.shutdown.begin(signalled_at, self._listener)
 
     def longest_deadline(self) -> timedelta:
         """The longest deadline of a class, as the settings have it now."""
--- a/tests/node/process/test_reload.py
+++ b/tests/node/process/test_reload.py
@@ -11,8 +11,10 @@
 from stepflow.settings import merge_settings, parse_node_settings
 from tests.node_kit import PATIENCE, SETTINGS, Discovery, Node, Peer, opening
 
+Change = Callable[[Any], object]
 
-def changed(change: Callable[[Any], object]) -> Any:
+
+def changed(change: Change) -> Any:
     """The settings with this done to them."""
     settings = json.loads(json.dumps(SETTINGS))
     change(settings)
@@ -58,26 +60,25 @@
         assert len([line for line in seen if line.startswith("OPEN 0000000000000002 ")]) == 1
 
 
-def drop(*path: str) -> Callable[[Any], object]:
-    def change(tree: Any) -> None:
-        for key in path[:-1]:
-            tree = tree[0][key] if isinstance(tree, list) else tree[key]
-        (tree[0] if isinstance(tree, list) else tree).pop(path[-1])
+def holder_of(tree: Any, path: tuple[str, ...]) -> Any:
+    """The object that holds the last key of a path; of a list, its first entry is meant."""
+    for key in path[:-1]:
+        tree = tree[0][key] if isinstance(tree, list) else tree[key]
+    return tree[0] if isinstance(tree, list) else tree
 
-    return change
 
+def drop(*path: str) -> Change:
+    """A change that takes a key out."""
+    return lambda tree: holder_of(tree, path).pop(path[-1])
 
-def put(value: object, *path: str) -> Callable[[Any], object]:
-    def change(tree: Any) -> None:
-        for key in path[:-1]:
-            tree = tree[0][key] if isinstance(tree, list) else tree[key]
-        (tree[0] if isinstance(tree, list) else tree)[path[-1]] = value
 
-    return change
+def put(value: object, *path: str) -> Change:
+    """A change that gives a key another value."""
+    return lambda tree: holder_of(tree, path).update({path[-1]: value})
 
 
 @pytest.mark.parametrize(
-    "spoil",
+    "change",
     [
         drop("settings"),
         drop("discovery"),
@@ -95,14 +96,14 @@
         put(2 * SETTINGS["classes"], "settings", "classes"),
     ],
 )
-def test_reload_of_a_bad_file_changes_nothing(spoil: Callable[[Any], object]) -> None:
+def test_reload_of_a_bad_file_changes_nothing(change: Change) -> None:
     """Regression: defaults replaced missing keys, and the rest of the file was taken."""
     second = Discovery()
     with Node(Peer("s-1"), discovery=(discovery := Discovery())) as node:
         assert discovery.calls.get(timeout=PATIENCE)
         tree = {**json.loads(json.dumps(node.config)), "discovery": second.address}
         tree["settings"]["policy_limits"]["most_tries"] = 2
-        spoil(tree)
+        change(tree)
         node.reload(json.dumps(tree))
         node.wait_log("the old configuration goes on")
         assert node.client(opening()).read() == "UP r1"
