--- a/stepflow/node/process/service.py
+++ b/stepflow/node/process/service.py
@@ -87,13 +87,14 @@
         try:
             _, known = self._parts.endpoint_group.apply(state.endpoint_list or self._config.known)
         except EndpointListError as error:
-            log.warning("the known list is passed over", fault=error)
+            log.warning("the known endpoint list can't be read", fault=error)
             known = ()
         discovery = self._parts.discovery
         self._parts.core.start(self._parts.upstreams, discovery, known)
         if state.has_snapshot:
             log.info("takes over from the process that serves", node=self.name)
-            self._predecessor, self._predecessor_found_at = state, self.now()
+            self._predecessor = HandoverState(snapshot=state.snapshot)  # its list is not needed again
+            self._predecessor_found_at = self.now()
             self._restore_snapshot(state)
         if self._reloader.settings.polls_endpoint_list:
             self._listen(listener)
@@ -104,7 +105,7 @@
         try:
             snapshot = read_snapshot(state.snapshot)
         except HandoverMessageError as error:
-            log.warning("what the process before has learned can't be read", fault=repr(error))
+            log.warning("the predecessor's snapshot can't be read", fault=repr(error))
             return
         restore_snapshot(self._parts.policy, snapshot, micros(self._predecessor_found_at))
 
@@ -185,10 +186,9 @@
 
     # The end.
 
-    def terminate(self, signalled_at: timedelta | None = None) -> None:
+    def terminate(self, signalled_at: timedelta) -> None:
         """Begin the graceful shutdown, counted from the moment that the signal came."""
-        begun = self.now() if signalled_at is None else signalled_at
-        self._parts.shutdown.begin(begun, self._listener)
+        self._parts.shutdown.begin(signalled_at, self._listener)
 
     def longest_deadline(self) -> timedelta:
         """The longest deadline of a class, as the settings have it now."""
--- a/tests/node/process/test_reload.py
+++ b/tests/node/process/test_reload.py
@@ -1,4 +1,4 @@
-"""Stories of new settings at SIGHUP."""
+"""Reload at SIGHUP: new settings, and files that are refused."""
 
 from __future__ import annotations
 
@@ -11,16 +11,18 @@
 from stepflow.settings import merge_settings, parse_node_settings
 from tests.node_kit import PATIENCE, SETTINGS, Discovery, Node, Peer, opening
 
+Change = Callable[[Any], object]
 
-def changed(change: Callable[[Any], object]) -> Any:
+
+def changed(change: Change) -> Any:
     """The settings with this done to them."""
     settings = json.loads(json.dumps(SETTINGS))
     change(settings)
     return settings
 
 
-def test_a_class_comes_and_another_goes_while_sessions_stand() -> None:
-    """All settings were left as they were, and the clients of a new class got ERR."""
+def test_reload_replaces_a_class_while_sessions_go_on() -> None:
+    """Regression: no settings changed, and clients of the new class got ERR."""
 
     def rename(settings: Any) -> None:
         settings["classes"][0]["name"] = "look"
@@ -29,7 +31,7 @@
         client = node.client(opening())
         assert client.read() == "UP r1"
         node.reload(settings=changed(rename))
-        node.wait_log("takes settings.* classes=look")
+        node.wait_log("settings updated.* classes=look")
         node.wait_log("event=reloaded")
         assert node.client(opening(2)).read() == "ERR malformed"
         assert node.client(opening(3).replace("c=view", "c=look")).read() == "UP r1"
@@ -40,7 +42,7 @@
         assert "edge_gw.reloads_ok:1|c" in figures
 
 
-def test_what_is_open_keeps_its_limit_of_attempts_and_what_comes_has_the_new_one() -> None:
+def test_reload_changes_the_attempt_limit_of_new_requests_only() -> None:
     def once(settings: Any) -> None:
         settings["policy_limits"]["most_tries"] = 1
         settings["classes"][0]["effect"] = "once"
@@ -58,26 +60,25 @@
         assert len([line for line in seen if line.startswith("OPEN 0000000000000002 ")]) == 1
 
 
-def drop(*path: str) -> Callable[[Any], object]:
-    def change(tree: Any) -> None:
-        for key in path[:-1]:
-            tree = tree[0][key] if isinstance(tree, list) else tree[key]
-        (tree[0] if isinstance(tree, list) else tree).pop(path[-1])
+def holder_of(tree: Any, path: tuple[str, ...]) -> Any:
+    """The object that holds the last key of a path; of a list, its first entry is meant."""
+    for key in path[:-1]:
+        tree = tree[0][key] if isinstance(tree, list) else tree[key]
+    return tree[0] if isinstance(tree, list) else tree
 
-    return change
 
+def drop(*path: str) -> Change:
+    """A change that takes a key out."""
+    return lambda tree: holder_of(tree, path).pop(path[-1])
 
-def put(value: object, *path: str) -> Callable[[Any], object]:
-    def change(tree: Any) -> None:
-        for key in path[:-1]:
-            tree = tree[0][key] if isinstance(tree, list) else tree[key]
-        (tree[0] if isinstance(tree, list) else tree)[path[-1]] = value
 
-    return change
+def put(value: object, *path: str) -> Change:
+    """A change that gives a key another value."""
+    return lambda tree: holder_of(tree, path).update({path[-1]: value})
 
 
 @pytest.mark.parametrize(
-    "spoil",
+    "change",
     [
         drop("settings"),
         drop("discovery"),
@@ -95,14 +96,14 @@
         put(2 * SETTINGS["classes"], "settings", "classes"),
     ],
 )
-def test_a_broken_file_changes_nothing_at_all(spoil: Callable[[Any], object]) -> None:
-    """Defaults filled what a file was short of, and its other half was taken."""
+def test_reload_of_a_bad_file_changes_nothing(change: Change) -> None:
+    """Regression: defaults replaced missing keys, and the rest of the file was taken."""
     second = Discovery()
     with Node(Peer("s-1"), discovery=(discovery := Discovery())) as node:
         assert discovery.calls.get(timeout=PATIENCE)
         tree = {**json.loads(json.dumps(node.config)), "discovery": second.address}
         tree["settings"]["policy_limits"]["most_tries"] = 2
-        spoil(tree)
+        change(tree)
         node.reload(json.dumps(tree))
         node.wait_log("the old configuration goes on")
         assert node.client(opening()).read() == "UP r1"
@@ -111,7 +112,7 @@
         assert second.calls.empty()
 
 
-def test_an_altered_class_gets_a_new_number_and_an_old_one_its_own_again() -> None:
+def test_changed_class_gets_a_new_index_and_a_restored_one_its_old_index() -> None:
     first = parse_node_settings(SETTINGS).policy
     altered = parse_node_settings(changed(put(9_000_000, "classes", "give_up_us"))).policy
     table = merge_settings(first, altered)
