--- a/tests/policy/test_fault_scenarios.py
+++ b/tests/policy/test_fault_scenarios.py
@@ -1,4 +1,4 @@
-"""The fleet's hard days in the model: each rule is kept, and each is seen to break by a changed line."""
+"""Fault scenarios in the model of a fleet: each safety rule is kept, and each breaks by a changed line."""
 
 from __future__ import annotations
 
@@ -41,47 +41,47 @@
 
 @pytest.mark.parametrize("seed", [1, 2])
 @pytest.mark.parametrize("name", NAMES)
-def test_a_hard_day_keeps_every_rule(name: str, seed: int) -> None:
+def test_a_fault_scenario_keeps_every_rule(name: str, seed: int) -> None:
     day = Day(name, (DAYS / f"{name}.conf").read_text(), seed)
     found = play(day)
     assert [(rule.name, rule.first) for rule in found.rules if rule.broken] == []
-    assert found.score.whole > 0.5  # a policy that refused everybody would keep the rules as well
+    assert found.score.whole > 0.5  # a policy that rejected everybody would keep the rules as well
 
 
 IS_WARM = "_slow_start.is_warm(endpoint)"
-COST = "return service_loss(load) + crossing + LOAD_FACTOR * load"
+PLACEMENT_COST = "return service_loss(load) + crossing + LOAD_FACTOR * load"
 REMOVE = "        if not request.is_attempt_active:\n            self._remove(request)\n        elif"
-READY = "endpoint.availability != Availability.READY or endpoint.id in tried"
-OUT = "if request.is_attempt_active or request.attempts >= request.max_attempts:"
-TIMER = (
+NOT_READY = "endpoint.availability != Availability.READY or endpoint.id in tried"
+MAY_START = "if request.is_attempt_active or request.attempts >= request.max_attempts:"
+IGNORES_TIMER = (
     "        if request is None or request.is_established{}:\n            return\n        if request.request"
 )
-GUARD = "context.set_request_timer(request, event.expires_us - context.now_us"
-JAMMED = (Fault("slow", 4, 20, part=1.0, share=0.3),)
-EMPTY = (Fault("zone", 6, 1, part=0.2), Fault("restart", 8, 1, part=0.7, at_once=0.7))
-CHANGED: list[tuple[str, str, tuple[Fault, ...], dict[str, str]]] = [
-    ("sent after a drain was told, s", "join", (), {READY: "endpoint.id in tried"}),
+DEADLINE_TIMER = "context.set_request_timer(request, event.expires_us - context.now_us"
+SLOW = (Fault("slow", 4, 20, part=1.0, share=0.3),)
+RESTARTED = (Fault("zone", 6, 1, part=0.2), Fault("restart", 8, 1, part=0.7, at_once=0.7))
+MUTATIONS: list[tuple[str, str, tuple[Fault, ...], dict[str, str]]] = [
+    ("sent after a drain was told, s", "join", (), {NOT_READY: "endpoint.id in tried"}),
     (
         "work sent to a cold server, of what makes it fall",
         "join",
-        EMPTY,
+        RESTARTED,
         {
             f"return self.{IS_WARM} or endpoint.slow_start_budget >= min(1.0, cost)": "return True",
-            COST: f"return self._admission.{IS_WARM} + 0.0",
+            PLACEMENT_COST: f"return self._admission.{IS_WARM} + 0.0",
         },
     ),
     (
         "attempts of one request over its limit",
         "calm",
         (Fault("errors", 5, 20, part=1.0, share=1.0),),
-        {OUT: "if request.is_attempt_active:"},
+        {MAY_START: "if request.is_attempt_active:"},
     ),
     (
         "attempts while one was out",
         "split",
         (),
         {
-            OUT: "if request.attempts >= request.max_attempts:",
+            MAY_START: "if request.attempts >= request.max_attempts:",
             "elif not request.is_attempt_active:\n": "else:\n",
         },
     ),
@@ -89,12 +89,12 @@
         "answers too many",
         "zone",
         (),
-        {TIMER.format(" or request.is_answered"): TIMER.format(""), REMOVE: "        if"},
+        {IGNORES_TIMER.format(" or request.is_answered"): IGNORES_TIMER.format(""), REMOVE: "        if"},
     ),
     (
         "moves of what does not stand",
         "zone",
-        JAMMED,
+        SLOW,
         {
             "if r.is_established and not r.is_answered]": "if not r.is_answered]",
             "is_worthwhile = self._is_worthwhile(rate)": "is_worthwhile = True or self._is_worthwhile(rate)",
@@ -106,36 +106,36 @@
         (),
         {
             "self.place(request)\n\n    def adopt": "pass\n\n    def adopt",
-            GUARD: GUARD.replace("context.set_request_timer(", "(lambda *_: 0)("),
+            DEADLINE_TIMER: DEADLINE_TIMER.replace("context.set_request_timer(", "(lambda *_: 0)("),
         },
     ),
 ]
 
 
-@pytest.mark.parametrize(("rule", "name", "faults", "changes"), CHANGED, ids=[one[0] for one in CHANGED])
-def test_a_changed_line_of_the_module_is_seen_to_break_its_rule(
+@pytest.mark.parametrize(("rule", "name", "faults", "changes"), MUTATIONS, ids=[one[0] for one in MUTATIONS])
+def test_a_changed_line_of_the_policy_breaks_its_rule(
     rule: str, name: str, faults: tuple[Fault, ...], changes: dict[str, str]
 ) -> None:
-    """Else the days above would pass whatever the module did: these are the lines that keep them."""
-    rooms = sources()
+    """Else the scenarios above could pass whatever the policy did: these lines keep the rules."""
+    texts = sources()
     for line, other in changes.items():
-        [room] = [name for name, text in rooms.items() if text.count(line) == 1]
-        rooms[room] = rooms[room].replace(line, other)
-    told = load(DAYS / f"{name}.conf")
+        [module] = [name for name, text in texts.items() if text.count(line) == 1]
+        texts[module] = texts[module].replace(line, other)
+    scenario = load(DAYS / f"{name}.conf")
     if faults:
-        told = replace(told, day=replace(told.day, seconds=12, list_s=(0.0, 0.05)), faults=faults)
+        scenario = replace(scenario, day=replace(scenario.day, seconds=12, list_s=(0.0, 0.05)), faults=faults)
     broken: list[str] = []
-    for seed in range(1, 9):  # whether a day comes to the changed line is its seed's affair
+    for seed in range(1, 9):  # whether a scenario reaches the changed line depends on the seed
         referee = Referee()
-        World(told, seed, of_source(rooms, f"changed for {rule}"), ears=(referee,)).run()
+        World(scenario, seed, of_source(texts, f"changed for {rule}"), ears=(referee,)).run()
         broken = [one.name for one in referee.rules if one.broken]
         if broken:
             break
     assert rule in broken
 
 
-def heard(*events: Event | Action) -> Referee:
-    """What a referee makes of a node's life, a second for each event."""
+def referee_of(*events: Event | Action) -> Referee:
+    """The referee of one node after these events and actions, a second apart."""
     referee = Referee()
     referee.begins(0, 1, Settings(limits=Limits(max_attempts=2)))
     for second, event in enumerate(events):
@@ -172,19 +172,24 @@
         ([request(), StartAttempt(1, "a", 0), UP, MigrateSession(1)], []),
         ([request(), *[StartAttempt(1, "a", 0), BACK] * 3, FailRequest(1)], ["attempts"]),
         (
-            [EndpointListUpdate(DELTA, (entry("a", state=1),)), request(), StartAttempt(1, "a", 0), UP],
+            [
+                EndpointListUpdate(DELTA, (entry("a", availability=1),)),
+                request(),
+                StartAttempt(1, "a", 0),
+                UP,
+            ],
             ["drained"],
         ),
         ([EndpointListUpdate(FULL, (entry("b"),)), request(), StartAttempt(1, "a", 0), UP], ["drained"]),
         ([EndpointListUpdate(ListUpdateKind.FAILED, ()), request(), StartAttempt(1, "a", 0), UP], []),
     ],
 )
-def test_the_referee_tells_right_from_wrong(events: list[Event], broken: list[str]) -> None:
-    referee = heard(EndpointListUpdate(FULL, (entry("a"),)), *events)
+def test_the_referee_finds_the_rules_that_are_broken(events: list[Event], broken: list[str]) -> None:
+    referee = referee_of(EndpointListUpdate(FULL, (entry("a"),)), *events)
     assert [name for name, rule in vars(referee).items() if isinstance(rule, Rule) and rule.broken] == broken
 
 
-def test_a_margin_is_that_of_the_worst_day() -> None:
+def test_a_margin_is_that_of_the_worst_scenario() -> None:
     day = Day("calm", (DAYS / "calm.conf").read_text(), 1)
     first, second = Rule("r", 2.0), Rule("r", 2.0)
     first.saw(1.0, "here")
@@ -197,7 +202,7 @@
     assert found.margin == -0.5 and found.broken == ["x seed 7, 1 times, first there"]
 
 
-def test_audit_tells_each_rule_s_margin(tmp_path: Path) -> None:
+def test_audit_prints_the_margin_of_each_rule(tmp_path: Path) -> None:
     path = tmp_path / "day.conf"
     path.write_text(
         "day {\n seconds 4\n servers 4\n nodes 3\n rate 4\n life 10\n}\nfault drain {\n at 6\n}\n"
--- a/tests/policy/test_safety_rules.py
+++ b/tests/policy/test_safety_rules.py
@@ -1,4 +1,4 @@
-"""The four rules under legal but odd sequences of events, read off events and actions alone."""
+"""Safety rules under random sequences of legal events, checked from events and actions alone."""
 
 from __future__ import annotations
 
@@ -49,23 +49,23 @@
 
 
 class World:
-    """Plays odd events to a policy and checks each action against what the policy has been told."""
+    """Feeds random events to a policy and checks each action against the events before it."""
 
-    def __init__(self, seed: int, options: Settings, servers: int = 12) -> None:
+    def __init__(self, seed: int, options: Settings, endpoint_count: int = 12) -> None:
         self.rng = random.Random(seed)
-        self.servers = servers
+        self.endpoint_count = endpoint_count
         self.options = options
         self.policy = Policy(options, seed)
         self.now = START
-        self.listed: dict[EndpointId, Endpoint] = {}
-        self.leaving: set[EndpointId] = set()
+        self.entries: dict[EndpointId, Endpoint] = {}
+        self.draining: set[EndpointId] = set()
         self.requests: dict[int, Request] = {}
         self.answers: Counter[int] = Counter()
         self.attempts: dict[int, list[tuple[EndpointId, int]]] = {}
-        self.out: dict[int, tuple[int, EndpointId]] = {}
-        self.up: set[int] = set()
-        self.gone: set[int] = set()
-        self.ran: dict[int, tuple[Endpoint, int]] = {}
+        self.active: dict[int, tuple[int, EndpointId]] = {}
+        self.established: set[int] = set()
+        self.ended: set[int] = set()
+        self.may_have_run: dict[int, tuple[Endpoint, int]] = {}
         self.timers: list[tuple[int, int]] = []
         self.feed(Started())
 
@@ -73,64 +73,73 @@
         """Feed an event and check what comes of it."""
         for action in self.policy.handle(self.now, event):
             if isinstance(action, StartAttempt):
-                self.check_send(action)
+                self.check_attempt(action)
             elif isinstance(action, RejectRequest | FailRequest):
                 self.check_answer(action)
             elif isinstance(action, SetTimer):
                 assert action.delay_us > 0
                 heappush(self.timers, (self.now + action.delay_us, action.token))
             elif isinstance(action, MigrateSession):
-                assert action.request_id in self.up
+                assert action.request_id in self.established
 
-    def finished(self, id: int) -> bool:
-        return bool(self.answers[id]) or id in self.gone
+    def is_finished(self, id: int) -> bool:
+        return bool(self.answers[id]) or id in self.ended
 
-    def check_send(self, send: StartAttempt) -> None:
+    def check_attempt(self, send: StartAttempt) -> None:
         request = self.requests[send.request_id]
         cls = self.options.classes[request.class_index]
         attempts = self.attempts.setdefault(send.request_id, [])
-        assert not self.finished(send.request_id)
-        assert send.request_id not in self.out
+        assert not self.is_finished(send.request_id)
+        assert send.request_id not in self.active
         assert len(attempts) < self.options.limits.max_attempts
-        assert send.endpoint in self.listed and send.endpoint not in self.leaving
+        assert send.endpoint in self.entries and send.endpoint not in self.draining
         assert self.now < request.expires_us and 0 < send.timeout_us <= request.expires_us - self.now
-        if send.request_id in self.ran and cls.idempotency != Idempotency.IDEMPOTENT:
-            first, when = self.ran[send.request_id]
-            here = self.listed[send.endpoint]
+        if send.request_id in self.may_have_run and cls.idempotency != Idempotency.IDEMPOTENT:
+            first, when = self.may_have_run[send.request_id]
+            here = self.entries[send.endpoint]
             assert cls.idempotency == Idempotency.BY_KEY and self.now - when < cls.deduplication_window_us
             assert cls.deduplication_scope != DeduplicationScope.ZONE or here.zone == first.zone
             assert cls.deduplication_scope != DeduplicationScope.CELL or here.cell == first.cell
-        self.out[send.request_id] = (len(attempts), send.endpoint)
+        self.active[send.request_id] = (len(attempts), send.endpoint)
         attempts.append((send.endpoint, self.now))
 
     def check_answer(self, answer: RejectRequest | FailRequest) -> None:
         request = self.requests[answer.request_id]
         cls = self.options.classes[request.class_index]
-        assert not self.finished(request.id) and request.id not in self.up
+        assert not self.is_finished(request.id) and request.id not in self.established
         assert self.now <= request.expires_us + self.options.rules.answer_slack_us
         self.answers[request.id] += 1
-        if isinstance(answer, RejectRequest) and (request.id in self.ran or request.id in self.out):
+        if isinstance(answer, RejectRequest) and (
+            request.id in self.may_have_run or request.id in self.active
+        ):
             assert cls.idempotency == Idempotency.IDEMPOTENT or (
                 cls.idempotency == Idempotency.BY_KEY and cls.deduplication_scope == DeduplicationScope.ALL
             )
 
-    def news(self) -> None:
-        """Odd news of the list: servers come, restart, drain, vanish from it, or nothing at all."""
-        ids = self.rng.sample(range(self.servers), self.rng.randrange(self.servers + 1))
+    def update_list(self) -> None:
+        """A random update of the list: endpoints come, restart, drain, vanish from it, or nothing at all."""
+        ids = self.rng.sample(range(self.endpoint_count), self.rng.randrange(self.endpoint_count + 1))
         full = self.rng.random() < 0.2
         rows = []
         for id in ids:
             started = self.rng.choice((0, 0, self.now, self.now - 5 * SECOND))
             state = self.rng.choice((0, 0, 0, 1, 2))
             rows.append(
-                entry(id, state=state, started=started, zone=id % 3, cell=id % 4, size=self.rng.uniform(0, 3))
+                entry(
+                    id,
+                    availability=state,
+                    started_us=started,
+                    zone=id % 3,
+                    cell=id % 4,
+                    size=self.rng.uniform(0, 3),
+                )
             )
         if full:
-            self.leaving = set(self.listed) - set(ids)
+            self.draining = set(self.entries) - set(ids)
         for row in rows:
             if row.availability != Availability.GONE:
-                self.listed[row.id] = row
-            (self.leaving.discard if row.availability == 0 else self.leaving.add)(row.id)
+                self.entries[row.id] = row
+            (self.draining.discard if row.availability == 0 else self.draining.add)(row.id)
         self.feed(EndpointListUpdate(ListUpdateKind.FULL if full else ListUpdateKind.DELTA, tuple(rows)))
 
     def request(self, id: int) -> None:
@@ -147,36 +156,36 @@
         self.feed(self.requests[id])
 
     def adopt(self, id: int) -> None:
-        """A connection was open at the start, perhaps at a server that no list names."""
+        """A session was established before the start, perhaps at an endpoint that no list names."""
         self.requests[id] = Request(id, 0, self.now, self.rng.choice((None, 3.0)))
-        server = self.rng.randrange(self.servers + 2)
-        self.up.add(id)
-        self.attempts[id], self.out[id] = [(server, self.now)], (0, server)
-        self.feed(SessionAdopted(self.requests[id], server))
+        endpoint = self.rng.randrange(self.endpoint_count + 2)
+        self.established.add(id)
+        self.attempts[id], self.active[id] = [(endpoint, self.now)], (0, endpoint)
+        self.feed(SessionAdopted(self.requests[id], endpoint))
 
-    def note(self, id: int) -> None:
-        attempt, server = self.out[id]
+    def report(self, id: int) -> None:
+        attempt, endpoint = self.active[id]
         kind, value = self.rng.choice((1, 2)), self.rng.choice((0.0, 7.0, 5000.0, float("inf")))
-        self.feed(SessionReport(id, attempt, server, kind, value))
+        self.feed(SessionReport(id, attempt, endpoint, kind, value))
 
     def end(self, id: int) -> None:
-        """An attempt ends, or its connection comes up."""
-        attempt, server = self.out[id]
-        if id not in self.up and not self.finished(id) and self.rng.random() < 0.4:
-            self.up.add(id)
-            self.feed(SessionEstablished(id, attempt, server, 20_000))
+        """An attempt ends, is established, or reports."""
+        attempt, endpoint = self.active[id]
+        if id not in self.established and not self.is_finished(id) and self.rng.random() < 0.4:
+            self.established.add(id)
+            self.feed(SessionEstablished(id, attempt, endpoint, 20_000))
             return
-        if id in self.up and self.rng.random() < 0.3:
-            return self.note(id)
+        if id in self.established and self.rng.random() < 0.3:
+            return self.report(id)
         result = self.rng.choice(list(AttemptResult))
-        del self.out[id]
-        if result in MAYBE_RAN and id not in self.ran and server in self.listed:
-            self.ran[id] = (self.listed[server], self.attempts[id][attempt][1])
-        complete = id in self.up or result == AttemptResult.OK or self.finished(id)
+        del self.active[id]
+        if result in MAYBE_RAN and id not in self.may_have_run and endpoint in self.entries:
+            self.may_have_run[id] = (self.entries[endpoint], self.attempts[id][attempt][1])
+        complete = id in self.established or result == AttemptResult.OK or self.is_finished(id)
         if complete:
-            self.gone.add(id)
-            self.up.discard(id)
-        self.feed(AttemptEnded(id, attempt, server, result, complete, 20_000, (self.rng.uniform(-1, 3),)))
+            self.ended.add(id)
+            self.established.discard(id)
+        self.feed(AttemptEnded(id, attempt, endpoint, result, complete, 20_000, (self.rng.uniform(-1, 3),)))
 
     def pass_time(self, span_us: int) -> None:
         """Time passes and timers come due, at the time they were set for."""
@@ -188,21 +197,21 @@
         self.now = until
 
     def play(self, steps: int) -> None:
-        """Many odd events, then enough time for every answer that is owed."""
+        """Many random events, then enough time for every answer that is owed."""
         for id in range(-20, 0):
             self.adopt(abs(id) + steps)
         for id in range(steps):
             what = self.rng.random()
             if what < 0.15:
-                self.news()
+                self.update_list()
             elif what < 0.5:
                 self.request(id)
-            elif what < 0.8 and self.out:
-                self.end(self.rng.choice(sorted(self.out)))
+            elif what < 0.8 and self.active:
+                self.end(self.rng.choice(sorted(self.active)))
             elif what < 0.85 and self.requests:
                 gone = self.rng.choice(sorted(self.requests))
-                if gone not in self.up and not self.finished(gone):
-                    self.gone.add(gone)
+                if gone not in self.established and not self.is_finished(gone):
+                    self.ended.add(gone)
                     self.feed(ClientDisconnected(gone))
             elif what < 0.9:
                 self.feed(
@@ -214,7 +223,7 @@
                 self.feed(
                     PeerMessageReceived(self.rng.randrange(5), self.rng.randbytes(self.rng.randrange(9)))
                 )
-            elif what < 0.92 and all(self.finished(id) or id in self.up for id in self.requests):
+            elif what < 0.92 and all(self.is_finished(id) or id in self.established for id in self.requests):
                 self.now += 3600 * SECOND  # nothing is owed: the host may have slept
             elif what < 0.93:
                 for more in range(50):  # a flood
@@ -223,7 +232,7 @@
                 self.pass_time(self.rng.randrange(SECOND))
         self.pass_time(5 * SECOND)
         for id in self.requests:
-            assert self.answers[id] == 1 or id in self.gone or id in self.up
+            assert self.answers[id] == 1 or id in self.ended or id in self.established
 
 
 classes = st.lists(
@@ -248,7 +257,7 @@
 )
 tenants = st.sampled_from(((), (Tenant("a", 0.7, 5.0, 50.0), Tenant("b", 0.3, 1.0, 9.0))))
 prices = st.builds(Prices, cross_zone=st.sampled_from((0.0, 0.1)), probe=st.sampled_from((0.0, 0.002, 1.0)))
-odd_settings = st.builds(
+random_settings = st.builds(
     Settings,
     balancers=st.sampled_from((1, 2, 300)),
     classes=classes,
@@ -263,9 +272,9 @@
 
 
 @settings(max_examples=150, deadline=None, derandomize=True)
-@given(st.integers(0, 2**32), odd_settings, st.sampled_from((1, 2, 12, 12, 300)))
-def test_the_rules_hold(seed: int, options: Settings, servers: int) -> None:
-    World(seed, options, servers).play(150)
+@given(st.integers(0, 2**32), random_settings, st.sampled_from((1, 2, 12, 12, 300)))
+def test_safety_rules_hold_for_random_events(seed: int, options: Settings, endpoint_count: int) -> None:
+    World(seed, options, endpoint_count).play(150)
 
 
 @settings(max_examples=25, deadline=None, derandomize=True)
@@ -277,31 +286,33 @@
     st.floats(1.5, 6),
     st.integers(0, 300),
 )
-def test_cold_servers_are_sent_no_more_than_their_budget(
-    seed: int, warm: int, cold: int, pace: float, multiple: float, standing: int
+def test_warming_endpoints_are_sent_no_more_than_their_budget(
+    seed: int, warm: int, warming: int, rate: float, multiple: float, adopted: int
 ) -> None:
-    """No window holds more sends to a cold server than the stated multiple of what a warm one takes."""
+    """No window holds more attempts at a warming endpoint than the multiple of what a warm one takes."""
     rules = SafetyRules(overload_multiple=multiple, slow_start_share=0.2, slow_start_us=20 * SECOND)
-    servers = [entry(id) for id in range(warm)] + [entry(warm + id, started=START) for id in range(cold)]
+    endpoints = [entry(id) for id in range(warm)] + [
+        entry(warm + id, started_us=START) for id in range(warming)
+    ]
     world = World(seed, Settings(rules=rules, load_report_fields=("x0",)))
-    world.listed = {row.id: row for row in servers}
-    world.feed(EndpointListUpdate(ListUpdateKind.FULL, tuple(servers)))
-    for id in range(standing):
+    world.entries = {row.id: row for row in endpoints}
+    world.feed(EndpointListUpdate(ListUpdateKind.FULL, tuple(endpoints)))
+    for id in range(adopted):
         world.feed(SessionAdopted(Request(10**6 + id, 0, START), id % warm))
     sent: dict[EndpointId, list[int]] = {}
-    for id in range(int(pace * 20)):
-        world.pass_time(int(SECOND / pace))
+    for id in range(int(rate * 20)):
+        world.pass_time(int(SECOND / rate))
         world.requests[id] = Request(id, 0, world.now + SECOND)
         world.feed(world.requests[id])
-        for other, (attempt, server) in tuple(world.out.items()):
-            del world.out[other]
-            sent.setdefault(server, []).append(world.now)
+        for other, (attempt, endpoint) in tuple(world.active.items()):
+            del world.active[other]
+            sent.setdefault(endpoint, []).append(world.now)
             if world.rng.random() < 0.7:
-                world.feed(SessionEstablished(other, attempt, server, 20_000))
+                world.feed(SessionEstablished(other, attempt, endpoint, 20_000))
             else:
-                world.feed(AttemptEnded(other, attempt, server, AttemptResult.FULL, False, 900))
-    usual = max(pace / warm, (standing + pace * 20) / warm / MIN_MEAN_LOAD / 20)
-    for id in range(warm, warm + cold):
+                world.feed(AttemptEnded(other, attempt, endpoint, AttemptResult.FULL, False, 900))
+    usual = max(rate / warm, (adopted + rate * 20) / warm / MIN_MEAN_LOAD / 20)
+    for id in range(warm, warm + warming):
         times = sent.get(id, [])
         for first, start in enumerate(times):
             within = sum(1 for when in times[first:] if when - start <= 2 * SECOND)
--- a/tests/policy/test_slow_start_sum.py
+++ b/tests/policy/test_slow_start_sum.py
@@ -1,4 +1,4 @@
-"""What all nodes together send to a cold server, on a virtual clock: the ramp's N, and what chance adds."""
+"""What all nodes together send to a warming endpoint, on a virtual clock, compared with what is allowed."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 from stepflow.policy import Policy
 from tests.policy.driver import SECOND, START, entry
 
-FULL = 40.0  # connections of mean load that fill a server, where nothing else is said
+FULL = 40.0  # sessions of mean load that fill an endpoint, where nothing else is said
 RULES = SafetyRules(
     slow_start_share=0.3, slow_start_us=8 * SECOND, overload_multiple=2.5, overload_after_us=1_500_000
 )
@@ -40,22 +40,22 @@
 
 
 def allowed(now: int, started: int, full: float = FULL) -> float:
-    """N: what the settings allow within the window that ends now, for a server that started then."""
+    """What the settings allow in the window that ends now, for an endpoint that started then."""
     age = (now - started) / RULES.slow_start_us
-    warmth = min(1.0, RULES.slow_start_share + (1 - RULES.slow_start_share) * age)
-    rate = full / (RULES.slow_start_us / SECOND)  # fills it over its warm-up
-    return RULES.overload_multiple * warmth * rate * WINDOW_US / SECOND
+    capacity = min(1.0, RULES.slow_start_share + (1 - RULES.slow_start_share) * age)
+    rate = full / (RULES.slow_start_us / SECOND)  # fills it over its slow start
+    return RULES.overload_multiple * capacity * rate * WINDOW_US / SECOND
 
 
 @dataclass
 class World:
-    """Nodes at equal servers; each request comes up at once, and stays or ends after a while."""
+    """Nodes at equal endpoints; each session is established at once, and stays or ends after a while."""
 
     nodes: int
-    servers: int
+    endpoints: int
     load: float
     seed: int
-    life_s: float = math.inf  # of a connection, in the mean
+    life_s: float = math.inf  # of a session, in the mean
     full: float = FULL
     uneven: float = 1.0  # the busiest node's traffic over the least busy one's, in steps
     open: dict[object, int] = field(default_factory=dict)
@@ -67,31 +67,31 @@
         self.settings = Settings(
             balancers=self.nodes, load_report_fields=("x0",), rules=RULES, prices=Prices(probe=0.004)
         )
-        self.started = dict.fromkeys(range(self.servers), 0)
+        self.started = dict.fromkeys(range(self.endpoints), 0)
         self.open = dict.fromkeys(self.started, 0)
         self.timers: list[dict[int, int]] = [{} for _ in range(self.nodes)]
         self.share = [self.uneven ** (n / max(1, self.nodes - 1)) for n in range(self.nodes)]
-        self.policies = [self.begin(n) for n in range(self.nodes)]
-        for _ in range(round(self.load * self.full * self.servers)):
-            node, server = self.pick(), self.rng.randrange(self.servers)
+        self.policies = [self.start_node(n) for n in range(self.nodes)]
+        for _ in range(round(self.load * self.full * self.endpoints)):
+            node, endpoint = self.random_node(), self.rng.randrange(self.endpoints)
             self.ids += 1
-            self.open[server] += 1
-            self.feed(node, SessionAdopted(Request(self.ids, 0, 0, 1.0), server))
+            self.open[endpoint] += 1
+            self.feed(node, SessionAdopted(Request(self.ids, 0, 0, 1.0), endpoint))
 
-    def begin(self, node: int) -> Policy:
+    def start_node(self, node: int) -> Policy:
         """A new process."""
         self.timers[node] = {}
         policy = Policy(self.settings, self.seed * 1000 + node + self.now)
         self.run(node, policy.handle(self.now, Started()), policy)
         self.run(
-            node, policy.handle(self.now, EndpointListUpdate(ListUpdateKind.CACHED, self.listed())), policy
+            node, policy.handle(self.now, EndpointListUpdate(ListUpdateKind.CACHED, self.entries())), policy
         )
         return policy
 
-    def listed(self) -> tuple[Endpoint, ...]:
-        return tuple(entry(id, started=at) for id, at in self.started.items())
+    def entries(self) -> tuple[Endpoint, ...]:
+        return tuple(entry(id, started_us=at) for id, at in self.started.items())
 
-    def pick(self) -> int:
+    def random_node(self) -> int:
         return self.rng.choices(range(self.nodes), self.share)[0]
 
     def feed(self, node: int, event: Event) -> None:
@@ -103,11 +103,11 @@
             if isinstance(action, SetTimer):
                 self.timers[node][action.token] = self.now + action.delay_us
             elif isinstance(action, StartHealthCheck):
-                warmth = allowed(self.now, self.started[action.endpoint]) / allowed(self.now, 0)
+                capacity = allowed(self.now, self.started[action.endpoint]) / allowed(self.now, 0)
                 x0 = (
                     self.open[action.endpoint]
                     / self.full
-                    / (warmth if self.started[action.endpoint] else 1.0)
+                    / (capacity if self.started[action.endpoint] else 1.0)
                 )
                 event = HealthCheckEnded(action.endpoint, AttemptResult.OK, 500, (x0,))
                 self.run(node, policy.handle(self.now, event), policy)
@@ -117,10 +117,10 @@
                 up = SessionEstablished(action.request_id, 0, action.endpoint, 20_000)
                 self.run(node, policy.handle(self.now, up), policy)
 
-    def pass_time(self, seconds: float, rate: float, returned: bool = False) -> None:
+    def pass_time(self, seconds: float, rate: float, is_migrated: bool = False) -> None:
         for _ in range(round(seconds * SECOND / STEP_US)):
             self.now += STEP_US
-            self.end_some(STEP_US / SECOND / self.life_s)
+            self.end_sessions(STEP_US / SECOND / self.life_s)
             for node, timers in enumerate(self.timers):
                 for token in [token for token, due in timers.items() if due <= self.now]:
                     del timers[token]
@@ -128,58 +128,63 @@
             expected = rate * STEP_US / SECOND
             for _ in range(int(expected) + (self.rng.random() < expected % 1)):
                 self.ids += 1
-                request = Request(self.ids, 0, self.now + 2 * SECOND, 1.0, is_migrated=returned)
-                self.feed(self.pick(), request)
+                request = Request(self.ids, 0, self.now + 2 * SECOND, 1.0, is_migrated=is_migrated)
+                self.feed(self.random_node(), request)
 
-    def end_some(self, share: float) -> None:
-        """So many of the connections end, wherever they stand."""
+    def end_sessions(self, share: float) -> None:
+        """About this share of the sessions ends, wherever they are."""
         for node, policy in enumerate(self.policies if share else ()):
-            for flight in [
+            for request in [
                 f for f in policy.requests.values() if f.is_established and self.rng.random() < share
             ]:
-                assert flight.endpoint is not None
-                self.open[flight.endpoint.id] -= 1
-                id = flight.request.id
-                end = AttemptEnded(id, flight.attempts - 1, flight.endpoint.id, AttemptResult.OK, True, 0)
+                assert request.endpoint is not None
+                self.open[request.endpoint.id] -= 1
+                id = request.request.id
+                end = AttemptEnded(id, request.attempts - 1, request.endpoint.id, AttemptResult.OK, True, 0)
                 self.feed(node, end)
 
-    def start_cold(self, *servers: int) -> None:
-        """These are replaced: what they held is gone."""
-        for server in servers:
-            self.started[server], self.open[server] = self.now, 0
-            self.sent.pop(server, None)
-        news = tuple(entry(id, started=self.now) for id in servers)
+    def restart_endpoints(self, *endpoints: int) -> None:
+        """These are replaced, and their sessions end."""
+        for endpoint in endpoints:
+            self.started[endpoint], self.open[endpoint] = self.now, 0
+            self.sent.pop(endpoint, None)
+        entries = tuple(entry(id, started_us=self.now) for id in endpoints)
         for node, policy in enumerate(self.policies):
-            for flight in [f for f in policy.requests.values() if f.endpoint and f.endpoint.id in servers]:
-                assert flight.endpoint is not None
+            for request in [f for f in policy.requests.values() if f.endpoint and f.endpoint.id in endpoints]:
+                assert request.endpoint is not None
                 end = AttemptEnded(
-                    flight.request.id, flight.attempts - 1, flight.endpoint.id, AttemptResult.RESET, True, 0
+                    request.request.id,
+                    request.attempts - 1,
+                    request.endpoint.id,
+                    AttemptResult.RESET,
+                    True,
+                    0,
                 )
                 self.feed(node, end)
-            self.feed(node, EndpointListUpdate(ListUpdateKind.DELTA, news))
+            self.feed(node, EndpointListUpdate(ListUpdateKind.DELTA, entries))
 
-    def restart(self, nodes: int) -> int:
-        """So many nodes are killed and begin anew; tells how many connections they held."""
+    def restart_nodes(self, nodes: int) -> int:
+        """So many nodes are killed and start again; returns how many sessions they held."""
         lost = 0
         for node in range(nodes):
-            for flight in self.policies[node].requests.values():
-                assert flight.endpoint is not None
-                self.open[flight.endpoint.id] -= 1
+            for request in self.policies[node].requests.values():
+                assert request.endpoint is not None
+                self.open[request.endpoint.id] -= 1
                 lost += 1
-            self.policies[node] = self.begin(node)
+            self.policies[node] = self.start_node(node)
         return lost
 
-    def worst(self) -> float:
-        """The most that a server got in a window, over what is allowed with chance's part."""
+    def worst_window(self) -> float:
+        """The most attempts at an endpoint in a window, over what is allowed with a margin for chance."""
         worst = 0.0
-        for server, times in self.sent.items():
-            if not self.started[server]:
+        for endpoint, times in self.sent.items():
+            if not self.started[endpoint]:
                 continue
             for i, end in enumerate(times):
-                if end - self.started[server] >= RULES.slow_start_us:
+                if end - self.started[endpoint] >= RULES.slow_start_us:
                     break
                 count = sum(end - t < WINDOW_US for t in times[: i + 1])
-                n = allowed(end, self.started[server], self.full)
+                n = allowed(end, self.started[endpoint], self.full)
                 worst = max(worst, count / (n + 2 * math.sqrt(n) + 2))
         return worst
 
@@ -190,63 +195,63 @@
 @pytest.mark.parametrize("seed", SEEDS)
 @pytest.mark.parametrize("uneven", [1.0, 9.0])
 @pytest.mark.parametrize("nodes", [6, 30])
-def test_a_few_cold_servers_among_many(nodes: int, uneven: float, seed: int) -> None:
+def test_a_few_warming_endpoints_among_many(nodes: int, uneven: float, seed: int) -> None:
     world = World(nodes, 20, 0.5, seed, uneven=uneven)
     world.pass_time(4, 10)
-    world.start_cold(0, 1, 2)
+    world.restart_endpoints(0, 1, 2)
     world.pass_time(9, 30)
-    assert 0 < world.worst() <= 1
+    assert 0 < world.worst_window() <= 1
 
 
 @pytest.mark.parametrize("seed", SEEDS)
 @pytest.mark.parametrize("nodes", [6, 30])
-def test_what_was_saved_up_in_a_lull_is_not_spent_at_once(nodes: int, seed: int) -> None:
-    """Every node had saved a connection for each cold server, and a burst brought all of them."""
+def test_budgets_saved_while_idle_are_not_spent_at_once(nodes: int, seed: int) -> None:
+    """Each node had saved an attempt for each warming endpoint, and a burst brought all of them."""
     world = World(nodes, 20, 0.5, seed)
     world.pass_time(4, 10)
-    world.start_cold(0, 1, 2)
+    world.restart_endpoints(0, 1, 2)
     world.pass_time(3, 1)
     world.pass_time(1, 200)
-    assert 0 < world.worst() <= 1
+    assert 0 < world.worst_window() <= 1
 
 
 @pytest.mark.parametrize("seed", SEEDS)
 @pytest.mark.parametrize("nodes", [6, 30])
-def test_most_nodes_are_restarted_and_their_clients_come_at_once(nodes: int, seed: int) -> None:
+def test_clients_of_restarted_nodes_that_come_at_once(nodes: int, seed: int) -> None:
     world = World(nodes, 20, 0.5, seed, uneven=4.0)
     world.pass_time(4, 10)
-    world.start_cold(0, 1, 2)
+    world.restart_endpoints(0, 1, 2)
     world.pass_time(1, 10)
-    lost = world.restart(round(0.7 * nodes))
-    world.pass_time(1.5, lost / 1.5, returned=True)
+    lost = world.restart_nodes(round(0.7 * nodes))
+    world.pass_time(1.5, lost / 1.5, is_migrated=True)
     world.pass_time(3, 30)
-    assert 0 < world.worst() <= 1
+    assert 0 < world.worst_window() <= 1
 
 
 @pytest.mark.parametrize("seed", SEEDS)
 @pytest.mark.parametrize("nodes", [6, 30])
-@pytest.mark.parametrize("cold", [18, 20])
-def test_nearly_all_servers_are_cold_at_once(nodes: int, cold: int, seed: int) -> None:
-    """What one bears was told from connections at all servers over the few that were warm: up to 1.39."""
+@pytest.mark.parametrize("warming", [18, 20])
+def test_nearly_all_endpoints_warm_up_at_once(nodes: int, warming: int, seed: int) -> None:
+    """What one bears was learned from sessions at all endpoints over the few warm ones: up to 1.39."""
     world = World(nodes, 20, 0.5, seed)
     world.pass_time(4, 10)
-    world.start_cold(*range(cold))
+    world.restart_endpoints(*range(warming))
     world.pass_time(1.5, 18 * FULL * 0.5 / 1.5)
     world.pass_time(6, 30)
-    assert 0 < world.worst() <= 1
+    assert 0 < world.worst_window() <= 1
 
 
 @pytest.mark.parametrize("seed", SEEDS)
 @pytest.mark.parametrize("nodes", [6, 30])
-@pytest.mark.parametrize(("cold", "life_s"), [(3, 4.0), (10, 4.0), (20, 4.0), (20, 10.0)])
-def test_connections_that_come_and_go_faster_than_a_server_warms_up(
-    nodes: int, cold: int, life_s: float, seed: int
+@pytest.mark.parametrize(("warming", "life_s"), [(3, 4.0), (10, 4.0), (20, 4.0), (20, 10.0)])
+def test_sessions_that_are_shorter_than_the_slow_start(
+    nodes: int, warming: int, life_s: float, seed: int
 ) -> None:
-    """As many as come to a warm server were sent, twice over, though that fills a cold one too fast: 1.40."""
+    """Twice as many as come to a warm endpoint were sent, which fills a warming one too fast: 1.40."""
     world = World(nodes, 20, 0.5, seed, life_s, full=80.0)
     rate = 20 * 80.0 * 0.5 / life_s
     world.pass_time(4, rate)
-    world.start_cold(*range(cold))
-    world.pass_time(1.5, 2 * rate + cold * 40 / 1.5)
+    world.restart_endpoints(*range(warming))
+    world.pass_time(1.5, 2 * rate + warming * 40 / 1.5)
     world.pass_time(6, rate)
-    assert 0 < world.worst() <= 1
+    assert 0 < world.worst_window() <= 1
--- a/tests/test_effects.py
+++ b/tests/test_effects.py
@@ -17,7 +17,7 @@
     StartAttempt,
     TimerFired,
 )
-from tests.policy.driver import SECOND, Driver, entry, only, plain_settings
+from tests.policy.driver import SECOND, Driver, entry, of_type, plain_settings
 
 ONCE = RequestClass("pay", idempotency=Idempotency.NOT_IDEMPOTENT)
 KEYED = RequestClass(
@@ -36,25 +36,25 @@
 def test_a_repeat_that_never_ran_leaves_the_first_attempt_bound() -> None:
     """The first may have run at the same server; its repeat's refusal unbound the request for all servers."""
     drive = driver(KEYED)
-    [first] = only(StartAttempt, drive.request(1))
+    [first] = of_type(StartAttempt, drive.request(1))
     drive.end(first, AttemptResult.TIMEOUT)  # it may run yet; only its own cell drops a repeat
     drive.now += 100_000
-    again = only(StartAttempt, drive.feed(TimerFired(16 + 1)))
+    again = of_type(StartAttempt, drive.feed(TimerFired(16 + 1)))
     assert [send.endpoint for send in again] == [first.endpoint]
     drive.end(again[0], AttemptResult.FULL, attempt=1)
     for _ in range(8):
         drive.now += 100_000
         drive.feed(TimerFired(16 + 1))
-    sent = only(StartAttempt, drive.done)
+    sent = of_type(StartAttempt, drive.actions)
     assert {send.endpoint for send in sent} == {first.endpoint}
-    assert not only(RejectRequest, drive.done)
+    assert not of_type(RejectRequest, drive.actions)
 
 
 @pytest.mark.parametrize("cls", [ONCE, KEYED])
 def test_what_may_have_run_is_not_harmless_to_refuse(cls: RequestClass) -> None:
     drive = driver(cls)
     assert drive.policy.is_safe_to_reject(1)  # it was never sent
-    [send] = only(StartAttempt, drive.request(1))
+    [send] = of_type(StartAttempt, drive.request(1))
     assert not drive.policy.is_safe_to_reject(1)
     drive.end(send, AttemptResult.CONNECT_FAILED)
     drive.feed(ClientDisconnected(1))
@@ -65,18 +65,18 @@
 
 def test_a_line_is_not_begun_at_a_server_that_began_to_drain_while_it_was_dialled() -> None:
     drive = driver(RequestClass())
-    [send] = only(StartAttempt, drive.request(1))
+    [send] = of_type(StartAttempt, drive.request(1))
     assert drive.policy.may_send_attempt(drive.now, 1)
-    drive.news(entry(send.endpoint, cell=int(str(send.endpoint)), state=1))
+    drive.update_list(entry(send.endpoint, cell=int(str(send.endpoint)), availability=1))
     assert not drive.policy.may_send_attempt(drive.now, 1)
 
 
 def test_a_line_is_not_begun_at_a_server_that_is_gone_nor_for_a_client_that_left() -> None:
     drive = driver(RequestClass())
-    [send] = only(StartAttempt, drive.request(1))
-    drive.news(entry(send.endpoint, state=2))
+    [send] = of_type(StartAttempt, drive.request(1))
+    drive.update_list(entry(send.endpoint, availability=2))
     assert not drive.policy.may_send_attempt(drive.now, 1)
-    [other] = only(StartAttempt, drive.request(2))
+    [other] = of_type(StartAttempt, drive.request(2))
     assert drive.policy.may_send_attempt(drive.now, 2)
     drive.feed(ClientDisconnected(2))
     assert not drive.policy.may_send_attempt(drive.now, 2)
@@ -85,12 +85,12 @@
 def test_a_repeat_is_not_begun_once_the_window_of_the_first_attempt_is_over() -> None:
     """Decided within the window and dialled for longer than was left of it, it would have run twice."""
     drive = driver(KEYED)
-    [first] = only(StartAttempt, drive.request(1, wait_us=5 * SECOND))
+    [first] = of_type(StartAttempt, drive.request(1, wait_us=5 * SECOND))
     assert drive.policy.may_send_attempt(drive.now + SECOND, 1)  # the first attempt opens the window
     drive.now += 250_000
     drive.end(first, AttemptResult.RESET)
     drive.feed(TimerFired(16 + 1))
-    [_, again] = only(StartAttempt, drive.done)
+    [_, again] = of_type(StartAttempt, drive.actions)
     assert again.endpoint == first.endpoint
     assert drive.policy.may_send_attempt(drive.now, 1)
     assert not drive.policy.may_send_attempt(drive.now + 50_000, 1)
