--- a/tests/policy/test_migration.py
+++ b/tests/policy/test_migration.py
@@ -43,14 +43,14 @@
     assert not of_type(MigrateSession, driver.tick())  # the same report is not acted on twice
 
 
-def test_a_delay_below_every_objective_is_not_watched() -> None:
+@pytest.mark.parametrize(("delay_ms", "is_watched"), [(99.0, False), (100.0, True)])
+def test_a_delay_below_every_objective_is_not_watched(delay_ms: float, is_watched: bool) -> None:
     # Delays are reported from a third of the shortest objective; migrating then kept clients moving.
-    for delay_ms, is_watched in ((99.0, False), (100.0, True)):
-        driver = overloaded_driver(0.1)
-        [send] = of_type(StartAttempt, driver.request(1))
-        driver.establish(send)
-        driver.feed(SessionReport(1, 0, 1, SessionReportKind.DELAY, delay_ms))
-        assert (1 in driver.policy.migration.watched) == is_watched
+    driver = overloaded_driver(0.1)
+    [send] = of_type(StartAttempt, driver.request(1))
+    driver.establish(send)
+    driver.feed(SessionReport(1, 0, 1, SessionReportKind.DELAY, delay_ms))
+    assert (1 in driver.policy.migration.watched) == is_watched
 
 
 def test_an_overload_is_found_and_relieved_with_few_new_requests() -> None:
--- a/tests/policy/test_selection.py
+++ b/tests/policy/test_selection.py
@@ -2,6 +2,8 @@
 
 from __future__ import annotations
 
+import pytest
+
 from stepflow.interface import (
     AttemptResult,
     EndpointId,
@@ -60,12 +62,12 @@
     assert send.endpoint == answered
 
 
-def test_near_saturation_the_least_priority_weight_is_rejected_first() -> None:
-    low, high = admission.ADMISSION_LIMITS
-    assert of_type(StartAttempt, overloaded_driver(low - 0.01).request(1, class_index=0))
-    assert of_type(RejectRequest, overloaded_driver(low + 0.01).request(1, class_index=0))
-    assert of_type(StartAttempt, overloaded_driver(high - 0.01).request(1, class_index=1))
-    assert of_type(RejectRequest, overloaded_driver(high + 0.01).request(1, class_index=1))
+@pytest.mark.parametrize("class_index", [0, 1])
+def test_near_saturation_the_least_priority_weight_is_rejected_first(class_index: int) -> None:
+    assert admission.ADMISSION_LIMITS[0] < admission.ADMISSION_LIMITS[1]
+    limit = admission.ADMISSION_LIMITS[class_index]
+    assert of_type(StartAttempt, overloaded_driver(limit - 0.01).request(1, class_index))
+    assert of_type(RejectRequest, overloaded_driver(limit + 0.01).request(1, class_index))
 
 
 def test_a_burst_between_two_reports_is_rejected_once_it_fills_the_endpoint() -> None:
--- a/tests/policy/test_weights.py
+++ b/tests/policy/test_weights.py
@@ -50,21 +50,21 @@
     assert 260 <= counts[1] <= 340
 
 
-def test_another_zone_is_used_once_the_gain_exceeds_its_price() -> None:
+@pytest.mark.parametrize(("own_zone_load", "crosses"), [(0.5, False), (1.2, True)])
+def test_another_zone_is_used_once_the_gain_exceeds_its_price(own_zone_load: float, crosses: bool) -> None:
     """Endpoints of the own zone are preferred until they are overloaded."""
     settings = plain_settings(zone=1, zones=("a", "b"), prices=Prices(cross_zone=0.03), **REPORTING)
-    for near_load, crosses in ((0.5, False), (1.2, True)):
-        driver = Driver(settings, [entry(1, zone=1), entry(2, zone=0)])
-        for _ in range(8):
-            for endpoint, load in ((1, near_load), (2, 0.05)):
-                driver.feed(HealthCheckEnded(endpoint, 0, 500, (load, 0.0)))
-            driver.tick()
-        sends = []
-        for id in range(20):
-            sends += of_type(StartAttempt, driver.request(id, load=0.001))
-            driver.establish(sends[-1])
-        far = sum(send.endpoint == 2 for send in sends)
-        assert far > 10 if crosses else far == 0
+    driver = Driver(settings, [entry(1, zone=1), entry(2, zone=0)])
+    for _ in range(8):
+        for endpoint, load in ((1, own_zone_load), (2, 0.05)):
+            driver.feed(HealthCheckEnded(endpoint, 0, 500, (load, 0.0)))
+        driver.tick()
+    sends = []
+    for id in range(20):
+        sends += of_type(StartAttempt, driver.request(id, load=0.001))
+        driver.establish(sends[-1])
+    crossings = sum(send.endpoint == 2 for send in sends)
+    assert crossings > 10 if crosses else crossings == 0
 
 
 def test_a_zone_without_endpoints_does_not_keep_sessions_from_other_zones() -> None:
