--- a/stepflow/cli/fleet.py
+++ b/stepflow/cli/fleet.py
@@ -150,7 +150,7 @@
     A and B each name a policy: present, random, rev:REVISION, or NAME=FIGURE for one of its figures (several,
     and a revision, with commas: rev:main,KP=0.3).
     """
-    from stepflow.fleet.compare import FIGURES, Side, save
+    from stepflow.fleet.compare import FIGURES, Plan, Side, save
     from stepflow.fleet.compare import compare as play
 
     texts = [(file, _text(file)) for file in (scenario, scenario_b or scenario)]
@@ -161,7 +161,7 @@
             bar.length = wanted
             bar.update(1)
 
-        found = play((first, second), runs, seed, level, width, jobs, told)
+        found = play((first, second), Plan(runs, seed, level, width), jobs, told)
     if out is not None:
         save(found, out)
     for beyond in found.extrapolations():
@@ -257,7 +257,7 @@
 
     Needs a checkout: the stand-ins are no part of an installed stepflow. A run takes the scenario's own time.
     """
-    from stepflow.fleet.replay import LATE, Check, check
+    from stepflow.fleet.replay import LATE, Check, Prediction, check
     from stepflow.fleet.scenario import load
 
     try:
@@ -287,7 +287,7 @@
         bars = f"{span.mean:.3f} ({span.low:.3f} to {span.high:.3f})"
         click.echo(f"seed {one.seed}: predicted {bars}, measured {one.measured:.3f}: {said}{busy}")
 
-    found = check(load(scenario), play, range(seed, seed + runs), models, level=level, on_checked=told)
+    found = check(load(scenario), play, range(seed, seed + runs), Prediction(models, level=level), told)
     if not as_json:
         click.echo(f"{sum(one.within for one in found)} of {len(found)} within their bars")
 
--- a/stepflow/fleet/attempts.py
+++ b/stepflow/fleet/attempts.py
@@ -1,4 +1,8 @@
-"""Attempts and probes of the model: what lies between a node's decision and what a server makes of it."""
+"""Attempts and health checks: from a node's action to what its server answers.
+
+Owns which attempts are in flight, the beginning and end of sessions, and the session store, which all set-ups
+pass one after the other.
+"""
 
 from __future__ import annotations
 
@@ -6,7 +10,7 @@
 
 from stepflow.fleet.context import SimulationContext
 from stepflow.fleet.servers import SECOND, Server
-from stepflow.fleet.state import Client, Node
+from stepflow.fleet.state import ESTABLISHED_ATTEMPT, NO_ATTEMPT, Client, Node
 from stepflow.fleet.streams import stream
 from stepflow.interface import (
     AttemptEnded,
@@ -18,11 +22,11 @@
     StartHealthCheck,
 )
 
-HEALTH_CHECK_TIMEOUT_US = 250_000  # the most that a probe waits
+HEALTH_CHECK_TIMEOUT_US = 250_000
 
 
 class Attempts:
-    """All that is out, and all that stands."""
+    """The attempts in flight, and the sessions that are established."""
 
     def __init__(self, simulation: SimulationContext) -> None:
         self._simulation, self._day = simulation, simulation.scenario.day
@@ -32,7 +36,7 @@
         self._failure_draws = stream(simulation.seed, "sick answers")
 
     def start(self, node: Node, action: StartAttempt) -> None:
-        """One attempt of a request."""
+        """Start an attempt of a request."""
         simulation = self._simulation
         client = node.clients.get(action.request_id)
         if client is None or client.attempt_id:
@@ -69,7 +73,7 @@
             measurements.attempts_at_degraded_by_chance += sick / len(ready)
 
     def _reach_server(self, client: Client, attempt: int, server: Server) -> None:
-        """The line is at the server."""
+        """The request is at the server, which accepts or rejects it."""
         if client.attempt_id != attempt:
             return
         simulation, day = self._simulation, self._day
@@ -94,7 +98,7 @@
         if server.is_overloaded_by(simulation.now, client.load, day.fall_times, int(day.fall_s * SECOND)):
             simulation.faults.crash(server)
             return
-        # The session store takes its calls in turn.
+        # The session store serves one call after the other.
         gap = SECOND / (day.store * day.rate)
         self._store_free_us = max(self._store_free_us + gap, float(simulation.now))
         store = self._store_free_us - simulation.now + 5000
@@ -112,7 +116,7 @@
             if simulation.is_counting:
                 simulation.measurements.wasted_work += work
             return
-        client.established, client.attempt_id = True, -1
+        client.established, client.attempt_id = True, ESTABLISHED_ATTEMPT
         client.backoffs, client.is_migrated = 0, False
         self.add_session(client)
         if node is not None:
@@ -123,7 +127,7 @@
         simulation.clients.apply_load(client, client.request_id, client.load_index)
 
     def add_session(self, client: Client) -> None:
-        """A connection stands."""
+        """Count a session at its server."""
         server = client.server
         if server is not None:
             server.advance(self._simulation.now)
@@ -131,7 +135,7 @@
             self._simulation.sessions_by_class[server][client.class_index] += 1
 
     def remove_session(self, client: Client) -> None:
-        """It does no longer."""
+        """Count a session at its server no longer."""
         server = client.server
         if server is not None:
             server.advance(self._simulation.now)
@@ -143,11 +147,11 @@
             self.end(client, result)
 
     def end(self, client: Client, result: AttemptResult, answered: bool = False) -> None:
-        """The one place that ends an attempt, before it is up or after."""
+        """End an attempt, before its session is established or after: all ends pass here."""
         node, server, up, request = client.node, client.server, client.established, client.request_id
         if up:
             self.remove_session(client)
-        client.attempt_id, client.established = 0, False
+        client.attempt_id, client.established = NO_ATTEMPT, False
         if node is None or server is None:
             return
         if up:
@@ -157,7 +161,7 @@
         self._simulation.handle_event(node, outcome)
 
     def break_off(self, client: Client, result: AttemptResult = AttemptResult.RESET) -> None:
-        """What stands ends by a fault: its client comes again. What is out fails."""
+        """End an attempt or a session by a fault; the client of a session comes back."""
         up = client.established
         self._simulation.measurements.broken_sessions += self._simulation.is_counting and up
         self.end(client, result)
@@ -165,7 +169,7 @@
             self._simulation.clients.reconnect(client)
 
     def migrate(self, node: Node, request: int) -> None:
-        """The node sends a client away."""
+        """Migrate a session: end it, and have its client come back."""
         client = node.clients.get(request)
         if client is not None and client.established:
             self._simulation.measurements.migrations += self._simulation.is_counting
@@ -173,20 +177,18 @@
             self._simulation.clients.reconnect(client)
 
     def cancel(self, node: Node, request: int) -> None:
-        """The node stops waiting for an attempt."""
+        """Cancel an attempt that is in flight."""
         client = node.clients.get(request)
         if client is not None and client.attempt_id and not client.established:
             self.end(client, AttemptResult.CANCELLED)
 
-    # Probes.
-
     def _report(self, server: Server) -> tuple[float, ...]:
         noise = 1 + self._day.report_noise * float(self._report_draws.standard_normal())
         rho = server.utilization(self._simulation.now)
         return rho * noise, server.wait_s(self._simulation.now), min(1.0, rho * noise)
 
     def check_health(self, node: Node, action: StartHealthCheck) -> None:
-        """One question for a server's report."""
+        """Ask a server for its load report."""
         simulation, day = self._simulation, self._day
         server, life, now = simulation.servers_by_id[str(action.endpoint)], node.incarnation, simulation.now
         simulation.measurements.health_checks += simulation.is_counting
@@ -199,7 +201,7 @@
             return
         server.add_work(now, day.probe_us / SECOND)
         low, high = day.report_s
-        # A report is as old as its last refresh: what is told is read then, and told now.
+        # A report is as old as its last refresh.
         late = float(self._report_draws.uniform(0, (low + high) / 2)) * SECOND
         took = 2 * day.trip_us + server.wait_s(now) * SECOND
         if not server.report or now - server.report_us > late:
--- a/stepflow/fleet/audit.py
+++ b/stepflow/fleet/audit.py
@@ -1,4 +1,4 @@
-"""The rules over many days of the model: whether each was kept, and how near a bound it came at the worst."""
+"""The rules over many runs: whether each was kept, and how near a bound it came at the worst."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from stepflow.fleet.rule_checker import Rule, RuleChecker
 from stepflow.fleet.simulation import Simulation
 
-MAX_DAYS_SHOWN = 3  # broken days that a finding names
+MAX_DAYS_SHOWN = 3  # of those that broke a rule
 
 
 @dataclass(frozen=True)
@@ -48,6 +48,7 @@
 
     @property
     def kept(self) -> bool:
+        """Whether no day broke the rule."""
         return not self.broken
 
 
--- a/stepflow/fleet/baselines.py
+++ b/stepflow/fleet/baselines.py
@@ -1,4 +1,4 @@
-"""What a node of the model asks, and the plainest policies to hold the decision module against."""
+"""What a node of the simulation runs, and the baseline to compare the policy with."""
 
 from __future__ import annotations
 
@@ -28,57 +28,67 @@
 
 
 class PolicyLike(Protocol):
-    """What a node asks: the decision module, or a policy to hold it against."""
+    """What a node runs: the policy, one of another revision, or a baseline."""
 
-    def handle(self, now: int, event: Event) -> list[Action]: ...
-    def update_settings(self, settings: Settings) -> None: ...
+    def handle(self, now: int, event: Event) -> list[Action]:
+        """Take an event; return the actions that it asks for."""
+        ...
+
+    def update_settings(self, settings: Settings) -> None:
+        """Replace the settings."""
+        ...
 
 
 PolicyFactory = Callable[[Settings, int], PolicyLike]
 
 
+RETRY_LIST_US = (250_000, 1_000_000)  # until a list that failed is fetched anew
+
+
 class RandomChoice:
-    """The baseline: any listed server at random, any number of attempts that the settings allow."""
+    """The baseline: any endpoint of the list at random, as many attempts as the settings allow."""
 
     def __init__(self, settings: Settings, seed: int) -> None:
         self._settings, self._rng = settings, stream(seed, "random choice")
-        self._servers: dict[EndpointId, Endpoint] = {}
+        self._endpoints: dict[EndpointId, Endpoint] = {}
         self._open: dict[int, int] = {}
 
     def update_settings(self, settings: Settings) -> None:
+        """Replace the settings."""
         self._settings = settings
 
     def handle(self, now: int, event: Event) -> list[Action]:
-        if isinstance(event, Started):
-            return [WatchEndpointList(True)]
-        if isinstance(event, EndpointListUpdate):
-            if event.kind == ListUpdateKind.FAILED:
-                return [SetTimer(int(self._rng.integers(250_000, 1_000_000)), 1)]
-            if event.kind != ListUpdateKind.DELTA:
-                self._servers.clear()
-            for entry in event.endpoints:
-                if entry.availability == Availability.READY:
-                    self._servers[entry.id] = entry
-                else:
-                    self._servers.pop(entry.id, None)
-        if isinstance(event, TimerFired):
-            return [WatchEndpointList(True)]
-        if isinstance(event, Request):
-            self._open[event.id] = 0
-            return self._try(event.id)
-        if isinstance(event, AttemptEnded):
-            if event.is_final:
-                self._open.pop(event.request_id, None)
-            elif event.request_id in self._open:
+        """Take an event; return the actions that it asks for."""
+        match event:
+            case Started() | TimerFired():
+                return [WatchEndpointList(True)]
+            case EndpointListUpdate():
+                return self._update_list(event)
+            case Request():
+                self._open[event.id] = 0
+                return self._try(event.id)
+            case AttemptEnded(is_final=False) if event.request_id in self._open:
                 return self._try(event.request_id)
-        if isinstance(event, ClientDisconnected):
-            self._open.pop(event.request_id, None)
+            case AttemptEnded(is_final=True) | ClientDisconnected():
+                self._open.pop(event.request_id, None)
+        return []
+
+    def _update_list(self, update: EndpointListUpdate) -> list[Action]:
+        if update.kind == ListUpdateKind.FAILED:
+            return [SetTimer(int(self._rng.integers(*RETRY_LIST_US)), 1)]
+        if update.kind != ListUpdateKind.DELTA:
+            self._endpoints.clear()
+        for entry in update.endpoints:
+            if entry.availability == Availability.READY:
+                self._endpoints[entry.id] = entry
+            else:
+                self._endpoints.pop(entry.id, None)
         return []
 
     def _try(self, id: int) -> list[Action]:
-        if not self._servers or self._open[id] >= self._settings.limits.max_attempts:
+        if not self._endpoints or self._open[id] >= self._settings.limits.max_attempts:
             del self._open[id]
             return [RejectRequest(id)]
         self._open[id] += 1
-        listed = list(self._servers)
+        listed = list(self._endpoints)
         return [StartAttempt(id, listed[int(self._rng.integers(len(listed)))], 0)]
--- a/stepflow/fleet/clients.py
+++ b/stepflow/fleet/clients.py
@@ -1,4 +1,8 @@
-"""The clients of the model: how they come, what they do with an answer, and how they come again."""
+"""The clients: how they arrive, choose a node, take its answers and come back.
+
+Owns the clients that need a session now, and what each does next. A client's draws come from the traffic, by
+its number, so they are the same whatever the policies decide.
+"""
 
 from __future__ import annotations
 
@@ -8,7 +12,7 @@
 
 from stepflow.fleet.context import SimulationContext
 from stepflow.fleet.servers import SECOND, Server
-from stepflow.fleet.state import Client, Node
+from stepflow.fleet.state import ESTABLISHED_ATTEMPT, NO_ATTEMPT, RUNNING, Client, Node
 from stepflow.fleet.streams import stream
 from stepflow.fleet.traffic import DRAWS_PER_CLIENT, LOADS_PER_SESSION
 from stepflow.interface import (
@@ -20,14 +24,17 @@
     SessionReportKind,
 )
 
-MAX_RETRIES = 12  # times that a client comes again in all
-LOAD_UNIT = 1000.0  # of loads as servers tell them, in mean connection loads
-HUNG_SHARE = 0.1  # of its connections' loads that a server tells while it does nothing for them
-BACKOFF_US = 60_000  # of a client's first wait after a refusal or a failure; doubled each time
+MAX_RETRIES = 12  # beside those of the scenario, before a client gives up
+LOAD_UNIT = 1000.0  # of a mean session's load as servers report it
+HUNG_SHARE = 0.1  # of its sessions' loads that a hung server reports
+BACKOFF_US = 60_000  # a client's first wait after a rejection or failure; doubled each time
+MAX_DOUBLINGS = 5
+# What a client's draws are used for, by their index; those from RETRY_DRAWS on serve its waits in turn.
+LEAVE_DRAW, LEAVE_TIME_DRAW, NOTICE_DRAW, RETRY_DRAWS = 0, 1, 2, 3
 
 
 class Clients:
-    """All clients that want a connection now."""
+    """All clients that need a session now."""
 
     def __init__(self, simulation: SimulationContext) -> None:
         self._simulation, self._day, self._traffic = simulation, simulation.scenario.day, simulation.traffic
@@ -40,9 +47,8 @@
     def _create(self, number: int) -> Client:
         traffic, now = self._traffic, self._simulation.now
         life = float(traffic.life_s[number])
-        leaves = traffic.draws[number, 0] < self._day.leave
-        if leaves:
-            life *= float(traffic.draws[number, 1])
+        if traffic.draws[number, LEAVE_DRAW] < self._day.leave:
+            life *= float(traffic.draws[number, LEAVE_TIME_DRAW])
         client = Client(
             number, int(traffic.class_index[number]), int(traffic.group[number]), now + int(life * SECOND)
         )
@@ -52,14 +58,14 @@
         return client
 
     def add_established(self, number: int, server: Server) -> None:
-        """A connection that is open when the day begins."""
+        """Add a client whose session is established when the run begins."""
         client = self._create(number)
         node = self._choose_by_share(self._in_zone(client, self._simulation.nodes))
         client.server, client.node, client.requests_sent = server, node, 1
         self._requests += 1
-        self._simulation.measurements.requests += 1  # priced as a first try too
+        self._simulation.measurements.requests += 1  # it counts as a first request too
         client.request_id, client.attempt_number, client.established = self._requests, 0, True
-        client.attempt_id = -1
+        client.attempt_id = ESTABLISHED_ATTEMPT
         node.clients[client.request_id] = client
         self._simulation.attempts.add_session(client)
         request = Request(client.request_id, client.class_index, 0, affinity_group=client.group)
@@ -67,13 +73,12 @@
         self.apply_load(client, client.request_id, 0)
 
     def arrive(self, number: int) -> None:
+        """Add a client that sends its first request now."""
         self._send_request(self._create(number))
 
-    # The front.
-
     def _in_zone(self, client: Client, nodes: list[Node]) -> list[Node]:
         """The nodes of the client's zone."""
-        if self._day.zones < 2:
+        if self._day.zones <= 1:
             return nodes
         zone = int(self._traffic.zone[client.number])
         return [node for node in nodes if node.zone == zone]
@@ -86,16 +91,16 @@
         return nodes[min(bisect(sums, float(self._node_draws.random()) * sums[-1]), len(nodes) - 1)]
 
     def _choose_node(self, client: Client) -> Node | None:
-        """The front sends to a dead node until it notices."""
+        """Choose a node for a client; a node that is down is chosen until that is noticed."""
         low, high = self._day.front_s
-        notice = int((low + (high - low) * self._traffic.draws[client.number, 2]) * SECOND)
+        notice = int((low + (high - low) * self._traffic.draws[client.number, NOTICE_DRAW]) * SECOND)
         since = self._simulation.now - notice
-        known = [n for n in self._simulation.nodes if n.down_since_us < 0 or n.down_since_us > since]
+        known = [n for n in self._simulation.nodes if n.down_since_us == RUNNING or n.down_since_us > since]
         known = self._in_zone(client, known)
         return self._choose_by_share(known) if known else None
 
     def _send_request(self, client: Client) -> None:
-        """One try: a connection to some node through the front."""
+        """Send a new request to some node."""
         if client.finished:
             return
         simulation, cls = self._simulation, self._simulation.classes[client.class_index]
@@ -103,12 +108,8 @@
         client.requests_sent += 1
         self._requests += 1
         simulation.measurements.requests += simulation.is_counting and client.requests_sent == 1
-        client.request_id, client.attempt_number, client.attempt_id, client.established = (
-            self._requests,
-            -1,
-            0,
-            False,
-        )
+        client.request_id, client.attempt_number = self._requests, -1
+        client.attempt_id, client.established = NO_ATTEMPT, False
         client.expires_us = simulation.now + int(cls.wait_ms * 1000)
         client.node = node
         if node is None:
@@ -123,27 +124,19 @@
             self._retry_later(client, request, 0)
             return
         node.clients[request] = client
-        repeated = client.requests_sent > 1 and not client.is_migrated
-        self._simulation.handle_event(
-            node,
-            Request(
-                request,
-                client.class_index,
-                client.expires_us,
-                None,
-                0,
-                client.number,
-                client.group,
-                repeated,
-                False,
-                client.is_migrated,
-            ),
+        event = Request(
+            request,
+            client.class_index,
+            client.expires_us,
+            idempotency_key=client.number,
+            affinity_group=client.group,
+            is_retry=client.requests_sent > 1 and not client.is_migrated,
+            is_migrated=client.is_migrated,
         )
-
-    # What comes back.
+        self._simulation.handle_event(node, event)
 
     def request_answered(self, node: Node, request: int, failed: bool, advice_us: int) -> None:
-        """The node refused or failed it."""
+        """A node rejected or failed a request."""
         client, simulation = node.clients.get(request), self._simulation
         if client is None or client.established:
             return
@@ -157,29 +150,35 @@
         simulation.after(self._day.trip_us, partial(self._retry_later, client, request, advice_us))
 
     def _retry_later(self, client: Client, request: int, advice_us: int) -> None:
-        """After a refusal, a failure or a dead node."""
+        """Schedule a new request after a rejection, a failure or a node that is down."""
         if client.finished or client.request_id != request or client.established:
             return
         client.backoffs += 1
         if client.backoffs > self._day.retries + MAX_RETRIES:
             return
-        wait = BACKOFF_US * 2 ** min(client.backoffs - 1, 5)
-        chance = float(self._traffic.draws[client.number, 3 + client.backoffs % (DRAWS_PER_CLIENT - 3)])
+        wait = BACKOFF_US * 2 ** min(client.backoffs - 1, MAX_DOUBLINGS)
+        chance = self._retry_draw(client, client.backoffs)
         client.request_id = -1
         self._simulation.after(max(advice_us, wait * (0.5 + chance)), partial(self._send_request, client))
 
     def reconnect(self, client: Client) -> None:
-        """A connection broke, or was moved: its client comes again."""
+        """Schedule a new request after a session broke or was migrated."""
         if client.finished:
             return
         low, high = self._day.back_ms
         client.backoffs = 0
         client.is_migrated, client.request_id = True, -1
-        chance = float(self._traffic.draws[client.number, 3 + client.requests_sent % (DRAWS_PER_CLIENT - 3)])
+        chance = self._retry_draw(client, client.requests_sent)
         self._simulation.after(1000 * (low + (high - low) * chance), partial(self._send_request, client))
 
+    def _retry_draw(self, client: Client, count: int) -> float:
+        """The client's draw for one of its waits, uniform from 0 to 1."""
+        return float(
+            self._traffic.draws[client.number, RETRY_DRAWS + count % (DRAWS_PER_CLIENT - RETRY_DRAWS)]
+        )
+
     def _finish(self, client: Client) -> None:
-        """Its time is over."""
+        """End a client that needs its session no more."""
         client.finished = True
         self.active.pop(client, None)
         node = client.node
@@ -195,7 +194,7 @@
             node.clients.pop(request, None)
 
     def apply_load(self, client: Client, request: int, number: int) -> None:
-        """The connection's load changes over time, and its server tells so."""
+        """Give a session its load of that number, report it, and schedule the next one."""
         if client.finished or client.request_id != request or not client.established or client.server is None:
             return
         simulation, server = self._simulation, client.server
@@ -211,10 +210,10 @@
             simulation.after(span, partial(self.apply_load, client, request, number + 1))
 
     def report_load(self, client: Client, request: int) -> None:
-        """The server tells a connection's load: what it does for it, next to nothing while it hangs."""
+        """Report the work done for a session to its node: next to nothing while the server hangs."""
         node, server = client.node, client.server
         if client.established and client.request_id == request and node is not None and server is not None:
-            told = client.load * LOAD_UNIT * (HUNG_SHARE if server.hung else 1.0)
+            load = client.load * LOAD_UNIT * (HUNG_SHARE if server.hung else 1.0)
             self._simulation.handle_event(
-                node, SessionReport(request, client.attempt_number, server.id, SessionReportKind.LOAD, told)
+                node, SessionReport(request, client.attempt_number, server.id, SessionReportKind.LOAD, load)
             )
--- a/stepflow/fleet/compare.py
+++ b/stepflow/fleet/compare.py
@@ -1,4 +1,4 @@
-"""Two ways on the same draws: paired runs in processes, and the difference with its interval.
+"""Compares two scenarios or policies by paired runs on the same draws, with the interval of their difference.
 
 How many runs a wanted width takes is settled by Stein's two stages (Stein 1945, Ann. Math. Stat. 16): the
 variance of a first sample alone fixes the number, and the interval is built on that variance, whatever the
@@ -29,8 +29,8 @@
 from stepflow.fleet.policy_specs import policy_factory
 from stepflow.fleet.simulation import Simulation
 
-FIRST = 10  # runs of the first stage, at the least
-MAX_RUNS = 1000  # runs in all
+MAX_RUNS = 1000  # in all, whatever width is wanted
+LEAST_RUNS = 2  # that show any variance
 FIGURES = ("net", *(one.name for one in fields(Score)))
 SERIES = pa.schema(
     [("side", pa.string()), ("seed", pa.int64()), ("name", pa.string()), ("values", pa.list_(pa.float64()))]
@@ -51,7 +51,7 @@
 
 @dataclass(frozen=True)
 class Side:
-    """One of the two: a scenario's text, and a policy by its name."""
+    """One of the two that are compared: a scenario's text, and a policy by its name."""
 
     scenario: str
     file: str
@@ -83,7 +83,7 @@
     """Student's interval of a mean; with `first`, on the variance of the first stage alone (Stein)."""
     sample = np.asarray(values, dtype=float)
     stage = sample[:first]
-    if len(stage) < 2:
+    if len(stage) < LEAST_RUNS:
         raise CompareError("an interval needs two runs")
     spread = float(np.std(stage, ddof=1))
     half = float(stats.t.ppf(0.5 + level / 2, len(stage) - 1)) * spread / math.sqrt(len(sample))
@@ -103,7 +103,7 @@
 
 @dataclass
 class Comparison:
-    """All whole pairs, by seed, in order."""
+    """All pairs of runs that are whole, in the order of their seeds."""
 
     sides: tuple[Side, Side]
     level: float
@@ -112,10 +112,11 @@
     wanted: int
 
     def interval_of(self, number: int, figure: str) -> Interval:
+        """The mean of a figure of one side, 0 or 1, with its interval."""
         return interval([row[1:][number].figures[figure] for row in self.rows], self.level, self.first)
 
     def extrapolations(self) -> list[str]:
-        """What was asked that the trace behind a scenario never showed: such an answer is a guess."""
+        """What was simulated that the trace behind a scenario never showed: such an answer is a guess."""
         said: dict[str, None] = {}
         for number, one in enumerate(self.sides):
             told = scenarios.read(one.scenario, one.file)
@@ -130,42 +131,54 @@
         )
 
 
+@dataclass(frozen=True)
+class Plan:
+    """How many pairs of runs a comparison takes.
+
+    The first stage has `runs` pairs, on the seeds from `seed` on. With a `width`, as many more follow as an
+    interval of that whole width takes. `level` is the confidence of the intervals.
+    """
+
+    runs: int
+    seed: int
+    level: float = 0.95
+    width: float | None = None
+
+
 def _pair(sides: tuple[Side, Side], seed: int) -> Pair:
     return seed, sides[0].play(seed, "A"), sides[1].play(seed, "B")
 
 
 def compare(
     sides: tuple[Side, Side],
-    runs: int,
-    seed: int,
-    level: float = 0.95,
-    width: float | None = None,
+    plan: Plan,
     jobs: int | None = None,
     on_progress: Callable[[int, int], None] = lambda done, wanted: None,
 ) -> Comparison:
-    """Play both sides on the seeds from `seed` on; with a width, as many more as it takes.
+    """Run both sides by a plan, in so many processes (None for one each core).
 
-    An interrupt ends it with the pairs that are whole, as long as they are two.
+    An interrupt ends it with the pairs that are whole, as long as they are two. `on_progress` is told how
+    many pairs are done and how many are wanted.
     """
     for one in sides:
         scenarios.read(one.scenario, one.file)
-        policy_factory(one.policy)  # bad names are told here, and not by a process
-    found = Comparison(sides, level, runs, [], runs)
+        policy_factory(one.policy)  # a bad name raises here, and not in a process
+    found = Comparison(sides, plan.level, plan.runs, [], plan.runs)
     with ProcessPoolExecutor(jobs or os.cpu_count()) as pool:
         try:
-            for row in _played(pool, sides, range(seed, seed + runs)):
+            for row in _played(pool, sides, range(plan.seed, plan.seed + plan.runs)):
                 found.rows.append(row)
                 on_progress(len(found.rows), found.wanted)
             found.rows.sort(key=lambda row: row[0])
-            if width is not None:
+            if plan.width is not None:
                 differences = [row[2].figures["net"] - row[1].figures["net"] for row in found.rows]
-                found.wanted = min(MAX_RUNS, runs_for(differences, width, level))
-                for row in _played(pool, sides, range(seed + runs, seed + found.wanted)):
+                found.wanted = min(MAX_RUNS, runs_for(differences, plan.width, plan.level))
+                for row in _played(pool, sides, range(plan.seed + plan.runs, plan.seed + found.wanted)):
                     found.rows.append(row)
                     on_progress(len(found.rows), found.wanted)
         except KeyboardInterrupt:
             pool.shutdown(wait=False, cancel_futures=True)
-            if len(found.rows) < 2:
+            if len(found.rows) < LEAST_RUNS:
                 raise
     found.rows.sort(key=lambda row: row[0])
     return found
--- a/stepflow/fleet/endpoint_list.py
+++ b/stepflow/fleet/endpoint_list.py
@@ -1,4 +1,7 @@
-"""Discovery in the model: a list that tells late, answers one call after the other, or is out of reach."""
+"""Discovery: a service that publishes changes late, serves calls in turn, and may be out of reach.
+
+Owns the endpoint list as published, which is some seconds behind the servers' state.
+"""
 
 from __future__ import annotations
 
@@ -11,25 +14,25 @@
 from stepflow.fleet.streams import stream
 from stepflow.interface import Availability, Endpoint, EndpointListUpdate, ListUpdateKind
 
-FAILED_CALL_US = 50_000  # until a call fails while discovery is down
+FAILED_CALL_US = 50_000  # until a call fails while the service is out of reach
 
 
 class EndpointListService:
-    """The one service that all nodes ask, and the state that it knows of: some seconds behind the truth."""
+    """The service that all nodes poll and watch."""
 
     def __init__(self, simulation: SimulationContext) -> None:
         self._simulation, self._day = simulation, simulation.scenario.day
         self._updates_scheduled = 0
-        self._free_at_us = 0.0  # when the calls that wait will have been answered
+        self._free_at_us = 0.0  # when all waiting calls are answered
         self._down = False
         self._published = {server.id: _entry(server) for server in simulation.servers}
 
     def entries(self) -> tuple[Endpoint, ...]:
-        """The list as it tells it now."""
+        """The list as published now."""
         return tuple(self._published.values())
 
     def watch(self, node: Node) -> None:
-        """A node asks for the list and its changes: the call waits its turn."""
+        """A node fetches the list and watches it; the call waits its turn."""
         simulation, day, life = self._simulation, self._day, node.incarnation
         if self._down:
             simulation.after(FAILED_CALL_US, partial(self._answer, node, life, ListUpdateKind.FAILED))
@@ -57,7 +60,7 @@
         self._simulation.handle_event(node, EndpointListUpdate(form, tuple(entries)))
 
     def schedule_update(self, server: Server) -> None:
-        """Something has changed: it is told some seconds later, as it is then."""
+        """Publish a server's state some seconds from now, as it is then."""
         low, high = self._day.list_s
         late = (
             float(stream(self._simulation.seed, "list", self._updates_scheduled).uniform(low, high)) * SECOND
@@ -76,7 +79,7 @@
                 self._send_update(node, ListUpdateKind.DELTA, (entry,))
 
     def start_outage(self, span_us: float) -> None:
-        """Out of reach: all watches end."""
+        """Be out of reach for a time; all watches end."""
         self._down = True
         for node in self._simulation.nodes:
             if node.watching and node.policy is not None:
--- a/stepflow/fleet/faults.py
+++ b/stepflow/fleet/faults.py
@@ -1,8 +1,12 @@
-"""What goes wrong in the model, or is done to it on purpose."""
+"""Faults and operations of a scenario: what goes wrong with servers, nodes and zones, or is done to them.
+
+Owns the state of faults that concern no single server: the zone that is cut off, the share of attempts that
+are reset. Each fault draws from a stream of its own.
+"""
 
 from __future__ import annotations
 
-from collections.abc import Sequence
+from collections.abc import Callable, Sequence
 from functools import partial
 
 import numpy as np
@@ -14,23 +18,23 @@
 from stepflow.fleet.streams import stream
 from stepflow.interface import Availability
 
-DOWN_S = (0.8, 2.0)  # until a node's process is back
-REPORT_WITHIN_US = 3 * SECOND  # within which a hung server's connections have all told what it does for them
-SHUTDOWN_S = 2.0  # that a node takes to send its clients away at SIGTERM
+RESTART_S = (0.8, 2.0)  # until a killed node's process is back
+REPORT_WITHIN_US = 3 * SECOND  # within which a hung server's sessions have all reported their loads
+SHUTDOWN_S = 2.0  # that a node takes to migrate its sessions at SIGTERM
 
 
 class Faults:
-    """The day's faults, each with a stream of its own."""
+    """Applies a scenario's faults as their times come, and ends them."""
 
     def __init__(self, simulation: SimulationContext) -> None:
         self._simulation = simulation
-        self.reset_share = 0.0  # share of the attempts that are reset at the server
+        self.reset_share = 0.0
         self._isolated_zone: int | None = None  # the zone that no other zone's nodes reach
         self._isolated_since_us = 0
         self._servers_replaced = 0
 
     def unreachable_since(self, node: Node, server: Server) -> int | None:
-        """Since when nothing at all comes from a server to a node; None where it speaks."""
+        """Since when nothing comes from a server to a node; None where it answers."""
         if server.hung:
             return server.hung_us
         parted = (
@@ -42,37 +46,48 @@
 
     @property
     def any_unreachable(self) -> bool:
-        """Whether silent_since tells of any now, but for servers that hang."""
+        """Whether nodes are cut off from servers now; servers that hang don't count."""
         return self._isolated_zone is not None
 
     def begin(self, number: int, fault: Fault) -> None:
-        """The fault's time has come; a burst is in the day's draws already."""
+        """Begin a fault whose time has come; `number` is its place in the scenario."""
         simulation, rng = self._simulation, stream(self._simulation.seed, "fault", number)
-        end = fault.lasts * SECOND
-        if fault.what == "list-down":
-            simulation.endpoint_list.start_outage(end)
-        elif fault.what in ("restart", "roll"):
-            call = self.kill_node if fault.what == "restart" else self._shut_down_node
-            for place, node in self._in_batches(fault, rng):
-                simulation.after(end * place, partial(call, node))
-        elif fault.what == "resets":
-            self.reset_share = fault.part
-            simulation.after(end, partial(setattr, self, "reset_share", 0.0))
-        elif fault.what == "cut" and simulation.scenario.day.zones > 1:
-            self._isolated_zone, self._isolated_since_us = (
-                int(rng.integers(simulation.scenario.day.zones)),
-                simulation.now,
-            )
-            simulation.after(end, partial(setattr, self, "_isolated_zone", None))
-        elif fault.what == "replace":
-            picked = self._chosen_servers(fault, rng)
-            for place, server in enumerate(picked):
-                simulation.after(end * place / len(picked), partial(self._replace, server, fault.drain_s))
-        elif fault.what == "settings":
-            simulation.reload_settings()
-        elif fault.what != "burst":
-            for server in self._chosen_servers(fault, rng):
-                self._apply_to_server(server, fault, end)
+        duration_us = fault.lasts * SECOND
+        match fault.what:
+            case "burst":
+                pass  # it is in the traffic's draws already
+            case "list-down":
+                simulation.endpoint_list.start_outage(duration_us)
+            case "restart":
+                self._begin_for_nodes(fault, rng, self.kill_node)
+            case "roll":
+                self._begin_for_nodes(fault, rng, self._shut_down_node)
+            case "resets":
+                self.reset_share = fault.part
+                simulation.after(duration_us, partial(setattr, self, "reset_share", 0.0))
+            case "settings":
+                simulation.reload_settings()
+            case "replace":
+                self._replace_in_turn(self._chosen_servers(fault, rng), fault)
+            case "cut" if simulation.scenario.day.zones > 1:
+                self._isolate_zone(int(rng.integers(simulation.scenario.day.zones)), duration_us)
+            case _:
+                for server in self._chosen_servers(fault, rng):
+                    self._apply_to_server(server, fault, duration_us)
+
+    def _begin_for_nodes(self, fault: Fault, rng: np.random.Generator, call: Callable[[Node], None]) -> None:
+        for place, node in self._in_batches(fault, rng):
+            self._simulation.after(fault.lasts * SECOND * place, partial(call, node))
+
+    def _replace_in_turn(self, servers: Sequence[Server], fault: Fault) -> None:
+        for place, server in enumerate(servers):
+            delay = fault.lasts * SECOND * place / len(servers)
+            self._simulation.after(delay, partial(self._replace, server, fault.drain_s))
+
+    def _isolate_zone(self, zone: int, duration_us: float) -> None:
+        """Cut a zone off from nodes of all others, and theirs from its servers."""
+        self._isolated_zone, self._isolated_since_us = zone, self._simulation.now
+        self._simulation.after(duration_us, partial(setattr, self, "_isolated_zone", None))
 
     def _in_batches(self, fault: Fault, rng: np.random.Generator) -> list[tuple[float, Node]]:
         """The nodes that restart, each with its place in the fault's time, from 0 to 1."""
@@ -84,7 +99,7 @@
         return [(place // batch / steps, nodes[int(node)]) for place, node in enumerate(order)]
 
     def _chosen_servers(self, fault: Fault, rng: np.random.Generator) -> Sequence[Server]:
-        """The servers that it strikes, in chance's order: those of a zone where there are zones to lose."""
+        """The servers that a fault concerns, in random order: all of a zone where one is lost."""
         simulation = self._simulation
         running = [
             s
@@ -98,6 +113,7 @@
         return [running[int(pick)] for pick in rng.permutation(len(running))[:count]]
 
     def _apply_to_server(self, server: Server, fault: Fault, end: float) -> None:
+        """Begin a fault of one server, and schedule its end in so many microseconds."""
         simulation = self._simulation
         if fault.what in ("hang", "cut"):
             server.hung, server.hung_us = True, simulation.now
@@ -113,7 +129,7 @@
             self.crash(server)
         elif fault.what == "drain":
             self._drain(server, end)
-        else:  # it is lost, and starts anew, cold
+        else:  # it is lost, and starts anew
             self._stop(server)
             simulation.after(end, partial(self._start, server))
 
@@ -122,7 +138,7 @@
         self._report_loads(server, SECOND)
 
     def _report_loads(self, server: Server, within: int) -> None:
-        """Its connections tell other loads soon: a hung server does next to nothing for them."""
+        """Schedule reports of its sessions' loads, which change as it hangs and as it recovers."""
         rng = stream(self._simulation.seed, "told loads", server.id, self._simulation.now)
         for node in self._simulation.nodes:
             for request, client in node.clients.items():
@@ -136,10 +152,8 @@
         server.advance(self._simulation.now)
         server.speed_share = share
 
-    # Servers that go and come.
-
     def crash(self, server: Server) -> None:
-        """It goes down for good, and its connections with it."""
+        """Stop a server for good, and its sessions with it."""
         server.crashed = True
         self._simulation.measurements.crashed_servers += 1
         self._stop(server)
@@ -164,7 +178,7 @@
         self._simulation.endpoint_list.schedule_update(server)
 
     def _replace(self, server: Server, drain_s: float) -> None:
-        """A fresh server starts cold as an old one begins to drain."""
+        """Start a fresh server, and drain an old one in its place."""
         simulation = self._simulation
         self._servers_replaced += 1
         rng = stream(simulation.seed, "fresh", self._servers_replaced)
@@ -175,10 +189,8 @@
         if server.is_running and server.availability == Availability.READY:
             self._drain(server, drain_s * SECOND)
 
-    # Nodes that go and come.
-
     def kill_node(self, node: Node) -> None:
-        """The node's process dies: its connections break, and it comes back in a moment."""
+        """Kill a node's process: its sessions break, and a new process starts in a moment."""
         simulation = self._simulation
         if node.policy is None:
             return
@@ -191,11 +203,11 @@
             client.attempt_id, client.established, client.node = 0, False, None
             simulation.clients.reconnect(client)
         node.clients = {}
-        down = float(stream(simulation.seed, "down", node.number, node.incarnation).uniform(*DOWN_S))
+        down = float(stream(simulation.seed, "down", node.number, node.incarnation).uniform(*RESTART_S))
         simulation.after(down * SECOND, partial(simulation.start_node, node))
 
     def _shut_down_node(self, node: Node) -> None:
-        """SIGTERM: it takes nothing more, sends its clients away one after the other, and exits."""
+        """Shut a node down as at SIGTERM: it accepts nothing more, migrates its sessions and exits."""
         simulation = self._simulation
         if node.policy is None:
             return
--- a/stepflow/fleet/measurements.py
+++ b/stepflow/fleet/measurements.py
@@ -1,4 +1,7 @@
-"""What a run counts, and the figures that are made of it."""
+"""What a run measures, and the score that is made of it.
+
+The names of Score's fields and of the series are keys of results and reports.
+"""
 
 from __future__ import annotations
 
@@ -12,10 +15,10 @@
 
 @dataclass
 class Measurements:
-    """What a run counts, from the end of its warm-up on."""
+    """What a run counts after its warm-up; `wanted` and `served` are arrays by second and class."""
 
-    wanted: Any  # by second and class: worth of the connection-seconds asked for
-    served: Any
+    wanted: Any  # seconds of sessions asked for, by their weight
+    served: Any  # and those that were served in time
     requests: int = 0
     attempts: int = 0
     rejected: int = 0
@@ -23,17 +26,19 @@
     late_fails: int = 0
     migrations: int = 0
     health_checks: int = 0
-    list_entries: int = 0  # of the list
+    list_entries: int = 0  # of updates sent to nodes
     crashed_servers: int = 0
     broken_sessions: int = 0
     requested_work: float = 0.0
     wasted_work: float = 0.0
-    imbalance: list[float] = field(default_factory=list)  # each second: deviation of load over capacity
+    imbalance: list[float] = field(
+        default_factory=list
+    )  # each second: standard deviation of the servers' utilization
     kind_load: dict[str, list[float]] = field(default_factory=dict)  # each second: load over capacity
     server_load: dict[str, list[float]] = field(default_factory=dict)  # by kind: each server's mean
-    peak_load: float = 0.0  # the most that the fleet was asked for, over its capacity
-    attempts_at_degraded: int = 0  # attempts at servers that are sick while others are not
-    attempts_at_degraded_by_chance: float = 0.0  # and as many as random choice would make
+    peak_load: float = 0.0  # the highest utilization of the fleet
+    attempts_at_degraded: int = 0  # while other servers are sound
+    attempts_at_degraded_by_chance: float = 0.0  # as many as random choice would make
 
     @classmethod
     def of(cls, scenario: Scenario) -> Measurements:
@@ -44,7 +49,7 @@
 
 @dataclass(frozen=True)
 class Score:
-    """The figures of one run; the parts and the price of each deduction as the brief counts them."""
+    """The figures of one run: shares of service, and the points that each deduction takes."""
 
     service: float
     whole: float
@@ -58,8 +63,8 @@
     fallen: int
     imbalance: float
     peak_load: float
-    refused: float  # tries that were refused, for each client
-    sick: float  # attempts at sick servers, over what random choice would make there
+    refused: float  # requests that were rejected, for each client
+    sick: float  # attempts at degraded servers, over what random choice would make there
 
     @property
     def net(self) -> float:
@@ -68,7 +73,7 @@
 
 
 def score(scenario: Scenario, measurements: Measurements) -> Score:
-    """Service: 60% the whole, 5% the worst 10 s, 35% the worst class; then what each deduction takes."""
+    """Score a run: service is 60% the whole, 5% the worst 10 s and 35% the worst class."""
     first = int(scenario.day.warm)
     wanted, served = measurements.wanted[first:], measurements.served[first:]
     whole = _share(served.sum(), wanted.sum())
@@ -102,7 +107,7 @@
 
 
 def series(scenario: Scenario, measurements: Measurements) -> dict[str, list[float]]:
-    """What a run was over time, a value for each second that counts; and each server's mean load, by kind."""
+    """What a run was over time, a value for each second that counts, and each server's mean load, by kind."""
     first = int(scenario.day.warm)
     wanted, served = (np.sum(part[first:], axis=1) for part in (measurements.wanted, measurements.served))
     shares = [_share(one, whole) for one, whole in zip(served, wanted, strict=True) if whole > 0]
--- a/stepflow/fleet/replay.py
+++ b/stepflow/fleet/replay.py
@@ -1,4 +1,4 @@
-"""A prediction held against a run on sockets: the model's runs first, then the measured one beside them."""
+"""Checks the model: predicts a figure of a run by simulations, then measures it on sockets."""
 
 from __future__ import annotations
 
@@ -17,6 +17,7 @@
 from stepflow.fleet.simulation import Simulation
 
 Play = Callable[[Scenario, int], tuple[Measurements, float]]
+LEAST_RUNS = 3  # that a prediction rests on
 LINE_S = 0.5  # seconds between two lines of a stand-in client
 LATE = 0.05  # seconds that the rig's own loop may be late before a run says nothing
 
@@ -28,7 +29,7 @@
     model leaves out is in no bar: docs/fleet.md tells how far it was found to be off.
     """
     sample = np.asarray(values, dtype=float)
-    if len(sample) < 3:
+    if len(sample) < LEAST_RUNS:
         raise CompareError("a prediction needs three runs")
     mean = float(sample.mean())
     share = min(1.0, max(0.0, mean))
@@ -39,7 +40,7 @@
 
 @dataclass(frozen=True)
 class Check:
-    """One run on sockets beside what was predicted for it."""
+    """A figure of one run on sockets beside its prediction."""
 
     seed: int
     predicted: Interval
@@ -48,6 +49,7 @@
 
     @property
     def within(self) -> bool:
+        """Whether the measured figure is within the predicted interval."""
         return self.predicted.low <= self.measured <= self.predicted.high
 
 
@@ -55,31 +57,38 @@
     return score(scenario, Simulation(scenario, seed, policy_factory("present"), policy_stream).run())
 
 
-def predict(scenario: Scenario, seed: int, runs: int, figure: str, level: float) -> Interval:
+@dataclass(frozen=True)
+class Prediction:
+    """What to predict: a figure of the score, from so many simulations, at a level of confidence."""
+
+    runs: int
+    figure: str = "service"
+    level: float = 0.95
+
+
+def predict(scenario: Scenario, seed: int, wanted: Prediction) -> Interval:
     """Predict a figure of one run on sockets, by simulations on its seed with other policy streams."""
-    policy_streams = [f"prediction {number}" for number in range(runs)]
+    policy_streams = [f"prediction {number}" for number in range(wanted.runs)]
     with ProcessPoolExecutor() as pool:
-        found = list(pool.map(_modelled, [scenario] * runs, [seed] * runs, policy_streams))
+        found = list(pool.map(_modelled, [scenario] * wanted.runs, [seed] * wanted.runs, policy_streams))
     day = scenario.day
     lines = max(1.0, day.rate * day.life * day.seconds / LINE_S)
-    return prediction([float(getattr(one, figure)) for one in found], level, lines)
+    return prediction([float(getattr(one, wanted.figure)) for one in found], wanted.level, lines)
 
 
 def check(
     scenario: Scenario,
     play: Play,
     seeds: Sequence[int],
-    runs: int,
-    figure: str = "service",
-    level: float = 0.95,
+    wanted: Prediction,
     on_checked: Callable[[Check], None] = lambda one: None,
 ) -> list[Check]:
-    """Predict each day first, then play it on sockets, one after the other."""
+    """Predict the figure on each seed, then measure it by `play`, one seed after the other."""
     found = []
     for seed in seeds:
-        expected = predict(scenario, seed, runs, figure, level)
+        expected = predict(scenario, seed, wanted)
         measurements, late = play(scenario, seed)
-        measured = float(getattr(score(scenario, measurements), figure))
+        measured = float(getattr(score(scenario, measurements), wanted.figure))
         found.append(Check(seed, expected, measured, late))
         on_checked(found[-1])
     return found
--- a/stepflow/fleet/rule_checker.py
+++ b/stepflow/fleet/rule_checker.py
@@ -1,8 +1,8 @@
-"""Holds modules to the rules of the service, by what they hear and say; tells how near each came to a bound.
+"""Checks policies against the rules of the service, by their events and actions.
 
-No part of what is decided: it reads events and actions, and knows a node by its number. A rule's figure is
-kept at its worst over a day, with what it may be at the most, so that a margin can be told and not only a
-verdict.
+An observer of a simulation, which takes no part in any decision. Of each rule it keeps the worst figure
+beside its bound, so that the margin is known and not only whether the rule was kept. The names of rules are
+part of reports.
 """
 
 from __future__ import annotations
@@ -31,21 +31,21 @@
     StartAttempt,
 )
 
-SLACK_US = 50_000  # that the protocol adds to each limit on sockets
+SLACK_US = 50_000  # that delays between processes add to each limit
 
 
 @dataclass
 class Rule:
-    """One rule: what a figure may be, and what it was at the worst."""
+    """One rule: the bound of a figure, and the worst one that was seen."""
 
     name: str
     bound: float
     worst: float = 0.0
     violations: int = 0
-    first_violation: str = ""  # where it was broken first
+    first_violation: str = ""
 
     def record(self, value: float, where: str) -> None:
-        """A figure of this rule."""
+        """Take a figure; `where` says when and by what it came about."""
         self.worst = max(self.worst, value)
         if value > self.bound:
             self.violations += 1
@@ -71,15 +71,17 @@
 
 @dataclass
 class _NodeHistory:
-    """One node's life."""
+    """What one process of a node was told."""
 
     settings: Settings
     requests: dict[int, _RequestHistory] = field(default_factory=dict)
-    listed: dict[EndpointId, int | None] = field(default_factory=dict)  # since when it must get nothing
+    listed: dict[EndpointId, int | None] = field(
+        default_factory=dict
+    )  # since when it must not be used; None for a ready one
 
 
 class RuleChecker:
-    """The rules of one day."""
+    """Checks all nodes of one run."""
 
     def __init__(self) -> None:
         self._nodes: dict[int, _NodeHistory] = {}
@@ -114,6 +116,7 @@
 
     @property
     def kept(self) -> bool:
+        """Whether no rule was broken."""
         return not any(rule.violations for rule in self.rules)
 
     def node_started(self, node: int, incarnation: int, settings: Settings) -> None:
--- a/stepflow/fleet/scenario.py
+++ b/stepflow/fleet/scenario.py
@@ -1,7 +1,8 @@
-"""A scenario: the fleet, its traffic and what goes wrong, as read from a file of directives in blocks.
+"""A scenario: the fleet, its traffic and its faults, as read from a file of directives in blocks.
 
-The lines are the operator's file's. A range is LOW..HIGH, drawn once a server (or a day); a single figure is
-a range of no width. Times are in seconds, as the names say where they are not.
+Names of fields are those of directives, with underscores for dashes. A range is LOW..HIGH, drawn once for
+each server (or run); a single figure is a range of no width. Times are in seconds, except where a name ends
+in its unit.
 """
 
 from __future__ import annotations
@@ -17,6 +18,7 @@
 
 Range = tuple[float, float]
 MS = 1_000  # microseconds in a millisecond
+FIGURE_LIMIT = 1e12  # no figure of a scenario makes sense from here on
 NORMAL_95 = 1.959964  # standard deviations on each side of an interval of 95%
 
 
@@ -33,7 +35,7 @@
 
 @dataclass(frozen=True)
 class Class:
-    """One class of connections; loads and lives in the day's mean ones."""
+    """One class of sessions; loads and lives are relative to the means of the day."""
 
     share: float = 1.0
     load: Range = (1.0, 1.0)
@@ -68,7 +70,7 @@
 
 @dataclass(frozen=True)
 class Fault:
-    """Something that goes wrong, or is done."""
+    """A fault or an operation, from `at` seconds on."""
 
     what: str
     at: float
@@ -84,7 +86,7 @@
 
 @dataclass(frozen=True)
 class Day:
-    """All that is no list."""
+    """The block `day`: the figures of the fleet, its traffic and its network."""
 
     seconds: float = 60.0
     warm: float = 5.0  # before anything is counted
@@ -132,9 +134,9 @@
     utilization: float = 0.0
 
 
-MOST_TRIES = 6  # attempts of a request
-PROBE_PRICE = 0.004  # points for one probe a request
-BEYOND = 1.1  # as many times what a trace held are an extrapolation
+MAX_ATTEMPTS = 6  # attempts of a request
+HEALTH_CHECK_PRICE = 0.004  # points for one probe a request
+EXTRAPOLATION = 1.1  # from so many times what the trace held on
 
 
 @dataclass(frozen=True)
@@ -149,9 +151,9 @@
     seen: Seen = field(default_factory=Seen)
 
     def sampled(self, seed: int) -> Scenario:
-        """This scenario as one day has it: what is known within an interval only is drawn from it.
+        """This scenario for one run: what is known within an interval only is drawn from that.
 
-        So an interval over many days holds what the fit leaves open, and not the days' chance alone.
+        So an interval over many runs holds what the fit leaves open beside the chance of single runs.
         """
         found: dict[str, Any] = {}
         for one in fields(Fitted):
@@ -164,7 +166,7 @@
         return replace(self, day=replace(self.day, **found), fitted=Fitted()) if found else self
 
     def extrapolations(self, peak_load: float) -> list[str]:
-        """What a comparison asks that the trace behind it never showed."""
+        """What a run asked for that the trace behind the scenario never showed."""
         bursts = [fault.times for fault in self.faults if fault.what == "burst"]
         asked = {
             "connections a second": (self.day.rate * max([1.0, *bursts]), self.seen.rate),
@@ -173,15 +175,15 @@
         return [
             f"up to {most:.3g} {name}, and the trace held {held:.3g} at the most"
             for name, (most, held) in asked.items()
-            if held and most > BEYOND * held
+            if held and most > EXTRAPOLATION * held
         ]
 
     def settings(self, position: int = 0, now: float = 0.0) -> Settings:
-        """What an instance is told from a time on (seconds of the day).
+        """The settings of a node from a time on (seconds of the run).
 
         Ranges give their least favourable end, as a site's rules do.
         """
-        day, tries, price = self.day, MOST_TRIES, PROBE_PRICE
+        day, tries, price = self.day, MAX_ATTEMPTS, HEALTH_CHECK_PRICE
         for fault in sorted(self.faults, key=lambda fault: fault.at):
             if fault.what == "settings" and fault.at <= now:
                 tries = fault.tries or tries
@@ -191,7 +193,7 @@
             balancers=day.nodes,
             position=position,
             zone=position % max(1, day.zones),
-            zones=("room",) if day.zones < 2 else tuple(f"zone-{n}" for n in range(day.zones)),
+            zones=("room",) if day.zones <= 1 else tuple(f"zone-{n}" for n in range(day.zones)),
             kinds=tuple(self.kinds),
             classes=tuple(
                 RequestClass(
@@ -299,6 +301,6 @@
         low, high = float(parts[0]), float(parts[-1])
     except ValueError:
         return None
-    if not 0 <= low <= high < 1e12:
+    if not 0 <= low <= high < FIGURE_LIMIT:
         return None
     return (low, high) if ranged else low
--- a/tests/fleet/test_replay.py
+++ b/tests/fleet/test_replay.py
@@ -12,7 +12,7 @@
 from standins.live import play
 from stepflow.fleet.compare import CompareError
 from stepflow.fleet.measurements import Measurements
-from stepflow.fleet.replay import Check, check, prediction
+from stepflow.fleet.replay import Check, Prediction, check, prediction
 from stepflow.fleet.scenario import Class, Day, Fault, Kind, Scenario
 from stepflow.fleet.simulation import Simulation
 from tests.test_daemon import command
@@ -41,7 +41,7 @@
         return measurements, 0.0
 
     told: list[Check] = []
-    (found,) = check(TINY, nothing, [1], 3, on_checked=told.append)
+    (found,) = check(TINY, nothing, [1], Prediction(3), on_checked=told.append)
     assert told == [found] and not found.within and found.measured == 0 < found.predicted.low
 
 
--- a/tests/fleet/test_report.py
+++ b/tests/fleet/test_report.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from stepflow.fleet.compare import Comparison, Side, compare, save
+from stepflow.fleet.compare import Comparison, Plan, Side, compare, save
 from stepflow.fleet.report import ReportError, page, write
 from tests.test_daemon import command
 
@@ -18,7 +18,7 @@
 
 @pytest.fixture(scope="module")
 def found() -> Comparison:
-    return compare((Side(TEXT, "f", "random"), Side(TEXT, "f", "present")), 3, 1, jobs=2)
+    return compare((Side(TEXT, "f", "random"), Side(TEXT, "f", "present")), Plan(3, 1), jobs=2)
 
 
 def test_a_page_says_what_compare_said_and_loads_nothing(found: Comparison, tmp_path: Path) -> None:
