--- a/stepflow/fleet/audit.py
+++ b/stepflow/fleet/audit.py
@@ -17,7 +17,7 @@
 
 @dataclass(frozen=True)
 class Day:
-    """One scenario on one seed, its text read already."""
+    """One run to check: a scenario's text on one seed."""
 
     file: str
     text: str
@@ -61,7 +61,7 @@
 
 
 def check(days: Sequence[Day]) -> None:
-    """Turn down what can't be played before any process starts, in one line."""
+    """Raise InputError for a scenario or policy that can't be run, before any process starts."""
     for day in days:
         scenarios.read(day.text, day.file)
         policy_factory(day.policy)
@@ -81,7 +81,7 @@
 
 
 def findings_of(played: Sequence[Played]) -> list[Finding]:
-    """Each rule's worst day."""
+    """One finding for each rule: the day of its least margin, and all days that broke it."""
     findings: dict[str, Finding] = {}
     for one in played:
         for rule in one.rules:
--- a/stepflow/fleet/report.py
+++ b/stepflow/fleet/report.py
@@ -1,4 +1,4 @@
-"""A results folder as one page that needs nothing else: tables, and charts drawn in it as SVG."""
+"""Shows a results folder as one HTML page that loads nothing: tables, and charts as inline SVG."""
 
 from __future__ import annotations
 
@@ -61,7 +61,7 @@
 
 
 @dataclass(frozen=True)
-class Kept:
+class StoredComparison:
     """One comparison of a results folder."""
 
     name: str
@@ -75,7 +75,7 @@
         return interval(list(less), self.manifest.level, self.manifest.first)
 
 
-def read(folder: str | Path) -> list[Kept]:
+def read(folder: str | Path) -> list[StoredComparison]:
     """All comparisons in a results folder, by name."""
     found = []
     for path in sorted(Path(folder).glob("compare-*.json")):
@@ -84,19 +84,19 @@
             runs = pq.read_table(path.with_suffix(".parquet")).to_pylist()
             over = path.with_name(f"{path.stem}-series.parquet")
             told = pq.read_table(over).to_pylist() if over.exists() else []
-        except msgspec.DecodeError as fault:
-            raise ReportError(f"{path}: {fault}") from None
-        except (OSError, pa.ArrowInvalid) as fault:
-            raise ReportError(f"{path}: its runs can't be read: {str(fault).splitlines()[0]}") from None
-        found.append(_kept(path, manifest, runs, told))
+        except msgspec.DecodeError as error:
+            raise ReportError(f"{path}: {error}") from None
+        except (OSError, pa.ArrowInvalid) as error:
+            raise ReportError(f"{path}: its runs can't be read: {str(error).splitlines()[0]}") from None
+        found.append(_stored(path, manifest, runs, told))
     if not found:
         raise ReportError(f"{folder}: no comparison in it")
     return found
 
 
-def _kept(
+def _stored(
     path: Path, manifest: _Manifest, runs: Sequence[dict[str, Any]], told: Sequence[dict[str, Any]]
-) -> Kept:
+) -> StoredComparison:
     figures: dict[str, dict[str, list[float]]] = {"A": {}, "B": {}}
     series: dict[str, dict[str, list[list[float]]]] = {"A": {}, "B": {}}
     try:
@@ -107,9 +107,9 @@
             series[row["side"]].setdefault(row["name"], []).append(row["values"])
         if {len(values) for side in figures.values() for values in side.values()} != {len(manifest.seeds)}:
             raise ReportError(f"{path}: not as many runs as it names seeds")
-    except KeyError as fault:
-        raise ReportError(f"{path}: a foreign table: no {fault}") from None
-    return Kept(path.stem, manifest, figures, series)
+    except KeyError as error:
+        raise ReportError(f"{path}: a foreign table: no {error}") from None
+    return StoredComparison(path.stem, manifest, figures, series)
 
 
 # Charts.
@@ -132,12 +132,12 @@
     return figure, axes
 
 
-def _forest(kept: Kept) -> str:
+def _forest(comparison: StoredComparison) -> str:
     """Each part's difference with its interval; the parts are points of 100."""
     figure, axes = _axes("B less A, in points of 100", 3.0)
     axes.axvline(0, color="#999", linewidth=0.8)
     for place, name in enumerate(reversed(PARTS)):
-        one = kept.difference(name)
+        one = comparison.difference(name)
         low, mean, high = (100 * value for value in (one.low, one.mean, one.high))
         colour = "#999" if one.includes_zero else COLOURS["B"] if name == "net" else "#333"
         axes.plot([low, high], [place, place], color=colour, linewidth=2)
@@ -151,12 +151,12 @@
     return np.array([run[:least] for run in runs], dtype=float)
 
 
-def _over_time(kept: Kept, names: Sequence[str], title: str, unit: str) -> str:
+def _over_time(comparison: StoredComparison, names: Sequence[str], title: str, unit: str) -> str:
     """Means over the runs, with the band that most runs lie in; a style for each name."""
     figure, axes = _axes(title)
     for style, name in zip(("-", "--", ":", "-."), names, strict=False):
         for side, colour in COLOURS.items():
-            values = _stacked(kept.series[side][name])
+            values = _stacked(comparison.series[side][name])
             seconds = np.arange(values.shape[1])
             label = f"{side}" if len(names) == 1 else f"{side} {name.removeprefix('load of ')}"
             axes.plot(seconds, values.mean(axis=0), style, color=colour, linewidth=1.3, label=label)
@@ -169,13 +169,13 @@
     return _svg(figure)
 
 
-def _servers(kept: Kept) -> str:
+def _servers(comparison: StoredComparison) -> str:
     """How the mean loads of a kind's servers lie, over all runs."""
-    names = sorted(name for name in kept.series["A"] if name.startswith("servers of "))
+    names = sorted(name for name in comparison.series["A"] if name.startswith("servers of "))
     figure, axes = _axes("Each server's mean load, by kind")
     for number, name in enumerate(names):
         for shift, (side, colour) in zip((-0.17, 0.17), COLOURS.items(), strict=True):
-            values = [value for run in kept.series[side].get(name, []) for value in run]
+            values = [value for run in comparison.series[side].get(name, []) for value in run]
             drawn = axes.boxplot(
                 [values], positions=[number + shift], widths=0.28, showfliers=False, patch_artist=True
             )
@@ -187,10 +187,10 @@
     return _svg(figure)
 
 
-def _pairs(kept: Kept) -> str:
+def _pairs(comparison: StoredComparison) -> str:
     """Each seed's difference: what the interval is made of."""
     figure, axes = _axes("Net service by day: B less A")
-    less = np.array(kept.figures["B"]["net"]) - np.array(kept.figures["A"]["net"])
+    less = np.array(comparison.figures["B"]["net"]) - np.array(comparison.figures["A"]["net"])
     order = np.argsort(less)
     colours = [COLOURS["B"] if value > 0 else COLOURS["A"] for value in less[order]]
     axes.bar(range(len(less)), 100 * less[order], color=colours, width=0.8)
@@ -201,24 +201,24 @@
     return _svg(figure)
 
 
-def _charts(kept: Kept) -> list[str]:
-    charts = [_forest(kept)]
-    if kept.series["A"]:
-        kinds = sorted(name for name in kept.series["A"] if name.startswith("load of "))
+def _charts(comparison: StoredComparison) -> list[str]:
+    charts = [_forest(comparison)]
+    if comparison.series["A"]:
+        kinds = sorted(name for name in comparison.series["A"] if name.startswith("load of "))
         charts += [
-            _over_time(kept, ["service"], "Service over time", "share served"),
-            _over_time(kept, kinds[:4], "Load by kind of server", "load over capacity"),
-            _servers(kept),
-            _over_time(kept, ["imbalance"], "Imbalance", "deviation of load over capacity"),
+            _over_time(comparison, ["service"], "Service over time", "share served"),
+            _over_time(comparison, kinds[:4], "Load by kind of server", "load over capacity"),
+            _servers(comparison),
+            _over_time(comparison, ["imbalance"], "Imbalance", "deviation of load over capacity"),
         ]
-    return [*charts, _pairs(kept)]
+    return [*charts, _pairs(comparison)]
 
 
 # The page.
 
 
-def _verdict(kept: Kept) -> str:
-    one = kept.difference("net")
+def _verdict(comparison: StoredComparison) -> str:
+    one = comparison.difference("net")
     if one.includes_zero:
         span = f"{100 * one.low:+.2f} and {100 * one.high:+.2f}"
         return f"No difference seen; it lies between {span} points of 100."
@@ -227,22 +227,24 @@
     return f"{better} serves better, by {low:.2f} to {high:.2f} points of 100."
 
 
-def _warnings(kept: Kept) -> list[str]:
+def _warnings(comparison: StoredComparison) -> list[str]:
     found = []
-    for name, side in zip("AB", kept.manifest.sides, strict=True):
+    for name, side in zip("AB", comparison.manifest.sides, strict=True):
         told = scenarios.read(side.scenario, side.file)
-        for text in told.extrapolations(max(kept.figures[name]["peak_load"])):
+        for text in told.extrapolations(max(comparison.figures[name]["peak_load"])):
             found.append(f"{name} extrapolates: {text}.")
-    if len(kept.manifest.seeds) < kept.manifest.wanted:
-        found.append(f"Ended early: {len(kept.manifest.seeds)} of {kept.manifest.wanted} days were played.")
+    if len(comparison.manifest.seeds) < comparison.manifest.wanted:
+        found.append(
+            f"Ended early: {len(comparison.manifest.seeds)} of {comparison.manifest.wanted} days were played."
+        )
     return found
 
 
-def _rows(kept: Kept) -> list[tuple[str, str, str, str, str, bool]]:
+def _rows(comparison: StoredComparison) -> list[tuple[str, str, str, str, str, bool]]:
     rows = []
     for name in FIGURES:
-        less = kept.difference(name)
-        means = [float(np.mean(kept.figures[side][name])) for side in "AB"]
+        less = comparison.difference(name)
+        means = [float(np.mean(comparison.figures[side][name])) for side in "AB"]
         low, mean, high = (round(value, 4) + 0.0 for value in (less.low, less.mean, less.high))  # no -0.0
         span = f"{low:+.4f} to {high:+.4f}"
         shown, nothing = name.replace("_", " "), less.includes_zero
@@ -252,7 +254,7 @@
 
 def page(folder: str | Path) -> str:
     """The whole page."""
-    kept = read(folder)
+    comparisons = read(folder)
     environment = jinja2.Environment(
         loader=jinja2.PackageLoader("stepflow.fleet"), autoescape=True, undefined=jinja2.StrictUndefined
     )
@@ -265,7 +267,7 @@
             "rows": _rows(one),
             "charts": [Markup(chart) for chart in _charts(one)],
         }
-        for one in kept
+        for one in comparisons
     ]
     return environment.get_template("report.html").render(comparisons=shown)
 
@@ -278,7 +280,7 @@
     try:
         making.write_text(text)
         making.rename(target)
-    except OSError as fault:
+    except OSError as error:
         making.unlink(missing_ok=True)
-        raise ReportError(f"{target}: {fault.strerror}") from None
+        raise ReportError(f"{target}: {error.strerror}") from None
     return text.count("<section")
--- a/stepflow/fleet/synth.py
+++ b/stepflow/fleet/synth.py
@@ -1,4 +1,4 @@
-"""Traffic made by the model and recorded as nodes record it: a trace where there is none yet."""
+"""Synthetic journals: simulated traffic, recorded as nodes record theirs, where there is no trace yet."""
 
 from __future__ import annotations
 
@@ -13,22 +13,23 @@
 from stepflow.interface import Action, Event, Request, Settings
 from stepflow.traffic import Recorder
 
-BEGAN_US = 1_700_000_000_000_000  # Unix time at which each such day begins
+BEGAN_US = 1_700_000_000_000_000  # Unix time at which each simulated run begins
 KEY = "made by the model, no farm's"
-SEGMENT = 16 << 20
+SEGMENT = 16 << 20  # bytes of a journal before the next one begins
 
 
 class _JournalFile:
-    """Where one node's recorder writes to."""
+    """The journals of one process of a node, one file after the other."""
 
-    def __init__(self, folder: Path, life: int) -> None:
-        self._folder, self._life, self._number = folder, life, 0
+    def __init__(self, folder: Path, incarnation: int) -> None:
+        self._folder, self._incarnation, self._number = folder, incarnation, 0
         self.paths: list[Path] = []
 
     def put(self, data: bytes, begins: bool) -> bool:
+        """Append bytes, in a new file if they begin one; tells that they were taken."""
         if begins:
             self._number += 1
-            name = f"traffic-{BEGAN_US // 1000:016d}-{self._number:05d}-{self._life:04d}.sft"
+            name = f"traffic-{BEGAN_US // 1000:016d}-{self._number:05d}-{self._incarnation:04d}.sft"
             self.paths.append(self._folder / name)
         with open(self.paths[-1], "ab") as file:
             file.write(data)
@@ -36,7 +37,7 @@
 
 
 class JournalWriter:
-    """Records each node of a day; one that is killed leaves its journal without an end, as it would."""
+    """Records each node of a run; one that is killed leaves its journal without an end."""
 
     def __init__(self, folder: Path) -> None:
         self._folder = folder
@@ -50,7 +51,7 @@
         return [path for file in self._files for path in file.paths]
 
     def node_started(self, node: int, incarnation: int, settings: Settings) -> None:
-        """A node's process starts: it records into a file of its own."""
+        """Begin the journal of a new process."""
         folder = self._folder / f"n{node}"
         folder.mkdir(parents=True, exist_ok=True)
         if before := self._recorders.get(node):
@@ -61,20 +62,20 @@
         )
 
     def event_handled(self, now: int, node: int, event: Event, actions: list[Action]) -> None:
-        """One event of a node, which tells deadlines on its own clock, and what it decided."""
+        """Record an event and its actions; journals are in Unix time, deadlines in events are not."""
         if isinstance(event, Request):
             event = event._replace(expires_us=event.expires_us + BEGAN_US)
         self._now_us = BEGAN_US + now
         self._recorders[node].take(self._now_us, event, actions)
 
     def run_ended(self, now: int, servers: Sequence[Server]) -> None:
-        """The day is over."""
+        """End all journals in order."""
         for recorder in self._recorders.values():
             recorder.end(BEGAN_US + now)
 
 
 def synth(scenario: Scenario, seed: int, folder: str | Path, policy_factory: PolicyFactory) -> list[Path]:
-    """Play a day and leave its journals in a new folder, one for each node; returns their paths."""
+    """Simulate a scenario, and leave its journals in a new folder, one folder in it for each node."""
     target = Path(folder)
     if target.exists():
         raise InputError(f"{target}: is there already")
--- a/stepflow/fleet/traffic.py
+++ b/stepflow/fleet/traffic.py
@@ -1,6 +1,8 @@
-"""The day's draws: all that no decision changes is drawn ahead, in arrays, each from a stream of its own.
+"""The clients of a run, drawn ahead: all that no decision changes, each from a stream of its own.
 
-So two runs on one seed see the same clients with the same loads, whatever the policies do with them.
+So two runs on one seed see the same clients with the same loads, whatever their policies decide. Loads are
+relative to the mean load of a session. The names of streams are part of what a seed means: another name gives
+other draws.
 """
 
 from __future__ import annotations
@@ -11,77 +13,97 @@
 import numpy as np
 from numpy.typing import NDArray
 
-from stepflow.fleet.scenario import Scenario
+from stepflow.fleet.scenario import Class, Scenario
 from stepflow.fleet.streams import stream
 
-LOADS_PER_SESSION = 12  # of one connection, one after the other; the last one holds on
-MEAN_LOAD_SPAN_S = 12.0  # mean time that a load holds
-DRAWS_PER_CLIENT = 16  # uniform numbers that a client has for its waits
+LOADS_PER_SESSION = 12  # one after the other; the last one holds on
+MEAN_LOAD_SPAN_S = 12.0  # how long a load holds
+DRAWS_PER_CLIENT = 16
+ZIPF_EXPONENT = 0.7  # of the law by which sessions fall to affinity groups
+WORK_SIGMA = 0.5  # of the logarithm of a set-up's work
 
 Floats = NDArray[np.float64]
 
 
 @dataclass(frozen=True)
 class Traffic:
-    """Connections, those that stand at the start first. Arrays of n, but where another shape is told."""
+    """The clients of a run: first those with a session when it begins, then those that arrive.
 
-    established: int
-    at_us: NDArray[np.int64]  # 0 for those that stand
+    Arrays have an item, or a row, for each client.
+    """
+
+    established: int  # how many are so when the run begins
+    at_us: NDArray[np.int64]  # when each arrives; 0 for established ones
     class_index: NDArray[np.int64]
     group: NDArray[np.int64]  # from 1
     zone: NDArray[np.int64]
-    life_s: Floats  # what is left of it at `at_us`
-    loads: Floats  # n, LOADS; in mean connection loads
-    load_spans_s: Floats  # n, LOADS: how long each holds
-    work: Floats  # of a set-up, over its class's mean
-    draws: Floats  # n, CHANCES
+    life_s: Floats  # how long each needs its session from `at_us` on
+    loads: Floats  # LOADS_PER_SESSION columns: one load after the other
+    load_spans_s: Floats  # as many columns: how long each load holds
+    work: Floats  # of a set-up, relative to its class's mean
+    draws: Floats  # DRAWS_PER_CLIENT columns: uniform numbers from 0 to 1
 
 
 def draw_traffic(scenario: Scenario, seed: int) -> Traffic:
-    """The traffic of a day."""
-    day, classes = scenario.day, list(scenario.classes.values())
-    shares = np.array([cls.share for cls in classes])
-    shares = shares / shares.sum()
-    stood = stream(seed, "stood").poisson(day.rate * day.life)
+    """Draw the clients of a run."""
+    day = scenario.day
+    established = int(stream(seed, "stood").poisson(day.rate * day.life))
     arrivals = _arrivals(scenario, seed)
-    count = stood + len(arrivals)
-    cls = np.concatenate(
-        [
-            # What stands at a moment is biased toward lives that are long.
-            stream(seed, "stood class").choice(
-                len(classes), stood, p=_normal(shares * _means(classes, "life"))
-            ),
-            stream(seed, "class").choice(len(classes), len(arrivals), p=shares),
-        ]
-    ).astype(np.int64)
-    life, load = np.empty(count), np.empty(count)
-    sigma, swing = np.empty(count), np.empty(count)
-    for number, one in enumerate(classes):
-        mine = cls == number
-        life[mine] = stream(seed, "life class", number).uniform(*one.life, count)[mine]
-        load[mine] = stream(seed, "load class", number).uniform(*one.load, count)[mine]
-        sigma[mine], swing[mine] = one.load_sigma, one.swing_sigma
-    mean_life, mean_load = (shares @ _means(classes, name) for name in ("life", "load"))
-    # An exponential life has no memory: what is left of a standing one's is drawn like a fresh one's.
-    life *= day.life / mean_life * stream(seed, "life").exponential(1.0, count)
-    usual = load / mean_load * np.exp(sigma * stream(seed, "load").standard_normal(count) - sigma**2 / 2)
-    swings = stream(seed, "swing").standard_normal((count, LOADS_PER_SESSION))
-    loads = usual[:, None] * np.exp(swing[:, None] * swings - swing[:, None] ** 2 / 2)
-    weights = 1.0 / np.arange(1, day.groups + 1) ** 0.7
+    count = established + len(arrivals)
+    class_index = _draw_classes(scenario, seed, established, len(arrivals))
+    weights = 1.0 / np.arange(1, day.groups + 1) ** ZIPF_EXPONENT
     return Traffic(
-        established=int(stood),
-        at_us=np.concatenate([np.zeros(stood, np.int64), arrivals]),
-        class_index=cls,
+        established=established,
+        at_us=np.concatenate([np.zeros(established, np.int64), arrivals]),
+        class_index=class_index,
         zone=stream(seed, "zone").integers(0, max(1, day.zones), count),
         group=1 + stream(seed, "group").choice(day.groups, count, p=weights / weights.sum()),
-        life_s=life,
-        loads=loads,
+        life_s=_draw_lives(scenario, seed, class_index),
+        loads=_draw_loads(scenario, seed, class_index),
         load_spans_s=stream(seed, "swing time").exponential(MEAN_LOAD_SPAN_S, (count, LOADS_PER_SESSION)),
-        work=stream(seed, "work").lognormal(-0.125, 0.5, count),
+        work=stream(seed, "work").lognormal(-(WORK_SIGMA**2) / 2, WORK_SIGMA, count),
         draws=stream(seed, "chances").random((count, DRAWS_PER_CLIENT)),
     )
 
 
+def _draw_classes(scenario: Scenario, seed: int, established: int, arriving: int) -> NDArray[np.int64]:
+    classes = list(scenario.classes.values())
+    shares = _shares(classes)
+    # Of the sessions that are established at a moment, long ones have a larger share than of those that
+    # arrive.
+    weights = shares * _means(classes, "life")
+    standing = stream(seed, "stood class").choice(len(classes), established, p=weights / weights.sum())
+    fresh = stream(seed, "class").choice(len(classes), arriving, p=shares)
+    return np.concatenate([standing, fresh]).astype(np.int64)
+
+
+def _draw_lives(scenario: Scenario, seed: int, class_index: NDArray[np.int64]) -> Floats:
+    """Exponential lives: what is left of an established one's has the law of a fresh one's."""
+    classes, count = list(scenario.classes.values()), len(class_index)
+    life = np.empty(count)
+    for number, cls in enumerate(classes):
+        of_class = class_index == number
+        life[of_class] = stream(seed, "life class", number).uniform(*cls.life, count)[of_class]
+    mean_life = _shares(classes) @ _means(classes, "life")
+    life *= scenario.day.life / mean_life * stream(seed, "life").exponential(1.0, count)
+    return life
+
+
+def _draw_loads(scenario: Scenario, seed: int, class_index: NDArray[np.int64]) -> Floats:
+    """Lognormal loads: a usual one of each session, and each of its loads around that."""
+    classes, count = list(scenario.classes.values()), len(class_index)
+    load, sigma, swing = np.empty(count), np.empty(count), np.empty(count)
+    for number, cls in enumerate(classes):
+        of_class = class_index == number
+        load[of_class] = stream(seed, "load class", number).uniform(*cls.load, count)[of_class]
+        sigma[of_class], swing[of_class] = cls.load_sigma, cls.swing_sigma
+    mean_load = _shares(classes) @ _means(classes, "load")
+    usual = load / mean_load * np.exp(sigma * stream(seed, "load").standard_normal(count) - sigma**2 / 2)
+    swings = stream(seed, "swing").standard_normal((count, LOADS_PER_SESSION))
+    loads: Floats = usual[:, None] * np.exp(swing[:, None] * swings - swing[:, None] ** 2 / 2)
+    return loads
+
+
 def _arrivals(scenario: Scenario, seed: int) -> NDArray[np.int64]:
     """A Poisson process, its bursts by thinning (Lewis and Shedler 1979)."""
     day, rng = scenario.day, stream(seed, "arrivals")
@@ -96,9 +118,12 @@
     return (kept * 1e6).astype(np.int64)
 
 
-def _means(classes: Sequence[object], name: str) -> Floats:
-    return np.array([sum(getattr(cls, name)) / 2 for cls in classes])
+def _shares(classes: Sequence[Class]) -> Floats:
+    """The classes' shares of arrivals, of a sum of 1."""
+    shares = np.array([cls.share for cls in classes])
+    return np.asarray(shares / shares.sum())
 
 
-def _normal(weights: Floats) -> Floats:
-    return np.asarray(weights / weights.sum())
+def _means(classes: Sequence[Class], name: str) -> Floats:
+    """The middles of the classes' ranges of a figure."""
+    return np.array([sum(getattr(cls, name)) / 2 for cls in classes])
--- a/tests/test_code_shape.py
+++ b/tests/test_code_shape.py
@@ -25,7 +25,6 @@
 # Functions that have not been split yet, and constructors that take more arguments, by file and name.
 LONG_FUNCTIONS = {
     "stepflow/cli/fleet.py:compare",
-    "stepflow/fleet/traffic.py:draw_traffic",
     "stepflow/node/process/config.py:load",
     "stepflow/node/process/service.py:Node.__init__",
     "stepflow/policy/decide.py:Policy.on_attempt_ended",
