--- a/stepflow/fleet/attempts.py
+++ b/stepflow/fleet/attempts.py
@@ -67,10 +67,10 @@
         if not any(s.is_degraded for s in self._simulation.servers):
             return
         ready = [s for s in self._simulation.servers if s.is_running and s.availability == Availability.READY]
-        sick = sum(s.is_degraded for s in ready)
-        if 0 < sick < len(ready):
+        degraded = sum(s.is_degraded for s in ready)
+        if 0 < degraded < len(ready):
             measurements.attempts_at_degraded += server.is_degraded
-            measurements.attempts_at_degraded_by_chance += sick / len(ready)
+            measurements.attempts_at_degraded_by_chance += degraded / len(ready)
 
     def _reach_server(self, client: Client, attempt: int, server: Server) -> None:
         """The request is at the server, which accepts or rejects it."""
--- a/stepflow/fleet/audit.py
+++ b/stepflow/fleet/audit.py
@@ -54,10 +54,10 @@
 
 def play(day: Day) -> Played:
     """Run one day with a rule checker of its own."""
-    told = scenarios.read(day.text, day.file)
+    scenario = scenarios.read(day.text, day.file)
     checker = RuleChecker()
-    measurements = Simulation(told, day.seed, policy_factory(day.policy), observers=(checker,)).run()
-    return Played(day, checker.rules, score(told, measurements))
+    measurements = Simulation(scenario, day.seed, policy_factory(day.policy), observers=(checker,)).run()
+    return Played(day, checker.rules, score(scenario, measurements))
 
 
 def check(days: Sequence[Day]) -> None:
--- a/stepflow/fleet/compare.py
+++ b/stepflow/fleet/compare.py
@@ -59,10 +59,10 @@
 
     def play(self, seed: int, policy_stream: str) -> Run:
         """Run once; two equal sides differ by the stream of their policies' draws alone."""
-        told = scenarios.read(self.scenario, self.file)
-        measurements = Simulation(told, seed, policy_factory(self.policy), policy_stream).run()
-        found = score(told, measurements)
-        return Run({name: float(getattr(found, name)) for name in FIGURES}, series(told, measurements))
+        scenario = scenarios.read(self.scenario, self.file)
+        measurements = Simulation(scenario, seed, policy_factory(self.policy), policy_stream).run()
+        found = score(scenario, measurements)
+        return Run({name: float(getattr(found, name)) for name in FIGURES}, series(scenario, measurements))
 
 
 @dataclass(frozen=True)
@@ -117,12 +117,12 @@
 
     def extrapolations(self) -> list[str]:
         """What was simulated that the trace behind a scenario never showed: such an answer is a guess."""
-        said: dict[str, None] = {}
+        texts: dict[str, None] = {}
         for number, one in enumerate(self.sides):
-            told = scenarios.read(one.scenario, one.file)
+            scenario = scenarios.read(one.scenario, one.file)
             peak = max(row[1:][number].figures["peak_load"] for row in self.rows)
-            said |= dict.fromkeys(f"{one.file}: {text}" for text in told.extrapolations(peak))
-        return list(said)
+            texts |= dict.fromkeys(f"{one.file}: {text}" for text in scenario.extrapolations(peak))
+        return list(texts)
 
     def difference(self, figure: str) -> Interval:
         """B less A, paired."""
--- a/stepflow/fleet/observers.py
+++ b/stepflow/fleet/observers.py
@@ -10,13 +10,13 @@
 
 
 class Observer(Protocol):
-    """Is told of all that the nodes' policies are told and decide."""
+    """Gets all events and actions of the nodes' policies."""
 
     def node_started(self, node: int, incarnation: int, settings: Settings) -> None:
         """A node's process starts; `life` counts its processes."""
 
     def event_handled(self, now: int, node: int, event: Event, actions: list[Action]) -> None:
-        """A node's policy was told an event, and asked for actions that have not been carried out yet."""
+        """A node's policy has handled an event; its actions have not been carried out yet."""
 
     def run_ended(self, now: int, servers: Sequence[Server]) -> None:
         """The run is over."""
--- a/stepflow/fleet/population.py
+++ b/stepflow/fleet/population.py
@@ -19,20 +19,20 @@
 
 def make_server(scenario: Scenario, kind: int, uid: str, zone: int, rng: np.random.Generator) -> Server:
     """Make a server of a kind, with figures of its own drawn from the kind's ranges."""
-    told, day = list(scenario.kinds.values())[kind], scenario.day
+    figures, day = list(scenario.kinds.values())[kind], scenario.day
     speed, cold_from, cold_s = (
-        float(rng.uniform(*span)) for span in (told.speed, told.cold_from, told.cold_s)
+        float(rng.uniform(*span)) for span in (figures.speed, figures.cold_from, figures.cold_s)
     )
     aim = min(cls.message_ms for cls in scenario.classes.values()) / 1000
     return Server(
         uid,
         kind,
-        int(told.cores),
+        int(figures.cores),
         speed,
         0.0,
         cold_from,
         cold_s,
-        max_sessions=int(SESSIONS_PER_CORE * told.cores),
+        max_sessions=int(SESSIONS_PER_CORE * figures.cores),
         group_load=day.group_load,
         message_s=day.message_share * aim / speed,
         zone=zone,
--- a/stepflow/fleet/rule_checker.py
+++ b/stepflow/fleet/rule_checker.py
@@ -120,11 +120,11 @@
         return not any(rule.violations for rule in self.rules)
 
     def node_started(self, node: int, incarnation: int, settings: Settings) -> None:
-        """A node's process starts, and knows nothing of the one before."""
+        """A process starts, and knows nothing of the node's one before."""
         self._nodes[node] = _NodeHistory(settings)
 
     def event_handled(self, now: int, node: int, event: Event, actions: Iterable[Action]) -> None:
-        """What a node's module heard, and what it wants done."""
+        """Check an event and the actions that followed it."""
         call = self._event_checks.get(type(event))
         if call is not None:
             call(now, self._nodes[node], event)
@@ -146,7 +146,7 @@
             self.migrations.record(request is None or not request.established, where)
 
     def run_ended(self, now: int, servers: Iterable[Server]) -> None:
-        """The day is over: what should have had its answer, and what cold servers bore."""
+        """Check for requests without an answer, and servers overloaded in their slow start."""
         for number, seen in self._nodes.items():
             for id, request in seen.requests.items():
                 overdue = request.expires_us + self.late.bound * SECOND < now
@@ -154,8 +154,6 @@
         for server in servers:
             self.slow_start.record(server.worst_overload, server.id)
 
-    # What modules hear.
-
     @staticmethod
     def _listed(now: int, seen: _NodeHistory, event: EndpointListUpdate) -> None:
         if event.kind == ListUpdateKind.FAILED:
@@ -199,8 +197,6 @@
         if request is not None:
             request.answered = True
 
-    # What they say.
-
     def _sent(self, now: int, seen: _NodeHistory, action: StartAttempt, where: str) -> None:
         request = seen.requests.get(action.request_id)
         if request is None or request.answered:
--- a/stepflow/fleet/scenario.py
+++ b/stepflow/fleet/scenario.py
@@ -45,7 +45,7 @@
     work_ms: float = 10.0  # of a set-up, on the yardstick's core
     aim_ms: float = 300.0
     wait_ms: float = 1200.0
-    message_ms: float = 50.0  # within which an echo is wanted
+    message_ms: float = 50.0  # the latency objective of messages
     worth: float = 1.0
 
 
@@ -78,10 +78,10 @@
     part: float = 0.1  # of the servers; of the nodes for a restart or a roll; of the attempts for resets
     times: float = 2.0  # the traffic, for a burst
     at_once: float = 0.27  # share of the nodes that a restart or a roll takes at a time
-    share: float = 0.5  # of a sick server's answers that are errors; of its speed that a slow one keeps
+    share: float = 0.5  # of a faulty server's answers that are errors; of its speed that a slow one keeps
     tries: int = 0  # attempts of a request from then on, where settings change; 0 for as many as before
-    probe_price: float = -1.0  # and points for one probe a request; below 0 for the same
-    drain_s: float = 5.0  # from the word that a replaced server drains until it stops
+    probe_price: float = -1.0  # and points for one health check a request; below 0 for the same
+    drain_s: float = 5.0  # for which a replaced server drains before it stops
 
 
 @dataclass(frozen=True)
@@ -89,18 +89,18 @@
     """The block `day`: the figures of the fleet, its traffic and its network."""
 
     seconds: float = 60.0
-    warm: float = 5.0  # before anything is counted
+    warm: float = 5.0  # before anything is measured
     servers: int = 15
     nodes: int = 2
     rate: float = 11.0  # new connections a second
     life: float = 100.0  # mean, of a connection
-    utilization: float = 0.5  # of the fleet's capacity by what stands at the start, groups' loads among it
+    utilization: float = 0.5  # of the fleet's capacity at the start, by sessions and their groups
     groups: int = 120
     group_load: float = 1.5  # mean connection loads that a server pays for a group it holds any of
     retries: int = 2
     leave: float = 0.04  # share of the clients that leave before their time
     back_ms: Range = (120.0, 2000.0)  # until a client whose connection broke or was moved comes again
-    front_s: Range = (1.2, 3.3)  # until the front notices a dead node
+    front_s: Range = (1.2, 3.3)  # until clients notice that a node is down
     list_s: Range = (2.5, 5.5)  # until the list tells of a change
     report_s: Range = (0.32, 1.1)  # between two refreshes of a server's report
     report_noise: float = 0.04
@@ -112,14 +112,14 @@
     list_wait_s: float = 2.0  # a call that would wait longer fails then
     trip_us: float = 300.0  # one way, client to node or node to server
     store: float = 20.0  # set-ups that the session store takes, in usual rates
-    message_share: float = 0.08  # of the message aim that one echo's work takes
+    message_share: float = 0.08  # of the message objective that a message's work takes
     fall_times: float = 2.5
     fall_s: float = 1.5
 
 
 @dataclass(frozen=True)
 class Fitted:
-    """Intervals of 95% that a fit gave for figures of the day: each day draws its own from them."""
+    """Intervals of 95% that a fit gave for figures of the day: each run draws its own from them."""
 
     rate: Range | None = None
     life: Range | None = None
@@ -135,7 +135,7 @@
 
 
 MAX_ATTEMPTS = 6  # attempts of a request
-HEALTH_CHECK_PRICE = 0.004  # points for one probe a request
+HEALTH_CHECK_PRICE = 0.004  # points for one health check a request
 EXTRAPOLATION = 1.1  # from so many times what the trace held on
 
 
@@ -242,8 +242,8 @@
     for block in parse(text, file):
         known = block.name in ("fault", *_PLAIN, *_NAMED)
         if block.block is None or not known or len(block.values) != (block.name not in _PLAIN):
-            said = "day {, kind NAME {, class NAME {, fault WHAT {, fitted { and trace {"
-            raise FileError(file, block.line, f"{block.name}: a scenario has the blocks {said}")
+            blocks = "day {, kind NAME {, class NAME {, fault WHAT {, fitted { and trace {"
+            raise FileError(file, block.line, f"{block.name}: a scenario has the blocks {blocks}")
         if block.name in _PLAIN:
             plain[block.name] = replace(plain[block.name], **_pairs(_PLAIN[block.name], block, file))
             continue
--- a/stepflow/fleet/simulation.py
+++ b/stepflow/fleet/simulation.py
@@ -1,9 +1,9 @@
 """The simulation of a fleet: balancers with real policies, their clients, map servers, discovery and faults.
 
-A discrete-event simulation in one thread. Each node has a `Policy` that is told events and whose actions are
-carried out as a real node does; the simulation takes none of the policy's decisions. This module owns the
-clock and the state that all parts share (see context.py), starts the nodes and passes events and actions
-between them and the parts: clients, attempts, the endpoint list, faults.
+A discrete-event simulation in one thread. Each node has a `Policy` whose actions are carried out as a real
+node does; the simulation takes none of the policy's decisions. This module owns the clock and the state that
+all parts share (see context.py), starts the nodes, and passes events and actions between them and the parts:
+clients, attempts, the endpoint list, faults.
 
 Times are microseconds since the start of the run. All random draws but the policies' own come from named
 streams of one seed, so two runs on one seed see the same clients whatever the policies decide.
@@ -60,7 +60,7 @@
         policy_factory: makes each node's policy from its settings and a seed.
         policy_stream: names the stream of the policies' own seeds. Runs that differ in it alone see the same
             clients and servers, with policies that draw differently.
-        observers: are told of all that the policies are told and decide.
+        observers: get all events and actions of the policies.
     """
 
     def __init__(
