--- a/stepflow/policy/attempts.py
+++ b/stepflow/policy/attempts.py
@@ -2,7 +2,8 @@
 
 Each request is sent to one endpoint at a time. What fails is retried while its deadline, the limit of
 attempts, the throttle and `retry_safety` permit; else it is rejected, or failed where its effect is unknown.
-Events that are late or unknown are ignored. Owns the fields of `RequestState` that nobody else claims.
+Events that are late or unknown are ignored. Owns `attempts`, `is_attempt_active`, `is_established`,
+`established_us` and `tried_endpoints` of requests; `is_answered` is also set by `migration`.
 """
 
 from __future__ import annotations
@@ -194,7 +195,7 @@
         self._retry_safety.record_attempt(request, endpoint)
         self._requests.assign(request, endpoint)
         # Clients of a lost endpoint come all at once: those placed a moment ago must count for the next.
-        endpoint.placed_load += self._context.model.expected_load(endpoint, request.load)
+        self._context.model.count_placed(endpoint, request.load)
         self._context.emit(StartAttempt(request.request.id, endpoint.id, timeout_us))
 
     def _timeout_us(self, request: RequestState, left_us: int) -> int:
@@ -212,7 +213,7 @@
         age_us = self._context.now_us - request.established_us
         if result == AttemptResult.RESET and request.is_established and age_us < EARLY_RESET_US:
             self._context.throttle.revoke_established()
-            endpoint.predicted_load = max(endpoint.predicted_load, SATURATED_LOAD)
+            self._context.model.raise_prediction(endpoint, SATURATED_LOAD)
 
     def _give_up(self, request: RequestState, retry_after_us: int = 0) -> None:
         """Give the final answer of a request that can't be served."""
--- a/stepflow/policy/load_model.py
+++ b/stepflow/policy/load_model.py
@@ -106,9 +106,14 @@
         for endpoint in self.endpoints.values():
             endpoint.load_history = [*endpoint.load_history[1 - REPORT_AGE_TICKS :], endpoint.load]
 
-    def expected_load(self, endpoint: EndpointState, session_load: float) -> float:
-        """The load that a session is held to add, if every instance places one like it."""
-        return self.settings.balancers * endpoint.cost * self.loads.in_sessions(session_load)
+    def count_placed(self, endpoint: EndpointState, session_load: float) -> None:
+        """Count a session that was just placed, as if every instance had placed one like it."""
+        sessions = self.loads.in_sessions(session_load)
+        endpoint.placed_load += self.settings.balancers * endpoint.cost * sessions
+
+    def raise_prediction(self, endpoint: EndpointState, load: float) -> None:
+        """Predict at least this load for an endpoint, until the next step or report."""
+        endpoint.predicted_load = max(endpoint.predicted_load, load)
 
     def _replace_live_sizes(self, endpoints: list[EndpointState]) -> None:
         """Take the largest size of its kind for each: a live one falls with what the endpoint holds."""
--- a/stepflow/policy/policy.py
+++ b/stepflow/policy/policy.py
@@ -44,7 +44,8 @@
 class Policy:
     """The decisions of one instance: events in, actions out. No clock, no I/O.
 
-    `seed` determines all random draws: the same events at the same times lead to the same actions.
+    `seed` determines all random draws: the same events at the same times lead to the same actions. `model`,
+    `controller` and `migration` are there for snapshots, metrics and tests, which read what was learned.
     """
 
     def __init__(self, settings: Settings, seed: int) -> None:
--- a/stepflow/policy/state.py
+++ b/stepflow/policy/state.py
@@ -34,12 +34,12 @@
         self.requests: dict[int, RequestState] = {}
         self.affinity_groups: dict[int, int] = {}  # own sessions of each group
         self.load = 0.0  # sum of the requests' loads
-        self.load_history: list[float] = []  # the load at the last ticks, the oldest first
 
         # Load model (load_model).
+        self.load_history: list[float] = []  # the load at the last ticks, the oldest first
         self.cost = 0.0  # learned load for each unit of session load
         self.predicted_load = 0.0
-        self.placed_load = 0.0  # predicted load of the attempts started since the prediction (attempts)
+        self.placed_load = 0.0  # predicted load of the attempts started since the prediction
         self.relative_size = 1.0  # size over the mean size
         self.seen_us = 0  # when the last load report came, 0 for never
 
@@ -48,9 +48,11 @@
         self.error_sum = 0.0
         self.last_error = 0.0
 
-        # Health (outliers, weights): the share of its weight that it gets.
+        # The share of its weight that it gets, by its results (the methods below) and by time (weights).
         self.health = 1.0
-        self.established_count = 0.0  # own attempts that were established, decaying as the throttle's
+
+        # Outliers (outliers): results of own attempts, decaying as the throttle's.
+        self.established_count = 0.0
         self.failed_count = 0.0
 
         # Slow start (slow_start).
