--- a/standins/members.py
+++ b/standins/members.py
@@ -18,6 +18,7 @@
 from stepflow.members import Membership, decode, encode
 
 WINDOW_US = 1_000_000
+PARTITION_SHARE = 0.5  # of members on one side of a partition
 SECOND = 1_000_000
 LIMIT = 0
 
@@ -182,7 +183,7 @@
         self._cut_until[link] = self.now + self.rng.uniform(0, 6) * SECOND
 
     def _partition(self) -> None:
-        sides = [self.rng.random() < 0.5 for _ in self.members]
+        sides = [self.rng.random() < PARTITION_SHARE for _ in self.members]
         until = self.now + self.rng.uniform(0, 8) * SECOND
         for sender, sender_side in enumerate(sides):
             for receiver, receiver_side in enumerate(sides):
