--- a/stepflow/node/clients/admission.py
+++ b/stepflow/node/clients/admission.py
@@ -80,7 +80,7 @@
         """
         return (*self._idle, *self._writing)
 
-    def make_room(self) -> bool:
+    def ensure_descriptor(self) -> bool:
         """Evict a client if descriptors are scarce; return whether one is left for another connection.
 
         Clients with unread bytes are passed over: closing over those would send a reset, which could
--- a/stepflow/node/clients/connection.py
+++ b/stepflow/node/clients/connection.py
@@ -168,17 +168,21 @@
 
     # The hand-over to another process and from one.
 
-    def offer(self) -> SessionTransfer | None:
+    def prepare_transfer(self) -> SessionTransfer | None:
         """What another process must know to go on with this session, once its sockets can be passed."""
-        if self._relay is None or self._context is None or (passing := self._relay.offer()) is None:
+        if (
+            self._relay is None
+            or self._context is None
+            or (passing := self._relay.prepare_transfer()) is None
+        ):
             return None
         request = self._context.request
         return SessionTransfer(
-            client_descriptor=passing.client,
-            endpoint_descriptor=passing.peer,
+            client_descriptor=passing.client_descriptor,
+            endpoint_descriptor=passing.endpoint_descriptor,
             from_client=passing.from_client.decode(BYTES_ENCODING),
-            from_endpoint=passing.from_peer.decode(BYTES_ENCODING),
-            echoes_owed=passing.owed,
+            from_endpoint=passing.from_endpoint.decode(BYTES_ENCODING),
+            echoes_owed=passing.echoes_owed,
             request_id=cast(int, self._id),
             class_name=self._services.core.class_name(request.class_index),
             tenant=self._services.core.tenant_name(request.tenant),
@@ -188,10 +192,10 @@
             endpoint=self._context.endpoint,
         )
 
-    def taken(self, by_other: bool) -> None:
+    def transfer_answered(self, by_other: bool) -> None:
         """Take note whether the other process goes on with the session that was offered to it."""
         if self._relay is not None:
-            self._relay.taken(by_other)
+            self._relay.transfer_answered(by_other)
 
     def adopt_request(self, context: RequestContext, id: int) -> None:
         """Hold the request of a session that the process before this one has handed over."""
@@ -200,10 +204,10 @@
         self._request_ids.add(id)
         self._id, self._context = id, context
 
-    def go_on(self, session: SessionTransfer) -> None:
+    def resume_transferred(self, session: SessionTransfer) -> None:
         """Give the relay of an adopted session the half lines and echoes that its predecessor told."""
         if self._relay is not None:
-            self._relay.go_on(*session.half_lines(), session.echoes_owed)
+            self._relay.resume_transferred(*session.half_lines(), session.echoes_owed)
 
     def check_disconnected(self) -> None:
         """Tell the core now if the client has left, though Twisted has not read its end yet."""
@@ -252,7 +256,7 @@
     def _open(self, opening: OpenRequest) -> None:
         """Hand a request to the core, if there is a descriptor for its endpoint's socket."""
         core, name = self._services.core, opening.client_request_id
-        if not self._admission.make_room():
+        if not self._admission.ensure_descriptor():
             self._services.counters.table_full += 1
             core.reject_unaccepted(opening.request, name, "no descriptor")
             self.reject(timedelta(0))
--- a/stepflow/node/clients/factory.py
+++ b/stepflow/node/clients/factory.py
@@ -17,7 +17,7 @@
 from stepflow.node.clients.admission import DescriptorAdmission
 from stepflow.node.clients.connection import ClientConnection, ClientServices
 from stepflow.node.clients.open_request import OpenRequest, parse_open_request, tenant_index
-from stepflow.node.runtime.transports import Reactor, family
+from stepflow.node.runtime.transports import Reactor, socket_family
 from stepflow.node.session_transfer import SessionTransfer
 from stepflow.node.upstreams.dialer import Dialer
 from stepflow.node.upstreams.pool import UpstreamConnections
@@ -59,7 +59,7 @@
 
         None has the listener close the socket: with no descriptor left there is none to answer BUSY on.
         """
-        if not self._admission.make_room():
+        if not self._admission.ensure_descriptor():
             self._services.counters.table_full += 1
             return None
         return self._new_connection()
@@ -70,9 +70,12 @@
         `client` and `peer` are the descriptors of its two sockets.
         """
         class_index = self.classes.get(session.class_name.encode())
-        if class_index is None or not self._admission.make_room():
+        if class_index is None or not self._admission.ensure_descriptor():
             return False
-        families = family(client), family(peer)  # raises for a closed socket, before anything is counted
+        families = (
+            socket_family(client),
+            socket_family(peer),
+        )  # raises for a closed socket, before anything is counted
         tenant = tenant_index(self.tenants, session.tenant.encode())
         request = Request(
             0, class_index, 0, session.load, tenant, session.idempotency_key, session.affinity_group
@@ -85,7 +88,7 @@
         connection.adopt_request(context, session.request_id)
         context.attempt = attempt = self._upstreams.adopt_session(context, peer)
         connection.session_established(attempt)
-        connection.go_on(session)
+        connection.resume_transferred(session)
         return True
 
     def reject_unopened(self) -> None:
--- a/stepflow/node/core/core.py
+++ b/stepflow/node/core/core.py
@@ -80,7 +80,7 @@
         return self._settings.tenants[tenant].name if tenant < len(self._settings.tenants) else ""
 
     @property
-    def open(self) -> int:
+    def open_requests(self) -> int:
         """The number of requests that are not over."""
         return len(self._requests)
 
--- a/stepflow/node/process/descriptors.py
+++ b/stepflow/node/process/descriptors.py
@@ -30,7 +30,7 @@
     def free(self, client_count: int) -> int:
         """How many are left with so many clients, when every open request has its endpoint's."""
         upstreams = self._upstreams
-        attempts = max(upstreams.attempts, self._core.open)
+        attempts = max(upstreams.attempts, self._core.open_requests)
         health_checks = max(upstreams.health_check_connections, RESERVED_FOR_HEALTH_CHECKS)
         others = self._handover.other_descriptors
         return self._limit - RESERVED - attempts - health_checks - client_count - others
--- a/stepflow/node/process/handover_messages.py
+++ b/stepflow/node/process/handover_messages.py
@@ -47,8 +47,8 @@
     # By kind of endpoint. The key tells the unit of all costs: no process can read those of another unit.
     kind_costs: dict[int, float] = msgspec.field(name="cost_in_means")
     endpoints: dict[str, EndpointSnapshot] = msgspec.field(name="servers")
-    wait_us: float
-    probe_wait_us: float
+    attempt_latency_us: float = msgspec.field(name="wait_us")
+    check_latency_us: float = msgspec.field(name="probe_wait_us")
 
 
 class HandoverState(msgspec.Struct, frozen=True):
--- a/stepflow/node/process/service.py
+++ b/stepflow/node/process/service.py
@@ -72,13 +72,13 @@
         try:
             port = listen_for_operators(self._reactor, address, site).getHost().port
         except (CannotListenError, OSError) as error:
-            if not self._may_listen_again(error):
+            if not self._may_retry_listen(error):
                 raise
             self._parts.timers.after(LISTEN_RETRY_DELAY, lambda: self._listen_for_operators(address))
             return
         log.info("hears operators", address=Address(address.host, port))
 
-    def _may_listen_again(self, error: Exception) -> bool:
+    def _may_retry_listen(self, error: Exception) -> bool:
         """Whether what failed at the start may succeed soon, and there is time left."""
         return errno_of(error) in RESOURCE_SHORTAGE and self.now() - self._started_at < LISTEN_RETRY_LIMIT
 
@@ -115,7 +115,7 @@
         try:
             listener = listen(self._reactor, address, clients, self._parts.counters, inherited)
         except OSError as error:
-            if self._may_listen_again(error):
+            if self._may_retry_listen(error):
                 self._parts.timers.after(LISTEN_RETRY_DELAY, lambda: self._listen(inherited))
                 return
             print(f"stepflow: {address}: {error.strerror}", file=sys.stderr)
@@ -137,7 +137,7 @@
     def _metrics(self) -> bytes:
         parts = self._parts
         gauges = Gauges(
-            in_flight=parts.core.open,
+            in_flight=parts.core.open_requests,
             map_servers_known=len(parts.endpoint_group),
             map_servers_excluded=count_excluded(parts.policy.model.endpoints.values()),
         )
--- a/stepflow/node/process/shutdown.py
+++ b/stepflow/node/process/shutdown.py
@@ -98,7 +98,7 @@
             return
         if not self._handover.has_successor:
             listener_end = self._signalled_at + self._schedule().listener_end
-            self._timers.at(listener_end, self._leave_without_successor)
+            self._timers.at(listener_end, self._shut_down_without_successor)
         elif not self._handover.successor_serves:
             self._timers.after(OFFER_INTERVAL, self._begin_with_or_without_successor)
         else:
@@ -115,12 +115,12 @@
             return
         if not self._handover.has_successor:
             self._withdraw_offers()
-            self._leave_without_successor()
+            self._shut_down_without_successor()
             return
         for context in self._core.established_sessions():
             if len(self._offers) >= MAX_OPEN_OFFERS:
                 break
-            session = cast(ClientConnection, context.downstream).offer()
+            session = cast(ClientConnection, context.downstream).prepare_transfer()
             if session is not None:
                 self._offer_count += 1
                 self._offers[self._offer_count] = context
@@ -139,13 +139,13 @@
         """The successor has answered the offer of this number; a session that it refuses is migrated."""
         context = self._offers.pop(number, None)
         if context is not None:
-            cast(ClientConnection, context.downstream).taken(accepted)
+            cast(ClientConnection, context.downstream).transfer_answered(accepted)
             if not accepted:
                 self._core.migrate(context)
 
     # Without one.
 
-    def _leave_without_successor(self) -> None:
+    def _shut_down_without_successor(self) -> None:
         """With nobody to take over: the clients go to other nodes."""
         if self._ending:
             return
--- a/stepflow/node/process/snapshot.py
+++ b/stepflow/node/process/snapshot.py
@@ -23,8 +23,8 @@
         endpoints={
             str(endpoint.id): _take_endpoint(endpoint, now_us) for endpoint in model.endpoints.values()
         },
-        wait_us=policy.wait_us,
-        probe_wait_us=policy.probe_wait_us,
+        attempt_latency_us=policy.attempt_latency_us,
+        check_latency_us=policy.check_latency_us,
     )
 
 
@@ -43,11 +43,14 @@
     for endpoint in model.endpoints.values():
         if (learned := snapshot.endpoints.get(str(endpoint.id))) is not None:
             _restore_endpoint(endpoint, learned, now_us)
-    policy.wait_us, policy.probe_wait_us = snapshot.wait_us, snapshot.probe_wait_us
+    policy.attempt_latency_us, policy.check_latency_us = (
+        snapshot.attempt_latency_us,
+        snapshot.check_latency_us,
+    )
     # Predictions and weights follow at once: a cost in one unit times a load in another would reject
     # everybody.
     model.predict(list(model.endpoints.values()), 0.0)
-    policy.controller.tabulate(policy.now)
+    policy.weights.tabulate(policy.now_us)
 
 
 def _take_endpoint(endpoint: EndpointState, now_us: int) -> EndpointSnapshot:
@@ -57,7 +60,7 @@
         weight=endpoint.weight,
         error_sum=endpoint.error_sum,
         last_error=endpoint.last_error,
-        report_age_us=now_us - endpoint.seen_us if endpoint.seen_us else REPORT_NEVER_CAME,
+        report_age_us=now_us - endpoint.reported_us if endpoint.reported_us else REPORT_NEVER_CAME,
     )
 
 
@@ -68,6 +71,6 @@
     endpoint.error_sum = learned.error_sum
     endpoint.last_error = learned.last_error
     if learned.report_age_us == REPORT_NEVER_CAME:
-        endpoint.seen_us = 0
+        endpoint.reported_us = 0
     else:
-        endpoint.seen_us = max(0, now_us - max(0, learned.report_age_us))
+        endpoint.reported_us = max(0, now_us - max(0, learned.report_age_us))
--- a/stepflow/node/relay.py
+++ b/stepflow/node/relay.py
@@ -22,7 +22,7 @@
 from stepflow.node.runtime.counters import Counters
 from stepflow.node.runtime.lines import LineScanner
 from stepflow.node.runtime.timers import Timer, Timers
-from stepflow.node.runtime.transports import Transport, finish, let_go, unsent
+from stepflow.node.runtime.transports import Transport, finish, release_without_shutdown, unsent_bytes
 from stepflow.node.upstreams.liveness import LivenessMonitor
 
 # A session that brings nothing back for so long is broken. It is owed an end within 7 s of its endpoint's
@@ -41,17 +41,17 @@
 _MOVE_WORD = b"MOVE"
 
 
-class Passing(NamedTuple):
+class TransferState(NamedTuple):
     """A session on its way to another process: the sockets, and what belongs to no socket.
 
     The names of the fields are keys of the hand-over's message.
     """
 
-    client: int
-    peer: int
+    client_descriptor: int
+    endpoint_descriptor: int
     from_client: bytes  # half lines that have gone on already
-    from_peer: bytes
-    owed: int  # lines that had no echo yet
+    from_endpoint: bytes
+    echoes_owed: int  # lines that had no echo yet
 
 
 @dataclass(frozen=True, slots=True)
@@ -158,7 +158,7 @@
         """Watch a client from when its unread bytes stop the endpoint until it has read them."""
         self._cancel(self._client_stall_timer)
         if full and not self._finished:
-            self._check_client_later(unsent(self._client), self._clock.now())
+            self._check_client_later(unsent_bytes(self._client), self._clock.now())
 
     def _check_client_later(self, waiting: int, since: timedelta) -> None:
         check = partial(self._check_client, waiting, since)
@@ -168,7 +168,7 @@
         """Close a client for which as many bytes have waited since then: it reads none of them."""
         if self._finished or self._offered:
             return
-        still_waiting, now = unsent(self._client), self._clock.now()
+        still_waiting, now = unsent_bytes(self._client), self._clock.now()
         if still_waiting < waiting:  # it reads, slowly
             self._check_client_later(still_waiting, now)
             return
@@ -224,16 +224,16 @@
 
     # Hand-over to another process.
 
-    def offer(self) -> Passing | None:
+    def prepare_transfer(self) -> TransferState | None:
         """Stop reading, that another process may go on; None while something is unsent or about to end."""
         if self._finished or self._migrating or self._offered:
             return None
-        if unsent(self._client) or unsent(self._upstream):
+        if unsent_bytes(self._client) or unsent_bytes(self._upstream):
             return None
         self._offered = True
         self._client.pauseProducing()
         self._upstream.pauseProducing()
-        return Passing(
+        return TransferState(
             self._client.fileno(),
             self._upstream.fileno(),
             self._client_lines.half_line,
@@ -241,7 +241,7 @@
             len(self._pending_echoes),
         )
 
-    def taken(self, by_other: bool) -> None:
+    def transfer_answered(self, by_other: bool) -> None:
         """Close the offered sockets here if the other process has them; else go on."""
         if self._finished or not self._offered:
             return
@@ -251,12 +251,12 @@
             self._finish()
             for side in (self._client, self._upstream):
                 side.unregisterProducer()
-                let_go(side)
+                release_without_shutdown(side)
         else:
             self._client.resumeProducing()
             self._upstream.resumeProducing()
 
-    def go_on(self, from_client: bytes, from_upstream: bytes, owed: int) -> None:
+    def resume_transferred(self, from_client: bytes, from_upstream: bytes, owed: int) -> None:
         """Take over where another process left off: amid these lines, and with so many echoes pending."""
         for scanner, half_line in ((self._client_lines, from_client), (self._upstream_lines, from_upstream)):
             scanner.feed(half_line)
--- a/stepflow/node/runtime/transports.py
+++ b/stepflow/node/runtime/transports.py
@@ -1,7 +1,8 @@
 """The parts of Twisted that the node uses, as types, and what Twisted's transports don't offer.
 
 Twisted's classes are not typed; the protocols here have the methods that the node calls, with Twisted's names
-and arguments. Of the functions, `unsent`, `flush` and `let_go` use attributes that Twisted doesn't document.
+and arguments. Of the functions, `unsent_bytes`, `flush` and `release_without_shutdown` use attributes that
+Twisted doesn't document.
 """
 
 from __future__ import annotations
@@ -139,14 +140,14 @@
         """End `run`."""
 
 
-def family(descriptor: int) -> int:
+def socket_family(descriptor: int) -> int:
     """The address family of a connected socket; an OSError says that the connection has ended."""
     with socket.socket(fileno=os.dup(descriptor)) as sock:
         sock.getpeername()
         return sock.family
 
 
-def unsent(transport: Transport) -> int:
+def unsent_bytes(transport: Transport) -> int:
     """How many bytes were written and not yet taken by the kernel."""
     inner = cast(Any, transport)
     return sum(map(len, inner._tempDataBuffer)) + len(inner.dataBuffer) - int(inner.offset)
@@ -171,21 +172,21 @@
 
     After a partial write it writes again, until the kernel takes no more.
     """
-    while waiting := unsent(transport):
+    while waiting := unsent_bytes(transport):
         cast(Any, transport).doWrite()
-        if unsent(transport) == waiting:
+        if unsent_bytes(transport) == waiting:
             return
 
 
 def finish(transport: Transport) -> None:
     """Close a connection whose sending side is shut: by a reset only where data of it was never sent."""
-    if unsent(transport):
+    if unsent_bytes(transport):
         transport.abortConnection()
     else:
         transport.loseConnection()
 
 
-def let_go(transport: Transport) -> None:
+def release_without_shutdown(transport: Transport) -> None:
     """Close this process's copy of a socket that another process holds too.
 
     Twisted shuts a socket down before it closes it, which would end the connection for both processes.
--- a/stepflow/node/upstreams/dialer.py
+++ b/stepflow/node/upstreams/dialer.py
@@ -58,7 +58,7 @@
     def clientConnectionFailed(self, connector: Connector, reason: Failure) -> None:
         """Dial again after an error of this machine; else report the failure."""
         if self._connector is not None and errno_of(reason.value) in LOCAL_CONNECT_ERRORS:
-            self._retry_call = self._reactor.callLater(CONNECT_RETRY_DELAY.total_seconds(), self._dial_again)
+            self._retry_call = self._reactor.callLater(CONNECT_RETRY_DELAY.total_seconds(), self._retry_dial)
         else:
             self._fail()
 
@@ -66,7 +66,7 @@
         """Break the reference cycle of Twisted's connector and its transport."""
         connector.transport = None
 
-    def _dial_again(self) -> None:
+    def _retry_dial(self) -> None:
         self._retry_call = None
         if self._connector is not None:
             self._connector.connect()
--- a/stepflow/node/upstreams/pool.py
+++ b/stepflow/node/upstreams/pool.py
@@ -12,7 +12,7 @@
 from stepflow.address import Address
 from stepflow.interface import AttemptResult
 from stepflow.node.core import RequestContext
-from stepflow.node.runtime.transports import family
+from stepflow.node.runtime.transports import socket_family
 from stepflow.node.upstreams.attempt import UpstreamAttempt
 from stepflow.node.upstreams.connection import adopt
 from stepflow.node.upstreams.dialer import Dialer
@@ -60,7 +60,7 @@
         """Make the attempt of a session that was established by the process before this one."""
         attempt = self._new_attempt(context, timedelta(0))
         attempt.skip_opening()
-        adopt(self._services.reactor, descriptor, family(descriptor), Dialer(attempt))
+        adopt(self._services.reactor, descriptor, socket_family(descriptor), Dialer(attempt))
         return attempt
 
     def start_health_check(self, endpoint_id: str) -> None:
--- a/stepflow/policy/health_checks.py
+++ b/stepflow/policy/health_checks.py
@@ -67,4 +67,4 @@
 
     def is_fresh(self, endpoint: EndpointState) -> bool:
         """Whether an endpoint's last load report is recent enough to choose by."""
-        return self._context.now_us - endpoint.seen_us <= FRESH_REPORT_US
+        return self._context.now_us - endpoint.reported_us <= FRESH_REPORT_US
--- a/stepflow/policy/load_model.py
+++ b/stepflow/policy/load_model.py
@@ -70,10 +70,10 @@
         load_then = endpoint.load_history[0] if endpoint.load_history else endpoint.load
         cost = value / (balancers * (self.loads.in_sessions(load_then) + pseudo))
         kept = 0.0
-        if endpoint.seen_us:
-            kept = (1 - REPORT_WEIGHT) * math.exp((endpoint.seen_us - now) / REPORT_MEMORY_US)
+        if endpoint.reported_us:
+            kept = (1 - REPORT_WEIGHT) * math.exp((endpoint.reported_us - now) / REPORT_MEMORY_US)
         endpoint.cost = kept * endpoint.cost + (1 - kept) * cost
-        endpoint.seen_us, endpoint.placed_load = now, 0.0
+        endpoint.reported_us, endpoint.placed_load = now, 0.0
         endpoint.predicted_load = endpoint.cost * balancers * (self.loads.in_sessions(endpoint.load) + pseudo)
         kind_cost = self.kind_cost.setdefault(endpoint.kind, cost)
         self.kind_cost[endpoint.kind] = kind_cost + KIND_REPORT_WEIGHT * (cost - kind_cost)
@@ -90,7 +90,7 @@
         for endpoint in endpoints:
             endpoint.relative_size = endpoint.size / mean_size
             usual = self.kind_cost.get(endpoint.kind, self.mean_kind_cost * mean_size / endpoint.size)
-            if endpoint.seen_us:
+            if endpoint.reported_us:
                 endpoint.cost += aged_share * (usual - endpoint.cost)
             else:
                 endpoint.cost = usual
--- a/stepflow/policy/migration.py
+++ b/stepflow/policy/migration.py
@@ -92,7 +92,7 @@
     def _has_settled_report(self, endpoint: EndpointState) -> bool:
         """Whether the last load report is recent, and shows the last migrations."""
         oldest_us = self._context.now_us - DELAY_REPORT_MEMORY_US
-        return endpoint.migrated_us + SETTLE_US < endpoint.seen_us > oldest_us
+        return endpoint.migrated_us + SETTLE_US < endpoint.reported_us > oldest_us
 
     def _migrate(self, endpoint: EndpointState, share: float) -> None:
         """Migrate about this share of the own load at an endpoint."""
--- a/stepflow/policy/policy.py
+++ b/stepflow/policy/policy.py
@@ -51,19 +51,19 @@
     def __init__(self, settings: Settings, seed: int) -> None:
         rng, self.model = random.Random(seed), LoadModel(settings)
         self._context = context = PolicyContext(settings, rng, self.model)
-        self.controller = WeightController(settings, self.model, rng)
+        self.weights = WeightController(settings, self.model, rng)
         self._request_table = RequestTable(self.model)
         self._retry_safety, outliers = RetrySafety(context), OutlierDetector(context)
         admission = Admission(context, SlowStart(context))
-        self._health_checks = HealthChecks(context, self.controller)
-        selector = Selector(context, self.controller, admission, self._health_checks, self._request_table)
+        self._health_checks = HealthChecks(context, self.weights)
+        selector = Selector(context, self.weights, admission, self._health_checks, self._request_table)
         self._attempts = Attempts(
             context, self._request_table, selector, admission, self._retry_safety, outliers
         )
         self.migration = Migration(context, self._health_checks)
-        self._endpoint_list = EndpointList(context, self.controller)
+        self._endpoint_list = EndpointList(context, self.weights)
         self._periodic = PeriodicTasks(
-            context, self.controller, outliers, admission, self._health_checks, self.migration
+            context, self.weights, outliers, admission, self._health_checks, self.migration
         )
         self._handlers: dict[type, Callable[..., None]] = {
             Started: self._handle_started,
@@ -94,7 +94,7 @@
 
     def update_settings(self, settings: Settings) -> None:
         """Take new settings; classes keep their numbers, and open requests their limit of attempts."""
-        self._context.settings = self.controller.settings = settings
+        self._context.settings = self.weights.settings = settings
         self.model.update_settings(settings)
         self.migration.update_settings(settings)
 
@@ -114,7 +114,7 @@
         return self._context.settings
 
     @property
-    def now(self) -> int:
+    def now_us(self) -> int:
         """The time of the last event."""
         return self._context.now_us
 
@@ -124,21 +124,21 @@
         return self._request_table.by_id
 
     @property
-    def wait_us(self) -> float:
+    def attempt_latency_us(self) -> float:
         """The usual time that an attempt takes; part of a snapshot."""
         return self._attempts.usual_latency_us
 
-    @wait_us.setter
-    def wait_us(self, value: float) -> None:
+    @attempt_latency_us.setter
+    def attempt_latency_us(self, value: float) -> None:
         self._attempts.usual_latency_us = value
 
     @property
-    def probe_wait_us(self) -> float:
+    def check_latency_us(self) -> float:
         """The usual time that a health check takes; part of a snapshot."""
         return self._health_checks.usual_latency_us
 
-    @probe_wait_us.setter
-    def probe_wait_us(self, value: float) -> None:
+    @check_latency_us.setter
+    def check_latency_us(self, value: float) -> None:
         self._health_checks.usual_latency_us = value
 
     def _handle_started(self, event: Started) -> None:
--- a/stepflow/policy/state.py
+++ b/stepflow/policy/state.py
@@ -41,7 +41,7 @@
         self.predicted_load = 0.0
         self.placed_load = 0.0  # predicted load of the attempts started since the prediction
         self.relative_size = 1.0  # size over the mean size
-        self.seen_us = 0  # when the last load report came, 0 for never
+        self.reported_us = 0  # when the last load report came, 0 for never
 
         # PID controller (weights).
         self.weight = 1.0
@@ -72,7 +72,7 @@
 
     def restart(self, slow_start_budget: float) -> None:
         """Forget what was learned of the process that it ran before."""
-        self.seen_us = 0
+        self.reported_us = 0
         self.health = 1.0
         self.slow_start_budget = slow_start_budget
 
--- a/tests/fleet/test_fleet.py
+++ b/tests/fleet/test_fleet.py
@@ -225,7 +225,7 @@
     made: Any = policy_factory(spec)(SMALL.settings(), 1)
     assert made.handle(0, Started())
     if "KP" in spec:
-        assert vars(sys.modules[type(made.controller).__module__])["KP"] == 0.1 != weights.KP
+        assert vars(sys.modules[type(made.weights).__module__])["KP"] == 0.1 != weights.KP
 
 
 @pytest.mark.parametrize(
--- a/tests/node/process/test_handover.py
+++ b/tests/node/process/test_handover.py
@@ -252,7 +252,7 @@
     old.handle(then + 100_000, HealthCheckEnded("s-1", AttemptResult.OK, 1000, (0.4, 0.0, 0.4)))
     told = stored(old, then + 600_000)
     restore(new, told, now + 600_000)
-    assert new.model.endpoints["s-1"].seen_us == now + 100_000
+    assert new.model.endpoints["s-1"].reported_us == now + 100_000
     new.handle(now + 700_000, HealthCheckEnded("s-1", AttemptResult.OK, 1000, (0.8, 0.0, 0.8)))
     cost = new.model.endpoints["s-1"].cost
     old.handle(then + 700_000, HealthCheckEnded("s-1", AttemptResult.OK, 1000, (0.8, 0.0, 0.8)))
--- a/tests/policy/test_load_model.py
+++ b/tests/policy/test_load_model.py
@@ -38,7 +38,7 @@
     model = LoadModel(plain_settings(load_report_fields=("x0",)))
     endpoint = model.endpoints[1] = EndpointState(entry(1), 0.0)
     model.learn(0, endpoint, report)
-    assert not endpoint.seen_us
+    assert not endpoint.reported_us
 
 
 def test_a_session_report_replaces_the_hint_until_the_session_ends() -> None:
--- a/tests/policy/test_weights.py
+++ b/tests/policy/test_weights.py
@@ -43,7 +43,7 @@
 def test_the_draw_follows_the_weights() -> None:
     driver = Driver(plain_settings(), [entry(1), entry(2)])
     driver.policy.model.endpoints[1].weight = 3.0
-    driver.policy.controller.tabulate(driver.now)
+    driver.policy.weights.tabulate(driver.now)
     counts: dict[EndpointId, int] = {1: 0, 2: 0}
     for id in range(400):
         counts[placed(driver, id)] += 1
@@ -72,10 +72,10 @@
     settings = plain_settings(prices=Prices(cross_zone=0.1))
     driver = Driver(settings, [entry(1), entry(2, zone=1), entry(3, zone=1)])
     driver.tick(10.0)
-    assert [s.id for s in driver.policy.controller.listed] == [1]
+    assert [s.id for s in driver.policy.weights.listed] == [1]
     driver.update_list(entry(1, availability=Availability.GONE))
     driver.tick(10.0)
-    assert [s.id for s in driver.policy.controller.listed] == [2, 3]
+    assert [s.id for s in driver.policy.weights.listed] == [2, 3]
 
 
 def test_few_requests_take_few_controller_steps() -> None:
@@ -84,5 +84,5 @@
     steps = set()
     for _ in range(40):
         driver.tick()
-        steps.add(driver.policy.controller.stepped_us)
+        steps.add(driver.policy.weights.stepped_us)
     assert 4 <= len(steps) <= 6
