--- a/stepflow/policy/__init__.py
+++ b/stepflow/policy/__init__.py
@@ -1,13 +1,13 @@
-"""All decisions of stepflow. Its settings, events and actions are in `stepflow.interface`.
+"""The decisions of stepflow. Settings, events and actions are defined in `stepflow.interface`.
 
-The ordinary path is EdgeBalance (docs/design.md): the predicted load of an endpoint is its reported session
-load times a slowly learned cost, a PID controller moves the endpoints' weights toward the mean load, and a
-new session is placed once, by a weighted draw. No clock, no I/O.
+The algorithm is EdgeBalance (docs/design.md): the predicted load of an endpoint is its reported session load
+times a slowly learned cost, a PID controller adjusts the endpoints' weights so that their loads approach the
+mean, and a new session is placed once, by a weighted draw. The package reads no clock and does no I/O.
 
-Each module handles one matter: `state` and `context` hold what they share; `load_model`, `weights` and
-`slow_start` say what endpoints bear; `requests`, `admission`, `selection`, `retry_safety`, `outliers` and
-`attempts` place requests; `health_checks`, `migration`, `endpoint_list` and `periodic` do the rest; `policy`
-routes events.
+Modules: `state` and `context` hold the shared state; `load_model`, `weights` and `slow_start` determine how
+much load each endpoint gets; `requests`, `admission`, `selection`, `retry_safety`, `outliers` and `attempts`
+place requests; `health_checks`, `migration`, `endpoint_list` and `periodic` do the background work; `policy`
+dispatches events.
 """
 
 from stepflow.policy.load_model import LoadModel
--- a/stepflow/policy/context.py
+++ b/stepflow/policy/context.py
@@ -1,7 +1,4 @@
-"""What all modules of the policy share: settings, the time, randomness, estimates, and the actions to return.
-
-Also the tokens of the policy's timers.
-"""
+"""The state that all modules of the policy share, and the tokens of the policy's timers."""
 
 from __future__ import annotations
 
@@ -16,14 +13,15 @@
 
 TICK_TOKEN = 0
 POLL_TOKEN = 1
-FIRST_REQUEST_TOKEN = 16  # the timers of request N have the token N more than this
+FIRST_REQUEST_TOKEN = 16  # the timer of request N has the token FIRST_REQUEST_TOKEN + N
 
 
 @dataclass
 class PolicyContext:
-    """The shared part of one policy's state.
+    """Settings, time, random numbers, estimates and pending actions of one policy.
 
-    `now_us` is the time of the event that is being handled, `actions` what it has led to so far, in order.
+    `now_us` is the time of the event that is being handled; `actions` holds the actions that it has caused so
+    far, in order.
     """
 
     settings: Settings
@@ -35,9 +33,9 @@
     actions: list[Action] = field(default_factory=list)
 
     def emit(self, action: Action) -> None:
-        """Add an action to those that the host is to carry out."""
+        """Append an action for the host to carry out."""
         self.actions.append(action)
 
     def set_request_timer(self, request: RequestState, delay_us: int) -> None:
-        """Come back to a request after a while."""
+        """Set the timer of a request to expire after `delay_us`, or after 1 us if that is not positive."""
         self.emit(SetTimer(max(1, delay_us), FIRST_REQUEST_TOKEN + request.request.id))
--- a/stepflow/policy/endpoint_list.py
+++ b/stepflow/policy/endpoint_list.py
@@ -1,4 +1,4 @@
-"""The endpoint list: updates from discovery, and the polls for it where it is not pushed."""
+"""The endpoint list: applies updates from discovery, and polls for them if they are not pushed."""
 
 from __future__ import annotations
 
@@ -19,24 +19,24 @@
 
 
 class EndpointList:
-    """Keeps the load model's endpoints as the list has them."""
+    """Keeps the endpoints of the load model in step with the endpoint list."""
 
     def __init__(self, context: PolicyContext, weights: WeightController) -> None:
         self._context, self._weights = context, weights
         self._polls = PollSchedule(context.rng)
 
     def start(self) -> None:
-        """Set the timer of the first poll, where the list has to be polled."""
+        """Set the timer of the first poll, if the list has to be polled."""
         if self._context.settings.polls_endpoint_list:
             self._context.emit(SetTimer(self._polls.first_delay(), POLL_TOKEN))
 
     def poll(self) -> None:
-        """Ask for the list."""
+        """Start a poll of the list."""
         self._polls.poll_started(self._context.now_us)
         self._context.emit(WatchEndpointList(True))
 
     def update(self, event: EndpointListUpdate) -> None:
-        """Take an update of the list, or set the timer of the next poll if one has failed."""
+        """Apply an update of the list, or set the timer of the next poll if a poll has failed."""
         context, endpoints = self._context, self._context.model.endpoints
         if event.kind == ListUpdateKind.FAILED:
             delay_us = self._polls.retry_delay(context.now_us, context.settings.rules.list_refresh_us)
@@ -47,21 +47,21 @@
         if event.kind != ListUpdateKind.DELTA:
             self._mark_missing(event.endpoints)
         any_restarted = self._update_entries(event.endpoints)
-        self._forget_gone()
+        self._remove_gone()
         if len(endpoints) != count_before or any_restarted:
-            # Before a first step all costs are 0, and all requests would go to the first endpoint drawn.
+            # Costs are 0 before the first prediction, so all requests would go to the first endpoint drawn.
             context.model.predict(list(endpoints.values()), 0.0)
             self._weights.tabulate(context.now_us)
 
     def _mark_missing(self, entries: Iterable[Endpoint]) -> None:
-        """Endpoints that a whole list does not name are gone."""
+        """Mark the endpoints that are missing from a full list as gone."""
         named = {entry.id for entry in entries}
         for endpoint in self._context.model.endpoints.values():
             if endpoint.id not in named:
                 endpoint.availability = Availability.GONE
 
     def _update_entries(self, entries: Iterable[Endpoint]) -> bool:
-        """Add or update the endpoints of these entries; returns whether any has restarted."""
+        """Add or update the endpoints of these entries. Returns whether any endpoint has restarted."""
         endpoints, rng = self._context.model.endpoints, self._context.rng
         any_restarted = False
         for entry in entries:
@@ -77,8 +77,8 @@
                 any_restarted = True
         return any_restarted
 
-    def _forget_gone(self) -> None:
-        """Forget the endpoints that are gone, once they have no requests."""
+    def _remove_gone(self) -> None:
+        """Remove the endpoints that are gone and have no requests."""
         endpoints = self._context.model.endpoints
         for endpoint in list(endpoints.values()):
             if endpoint.availability == Availability.GONE and not endpoint.requests:
--- a/stepflow/policy/numeric.py
+++ b/stepflow/policy/numeric.py
@@ -4,5 +4,5 @@
 
 
 def clamp(value: float, low: float, high: float) -> float:
-    """The value, or the bound that it exceeds."""
+    """Return the value limited to the range from `low` to `high`."""
     return low if value < low else high if value > high else value
--- a/stepflow/policy/outliers.py
+++ b/stepflow/policy/outliers.py
@@ -1,7 +1,7 @@
-"""Outliers: endpoints that fail while attempts at the others are established.
+"""Outliers: endpoints whose attempts fail while attempts at other endpoints are established.
 
-Failures of one endpoint lower its own health. Failures of many say that what all endpoints share has failed;
-those count for the throttle instead. Owns the endpoints' `failed_count`.
+Failures at one endpoint lower its own health. Failures at many endpoints indicate a fault in a dependency
+that all of them share; these count for the throttle instead. Owns the endpoints' `failed_count`.
 """
 
 from __future__ import annotations
@@ -12,40 +12,41 @@
 from stepflow.policy.state import EndpointState
 
 FAILURES = (AttemptResult.ERROR, AttemptResult.TIMEOUT, AttemptResult.CONNECT_FAILED, AttemptResult.RESET)
-AMBIGUOUS_FAILURES = (AttemptResult.ERROR, AttemptResult.TIMEOUT)  # either the endpoint's or shared
+AMBIGUOUS_FAILURES = (AttemptResult.ERROR, AttemptResult.TIMEOUT)  # the fault may be the endpoint's or shared
 
 
 class OutlierDetector:
-    """Tells an endpoint's own failures from those of what all endpoints share."""
+    """Distinguishes failures of one endpoint from failures of a dependency that all endpoints share."""
 
     def __init__(self, context: PolicyContext) -> None:
         self._context = context
 
     def decay(self, seconds: float) -> None:
-        """Let time pass for the counts of all endpoints."""
+        """Decay the counts of all endpoints by `seconds`."""
         factor = decay_factor(seconds)
         for endpoint in self._context.model.endpoints.values():
             endpoint.established_count *= factor
             endpoint.failed_count *= factor
 
     def record_result(self, endpoint: EndpointState, result: int) -> bool:
-        """Take an attempt's result; returns whether it is an ambiguous failure of an outlier.
+        """Record the result of an attempt. Returns whether it is an ambiguous failure of an outlier.
 
-        An outlier that answers errors at once would draw what it fails, and close the throttle for all.
+        Without this distinction, an outlier that answers with errors at once would attract further requests
+        and close the throttle for all endpoints.
         """
         is_ambiguous = result in AMBIGUOUS_FAILURES
         if is_ambiguous:
             endpoint.failed_count += 1
             self._context.throttle.failed += 1
         is_outlier = is_ambiguous and self._is_outlier(endpoint)
-        # While the throttle is closed the fault is in what all endpoints share, unless others serve on.
+        # While the throttle is closed, the fault is taken to be shared, unless other endpoints still serve.
         is_shared = is_ambiguous and not is_outlier and self._context.throttle.is_closed()
         if result in FAILURES and not is_shared:
             endpoint.record_failure()
         return is_outlier
 
     def _is_outlier(self, endpoint: EndpointState) -> bool:
-        """Whether more attempts are established than fail at the other endpoints."""
+        """Return whether more attempts are established than fail at the other endpoints."""
         throttle = self._context.throttle
         established = throttle.established - endpoint.established_count
         failed = throttle.failed - endpoint.failed_count
--- a/stepflow/policy/periodic.py
+++ b/stepflow/policy/periodic.py
@@ -1,4 +1,4 @@
-"""What is done at regular intervals, in its order: decay, budgets, weights, health checks, migrations."""
+"""The periodic work, in this order: decay, budgets, weights, health checks, migrations."""
 
 from __future__ import annotations
 
@@ -12,15 +12,15 @@
 from stepflow.policy.outliers import OutlierDetector
 from stepflow.policy.weights import WeightController
 
-TICK_US = 500_000  # reports are no fresher than that
-# A step of the controller costs work for every endpoint: few requests to a large group take few steps.
-STEP_US_PER_ENDPOINT = 8_000  # between two steps, at one request a second; at two, half
+TICK_US = 500_000  # load reports are no fresher than this
+# A controller step does work for every endpoint, so few requests to many endpoints cause few steps.
+STEP_US_PER_ENDPOINT = 8_000  # between two steps, at one request a second; half of it at two
 MAX_STEP_US = 4_000_000
-REQUEST_RATE_SPAN = (0.1, 2.0)  # a second, that counts for this
+REQUEST_RATE_RANGE = (0.1, 2.0)  # limits of the requests a second in this calculation
 
 
 class PeriodicTasks:
-    """Runs the periodic work of all parts at each tick."""
+    """Runs the periodic work of all modules at each tick."""
 
     def __init__(
         self,
@@ -36,12 +36,12 @@
         self._ticked_us = 0
 
     def start(self) -> None:
-        """Set the first tick; instances that step in time oscillate together, so each has its own phase."""
+        """Set the first tick, at a random phase: instances that step at the same time oscillate together."""
         self._ticked_us = self._weights.stepped_us = self._context.now_us
         self._context.emit(SetTimer(self._context.rng.randrange(1, TICK_US), TICK_TOKEN))
 
     def run(self) -> None:
-        """Do what is due at a tick, and set the next one."""
+        """Do the work of a tick, and set the next tick."""
         context = self._context
         seconds = (context.now_us - self._ticked_us) / SECOND_US
         self._ticked_us = context.now_us
@@ -56,13 +56,13 @@
         self._migration.run(seconds)
 
     def _step_weights(self) -> None:
-        """Make a step of the controller, if one is due."""
+        """Run a step of the weight controller, if one is due."""
         context = self._context
         elapsed_us = context.now_us - self._weights.stepped_us
-        rate = clamp(context.arrivals.request_rate(), *REQUEST_RATE_SPAN)
+        rate = clamp(context.arrivals.request_rate(), *REQUEST_RATE_RANGE)
         if elapsed_us < min(STEP_US_PER_ENDPOINT * len(context.model.endpoints) / rate, MAX_STEP_US):
             return
         self._weights.step(context.now_us, elapsed_us / SECOND_US)
         if context.arrivals.is_mostly_adopted():
-            # With few new requests, checks in rotation come too late to an overload: check these at once.
+            # With few new requests, checks in rotation find an overload too late: watch these endpoints now.
             self._migration.watch_overloaded(self._weights.listed)
--- a/stepflow/policy/policy.py
+++ b/stepflow/policy/policy.py
@@ -1,4 +1,4 @@
-"""The policy of one instance: routes each event, by its type, to the part that handles it."""
+"""The policy of one instance: dispatches each event by its type to the object that handles it."""
 
 from __future__ import annotations
 
@@ -42,10 +42,10 @@
 
 
 class Policy:
-    """The decisions of one instance: events in, actions out. No clock, no I/O.
+    """The decisions of one instance: events in, actions out. It reads no clock and does no I/O.
 
     `seed` determines all random draws: the same events at the same times lead to the same actions. `model`,
-    `controller` and `migration` are there for snapshots, metrics and tests, which read what was learned.
+    `weights` and `migration` are public for snapshots, metrics and tests, which read the learned state.
     """
 
     def __init__(self, settings: Settings, seed: int) -> None:
@@ -80,9 +80,10 @@
         }
 
     def handle(self, now: int, event: Event) -> list[Action]:
-        """Take one event at its time and return what is to be done, in order.
+        """Handle one event at the time `now` and return the resulting actions, in order.
 
-        Raises TypeError for what is no event, and ValueError for a request of a class the settings lack.
+        Raises TypeError if `event` is not an event, and ValueError for a request of a class that the settings
+        do not define.
         """
         handler = self._handlers.get(type(event))
         if handler is None:
@@ -93,18 +94,18 @@
         return self._context.actions
 
     def update_settings(self, settings: Settings) -> None:
-        """Take new settings; classes keep their numbers, and open requests their limit of attempts."""
+        """Apply new settings. Classes keep their numbers, and open requests keep their limit of attempts."""
         self._context.settings = self.weights.settings = settings
         self.model.update_settings(settings)
         self.migration.update_settings(settings)
 
     def may_send_attempt(self, now: int, id: int) -> bool:
-        """Whether an attempt may still be sent: connecting has taken time since it was decided."""
+        """Return whether an attempt may still be sent, now that connecting has taken some time."""
         request = self.requests.get(id)
         return request is not None and self._retry_safety.may_send_attempt(request, now)
 
     def is_safe_to_reject(self, id: int) -> bool:
-        """Whether a request may be rejected: its client's retry can't cause the effect twice."""
+        """Return whether a request may be rejected, that is, whether a retry can't cause its effect twice."""
         request = self.requests.get(id)
         return request is None or self._retry_safety.is_safe_to_reject(request)
 
@@ -125,21 +126,21 @@
 
     @property
     def attempt_latency_us(self) -> float:
-        """The usual time that an attempt takes; part of a snapshot."""
-        return self._attempts.usual_latency_us
+        """The smoothed latency of attempts; part of a snapshot."""
+        return self._attempts.smoothed_latency_us
 
     @attempt_latency_us.setter
     def attempt_latency_us(self, value: float) -> None:
-        self._attempts.usual_latency_us = value
+        self._attempts.smoothed_latency_us = value
 
     @property
     def check_latency_us(self) -> float:
-        """The usual time that a health check takes; part of a snapshot."""
-        return self._health_checks.usual_latency_us
+        """The smoothed latency of health checks; part of a snapshot."""
+        return self._health_checks.smoothed_latency_us
 
     @check_latency_us.setter
     def check_latency_us(self, value: float) -> None:
-        self._health_checks.usual_latency_us = value
+        self._health_checks.smoothed_latency_us = value
 
     def _handle_started(self, event: Started) -> None:
         self._periodic.start()
@@ -172,4 +173,4 @@
         self._attempts.resume(waiting)
 
     def _ignore_peer_message(self, event: PeerMessageReceived) -> None:
-        """Instances tell each other nothing so far."""
+        """Ignore the message: instances send each other none so far."""
--- a/stepflow/policy/requests.py
+++ b/stepflow/policy/requests.py
@@ -1,4 +1,4 @@
-"""The table of open requests, and which endpoint bears the load of each.
+"""The table of open requests, and the endpoint to which each request's load is counted.
 
 Owns the `requests`, `affinity_groups` and `load` of endpoints, and the sum of own loads in the load model.
 """
@@ -13,27 +13,27 @@
 
 
 class RequestTable:
-    """Requests from their arrival to the end of their last attempt."""
+    """The requests from their arrival to the end of their last attempt."""
 
     def __init__(self, model: LoadModel) -> None:
         self._model = model
         self.by_id: dict[int, RequestState] = {}
-        self._group_endpoints: dict[int, dict[EndpointId, EndpointState]] = {}  # that hold own sessions of it
+        self._group_endpoints: dict[int, dict[EndpointId, EndpointState]] = {}  # by group
 
     def add(self, request: Request, max_attempts: int = 1) -> RequestState:
-        """Take in a request that has arrived, or that was open at the start."""
+        """Add a request that has arrived, or that was open at the start, and return its state."""
         load = self._model.resolve_load(request.load, request.class_index)
         state = self.by_id[request.id] = RequestState(request, load, max_attempts)
         return state
 
     def remove(self, request: RequestState) -> None:
-        """Forget a request that has its final answer and no active attempt."""
+        """Remove a request that has its final answer and no active attempt."""
         request.candidates = []
         self.release(request)
         self.by_id.pop(request.request.id, None)
 
     def assign(self, request: RequestState, endpoint: EndpointState) -> None:
-        """Count the request's load at an endpoint."""
+        """Add the request's load to an endpoint."""
         request.endpoint = endpoint
         endpoint.requests[request.request.id] = request
         if group := request.request.affinity_group:
@@ -43,20 +43,20 @@
         self._model.own_load += request.load
 
     def release(self, request: RequestState) -> None:
-        """Take the request's load off its endpoint, if it has one."""
+        """Subtract the request's load from its endpoint, if it has one."""
         endpoint = request.endpoint
         if endpoint is None:
             return
         del endpoint.requests[request.request.id]
         if group := request.request.affinity_group:
             self._release_group(group, endpoint)
-        # An endpoint without requests has no load: no rounding is left.
+        # An endpoint without requests has a load of exactly 0, without rounding errors.
         endpoint.load = max(0.0, endpoint.load - request.load) if endpoint.requests else 0.0
         self._model.own_load = max(0.0, self._model.own_load - request.load)
         request.endpoint = None
 
     def update_load(self, request: RequestState, load: float) -> None:
-        """Take the load that a session reports."""
+        """Replace the request's load by the one that its session reports."""
         endpoint = request.endpoint
         self.release(request)
         request.load = self._model.resolve_load(load, request.request.class_index)
@@ -64,7 +64,7 @@
             self.assign(request, endpoint)
 
     def endpoints_of_group(self, group: int) -> Collection[EndpointState]:
-        """The endpoints with own sessions of an affinity group."""
+        """Return the endpoints with own sessions of an affinity group."""
         return self._group_endpoints.get(group, {}).values()
 
     def _release_group(self, group: int, endpoint: EndpointState) -> None:
--- a/stepflow/policy/retry_safety.py
+++ b/stepflow/policy/retry_safety.py
@@ -1,8 +1,9 @@
-"""Whether a request may be sent or rejected again without taking effect twice.
+"""Decides whether a request may be retried or rejected without the risk that it takes effect twice.
 
-A request that is not idempotent is held to have run at the first endpoint that an attempt of it was sent to,
-until that attempt is known not to have run. From then on it may only be retried if endpoints drop repeats of
-its key, within the class's scope and window. Owns the requests' `possible_effect_*` fields.
+A request that is not idempotent is assumed to have run at the first endpoint to which an attempt was sent,
+until that attempt is known not to have run. Meanwhile it may only be retried if endpoints drop repeats of its
+idempotency key, within the deduplication scope and window of its class. Owns the fields `possible_effect_*`
+of requests.
 """
 
 from __future__ import annotations
@@ -14,8 +15,8 @@
 NEVER_RAN = (AttemptResult.FULL, AttemptResult.CONNECT_FAILED, AttemptResult.NOT_SENT)
 
 
-def shares_keys(scope: DeduplicationScope, first: EndpointState, other: EndpointState) -> bool:
-    """Whether an endpoint drops repeats of what may have run at the first one."""
+def in_deduplication_scope(scope: DeduplicationScope, first: EndpointState, other: EndpointState) -> bool:
+    """Return whether `other` drops repeats of a request that may have run at `first`."""
     if scope == DeduplicationScope.ZONE:
         return other.zone == first.zone
     if scope == DeduplicationScope.CELL:
@@ -24,13 +25,13 @@
 
 
 class RetrySafety:
-    """Guards against effects that occur twice."""
+    """Prevents requests from taking effect twice."""
 
     def __init__(self, context: PolicyContext) -> None:
         self._context = context
 
     def may_start_attempt(self, request: RequestState) -> bool:
-        """Whether another attempt is permitted and can't cause an effect twice."""
+        """Return whether another attempt is permitted and can't take effect a second time."""
         if request.is_attempt_active or request.attempts >= request.max_attempts:
             return False
         if request.possible_effect_endpoint is None:
@@ -38,7 +39,7 @@
         return self._is_within_window(request, self._context.now_us)
 
     def may_send_attempt(self, request: RequestState, now_us: int) -> bool:
-        """Whether an attempt that was started may still be sent now that its connection is up."""
+        """Return whether a started attempt may still be sent, now that its connection is established."""
         endpoint = request.endpoint
         if request.is_answered or endpoint is None or endpoint.availability != Availability.READY:
             return False
@@ -48,14 +49,14 @@
         return is_first or self._is_within_window(request, now_us)
 
     def is_safe_to_reject(self, request: RequestState) -> bool:
-        """Whether the client may retry a rejected request, at any endpoint, without a second effect."""
+        """Return whether the client may retry the request, at any endpoint, without a second effect."""
         if request.possible_effect_endpoint is None:
             return True
         cls = self._context.settings.class_of(request.request)
         return cls.idempotency == Idempotency.BY_KEY and cls.deduplication_scope == DeduplicationScope.ALL
 
     def record_attempt(self, request: RequestState, endpoint: EndpointState) -> None:
-        """Note that the attempt which was just counted may take effect at an endpoint."""
+        """Record that the attempt just counted may take effect at an endpoint."""
         idempotency = self._context.settings.class_of(request.request).idempotency
         if request.possible_effect_endpoint is None and idempotency != Idempotency.IDEMPOTENT:
             request.possible_effect_endpoint = endpoint
@@ -63,13 +64,16 @@
             request.possible_effect_attempt = request.attempts
 
     def record_result(self, request: RequestState, result: int) -> None:
-        """Note an attempt's end; one that never ran has no effect, unless an earlier one may have."""
+        """Record the end of an attempt.
+
+        An attempt that never ran has no effect; the possible effect of an earlier attempt remains.
+        """
         if result in NEVER_RAN and request.possible_effect_attempt == request.attempts:
             request.possible_effect_endpoint = None
             request.possible_effect_attempt = 0
 
     def _is_within_window(self, request: RequestState, now_us: int) -> bool:
-        """Whether endpoints still drop a repeat."""
+        """Return whether endpoints still drop a repeat of the request."""
         cls = self._context.settings.class_of(request.request)
         age_us = now_us - request.possible_effect_us
         return cls.idempotency == Idempotency.BY_KEY and age_us < cls.deduplication_window_us
--- a/stepflow/policy/weights.py
+++ b/stepflow/policy/weights.py
@@ -1,8 +1,8 @@
-"""The PID controller of the endpoints' weights, and the table that new sessions are drawn by.
+"""The PID controller of the endpoints' weights, and the table from which endpoints are drawn.
 
-The controller runs on the relative error of each endpoint's predicted load against the mean of its zone
-(where crossings have a price, else of all). Source: "EdgeBalance", as docs/design.md describes it. Owns the
-`weight`, `error_sum` and `last_error` of endpoints; the mean weight is 1.
+The controller acts on the relative error of each endpoint's predicted load against the mean of its zone, or
+against the mean of all endpoints if crossing zones has no price. Source: "EdgeBalance", as docs/design.md
+describes it. Owns the `weight`, `error_sum` and `last_error` of endpoints; the mean weight is 1.
 """
 
 from __future__ import annotations
@@ -18,34 +18,34 @@
 from stepflow.policy.state import EndpointState
 
 KP, KI, KD = 0.6, 0.5, 0.125
-ERROR_SPAN = (-1.0, 2.0)  # relative error that one step takes into account
-MAX_ERROR_SUM = 0.5  # late reports would wind the integral up
-WEIGHT_SPAN = (0.05, 4.0)
-WEIGHT_MEMORY_S = 10.0  # a weight returns to the one that its cost asks for in this time
-HEALTH_RECOVERY_S = 8.0  # full recovery in this time
-DEGRADED_LOAD, SATURATED_LOAD = 0.6, 1.0  # load at which service begins to suffer, and at which it is gone
-CROSS_ZONE_RAMP = 0.2  # gain from the first to all crossings
-MAX_DRAWS = 8  # draws before looking through all endpoints
+ERROR_RANGE = (-1.0, 2.0)  # range to which a step limits the relative error
+MAX_ERROR_SUM = 0.5  # prevents integral windup from late reports
+WEIGHT_RANGE = (0.05, 4.0)
+WEIGHT_DECAY_S = 10.0  # time constant of a weight's return to the one that its cost implies
+HEALTH_RECOVERY_S = 8.0  # time in which the health recovers in full
+DEGRADED_LOAD, SATURATED_LOAD = 0.6, 1.0  # loads at which service begins to degrade, and is lost
+CROSS_ZONE_RAMP = 0.2  # gain above the price over which the share of another zone rises from 0 to 1
+MAX_DRAWS = 8  # draws before all endpoints are searched
 
 
 def service_loss(load: float) -> float:
-    """Share of its service that an endpoint of this load is held to lose."""
+    """Return the share of its service that an endpoint with this load is assumed to lose."""
     return clamp((load - DEGRADED_LOAD) / (SATURATED_LOAD - DEGRADED_LOAD), 0.0, 1.0)
 
 
 class WeightController:
-    """Moves the weights toward equal predicted load and keeps the table for the draw."""
+    """Adjusts the weights toward equal predicted loads, and keeps the table for the draw."""
 
     def __init__(self, settings: Settings, model: LoadModel, rng: random.Random) -> None:
         self.settings, self.model, self.rng = settings, model, rng
-        self.listed: list[EndpointState] = []  # endpoints that can be drawn
-        self.cumulative_weights: list[float] = []  # of the listed ones
-        self.zone_load: dict[int, float] = {}  # mean predicted load
+        self.listed: list[EndpointState] = []  # endpoints in the table
+        self.cumulative_weights: list[float] = []  # those of the listed endpoints
+        self.zone_load: dict[int, float] = {}  # mean predicted load by zone
         self.mean_load = UNREPORTED_LOAD
         self.stepped_us = 0
 
     def step(self, now: int, seconds: float) -> None:
-        """One step of the PID controller over the endpoints that are ready."""
+        """Run one step of the PID controller over the endpoints that are ready."""
         self.stepped_us = now
         ready = [e for e in self.model.endpoints.values() if e.availability == Availability.READY]
         self.model.predict(ready, seconds)
@@ -53,7 +53,7 @@
         for endpoint in ready:
             zone = endpoint.zone if self.settings.prices.cross_zone > 0 else 0
             zones.setdefault(zone, []).append(endpoint)
-        self.zone_load = {}  # a zone whose endpoints are all gone has no load to compare with
+        self.zone_load = {}  # a zone without endpoints must not keep its last load
         for zone, members in zones.items():
             mean_load = sum(e.predicted_load for e in members) / len(members)
             self.zone_load[zone] = mean_load
@@ -67,11 +67,11 @@
     def adjust(
         self, members: list[EndpointState], mean_load: float, mean_cost: float, seconds: float
     ) -> None:
-        """Move each member's weight by its error against the mean."""
-        floor, cap = WEIGHT_SPAN
-        leak = min(1.0, seconds / WEIGHT_MEMORY_S)
+        """Adjust the weight of each member by its error against the mean load."""
+        floor, cap = WEIGHT_RANGE
+        leak = min(1.0, seconds / WEIGHT_DECAY_S)
         for endpoint in members:
-            error = KP * clamp((endpoint.predicted_load - mean_load) / mean_load, *ERROR_SPAN)
+            error = KP * clamp((endpoint.predicted_load - mean_load) / mean_load, *ERROR_RANGE)
             error_sum = endpoint.error_sum * (1 - leak) + KI * error * seconds
             endpoint.error_sum = clamp(error_sum, -MAX_ERROR_SUM, MAX_ERROR_SUM)
             change = error + endpoint.error_sum + KD * (endpoint.last_error - error) * seconds
@@ -82,7 +82,7 @@
             endpoint.health = min(1.0, endpoint.health + seconds / HEALTH_RECOVERY_S)
 
     def tabulate(self, now: int) -> None:
-        """Lay out the weights of the endpoints that are ready for the draw."""
+        """Rebuild the table for the draw from the weights of the endpoints that are ready."""
         shares = {zone: self._zone_share(zone) for zone in self.zone_load}
         self.listed, self.cumulative_weights, total = [], [], 0.0
         for endpoint in self.model.endpoints.values():
@@ -96,7 +96,7 @@
                 self.listed.append(endpoint)
 
     def draw(self, is_eligible: Callable[[EndpointState], bool]) -> EndpointState | None:
-        """Draw an eligible endpoint by weight; None where there is none."""
+        """Draw an eligible endpoint by weight. Returns None if there is none."""
         for _ in range(MAX_DRAWS if self.cumulative_weights else 0):
             point = self.rng.random() * self.cumulative_weights[-1]
             index = bisect(self.cumulative_weights, point)
@@ -107,7 +107,7 @@
         return self.rng.choices(rest, [e.weight * e.health for e in rest])[0] if rest else None
 
     def _zone_share(self, zone: int) -> float:
-        """Share of its weight that an endpoint of a zone gets: crossings have their price."""
+        """Return the share of their weight that a zone's endpoints get, given the price of crossing zones."""
         price, own_zone = self.settings.prices.cross_zone, self.settings.zone
         if price <= 0 or zone == own_zone or own_zone not in self.zone_load:
             return 1.0
--- a/tests/policy/driver.py
+++ b/tests/policy/driver.py
@@ -101,7 +101,7 @@
     return [action for action in actions if isinstance(action, kind)]
 
 
-def placed(driver: Driver, id: int) -> EndpointId:
+def placed_endpoint(driver: Driver, id: int) -> EndpointId:
     """The endpoint of a request whose session is established and ends at once."""
     [send] = of_type(StartAttempt, driver.request(id))
     driver.establish(send)
@@ -109,7 +109,7 @@
     return send.endpoint
 
 
-def final(actions: list[Action]) -> list[Action]:
+def final_answers(actions: list[Action]) -> list[Action]:
     """The final answers among some actions."""
     return [a for a in actions if isinstance(a, RejectRequest | FailRequest)]
 
--- a/tests/policy/test_answers.py
+++ b/tests/policy/test_answers.py
@@ -15,7 +15,7 @@
     TimerFired,
 )
 from stepflow.policy.context import FIRST_REQUEST_TOKEN
-from tests.policy.driver import SECOND, Driver, entry, final, of_type, plain_settings
+from tests.policy.driver import SECOND, Driver, entry, final_answers, of_type, plain_settings
 
 
 def test_a_request_is_rejected_in_time_without_any_endpoint() -> None:
@@ -24,7 +24,7 @@
     timers = [t for t in of_type(SetTimer, actions) if t.token >= FIRST_REQUEST_TOKEN]
     assert SECOND < max(t.delay_us for t in timers) < 2 * SECOND
     driver.now += max(t.delay_us for t in timers)
-    assert final(driver.feed(TimerFired(timers[0].token))) == [RejectRequest(1)]
+    assert final_answers(driver.feed(TimerFired(timers[0].token))) == [RejectRequest(1)]
     assert not driver.policy.requests
 
 
@@ -32,10 +32,10 @@
     driver = Driver(plain_settings(), [entry(1)])
     [send] = of_type(StartAttempt, driver.request(1))
     driver.now += 2 * SECOND - 10_000
-    assert final(driver.feed(TimerFired(FIRST_REQUEST_TOKEN + 1))) == [RejectRequest(1)]
-    assert not final(driver.feed(TimerFired(FIRST_REQUEST_TOKEN + 1)))
+    assert final_answers(driver.feed(TimerFired(FIRST_REQUEST_TOKEN + 1))) == [RejectRequest(1)]
+    assert not final_answers(driver.feed(TimerFired(FIRST_REQUEST_TOKEN + 1)))
     actions = driver.end(send, AttemptResult.TIMEOUT)
-    assert not final(actions) and not of_type(StartAttempt, actions)
+    assert not final_answers(actions) and not of_type(StartAttempt, actions)
     assert not driver.policy.requests
 
 
@@ -43,7 +43,7 @@
     driver = Driver(plain_settings(), [entry(1)])
     [send] = of_type(StartAttempt, driver.request(1))
     driver.now += 2 * SECOND
-    assert len(final(driver.end(send, AttemptResult.TIMEOUT))) == 1
+    assert len(final_answers(driver.end(send, AttemptResult.TIMEOUT))) == 1
 
 
 def test_an_established_session_has_no_deadline() -> None:
@@ -51,7 +51,7 @@
     [send] = of_type(StartAttempt, driver.request(1))
     driver.establish(send)
     driver.now += 10 * SECOND
-    assert not final(driver.feed(TimerFired(FIRST_REQUEST_TOKEN + 1)))
+    assert not final_answers(driver.feed(TimerFired(FIRST_REQUEST_TOKEN + 1)))
 
 
 def test_events_of_finished_or_unknown_requests_are_ignored() -> None:
--- a/tests/policy/test_attempts.py
+++ b/tests/policy/test_attempts.py
@@ -5,7 +5,7 @@
 from stepflow.budgets import attempt_throttle
 from stepflow.interface import AttemptResult, Limits, RejectRequest, SessionEstablished, StartAttempt
 from stepflow.policy import state
-from tests.policy.driver import Driver, entry, final, of_type, plain_settings
+from tests.policy.driver import Driver, entry, final_answers, of_type, plain_settings
 
 
 def test_failures_everywhere_close_the_throttle_and_time_opens_it() -> None:
@@ -15,7 +15,7 @@
         for send in of_type(StartAttempt, driver.request(id)):
             driver.end(send, AttemptResult.ERROR)
     assert len(of_type(StartAttempt, driver.actions)) <= attempt_throttle.FREE_ATTEMPTS + 1
-    assert not final(driver.actions)
+    assert not final_answers(driver.actions)
     driver.tick(30.0)
     assert of_type(StartAttempt, driver.request(100))
 
@@ -33,7 +33,7 @@
     endpoint = driver.policy.model.endpoints[1]
     for _ in range(5):
         endpoint.record_failure()
-    assert endpoint.health == state.HEALTH_FLOOR
+    assert endpoint.health == state.MIN_HEALTH
     for _ in range(40):
         driver.tick()
     assert endpoint.health == 1.0
@@ -81,4 +81,4 @@
             driver.establish(sends[0], driver.policy.requests[id].attempts - 1)
             established += 1
     assert established > 190  # all but the first, before others were known to succeed
-    assert driver.policy.model.endpoints[0].health == state.HEALTH_FLOOR
+    assert driver.policy.model.endpoints[0].health == state.MIN_HEALTH
--- a/tests/policy/test_endpoint_list.py
+++ b/tests/policy/test_endpoint_list.py
@@ -14,7 +14,7 @@
 )
 from stepflow.policy import attempts
 from stepflow.policy.context import FIRST_REQUEST_TOKEN, POLL_TOKEN
-from tests.policy.driver import SECOND, Driver, entry, of_type, placed, plain_settings
+from tests.policy.driver import SECOND, Driver, entry, of_type, placed_endpoint, plain_settings
 
 
 @pytest.mark.parametrize("state", [Availability.DRAINING, Availability.GONE])
@@ -22,14 +22,14 @@
     driver = Driver(plain_settings(), [entry(1), entry(2)])
     driver.update_list(entry(1, availability=state))
     for id in range(50):
-        assert placed(driver, id) == 2
+        assert placed_endpoint(driver, id) == 2
 
 
 def test_an_endpoint_missing_from_a_full_list_is_gone() -> None:
     driver = Driver(plain_settings(), [entry(1), entry(2)])
     driver.update_list(entry(2), kind=ListUpdateKind.FULL)
     for id in range(50):
-        assert placed(driver, id) == 2
+        assert placed_endpoint(driver, id) == 2
 
 
 def test_a_held_request_is_sent_to_an_endpoint_that_is_added() -> None:
--- a/tests/policy/test_fault_scenarios.py
+++ b/tests/policy/test_fault_scenarios.py
@@ -35,21 +35,21 @@
 from tests.command_kit import command
 from tests.policy.driver import SECOND, entry
 
-DAYS = Path(__file__).resolve().parents[2] / "example" / "fleet"
-NAMES = ("calm", "roll", "herd", "zone", "split", "join")
+SCENARIO_DIR = Path(__file__).resolve().parents[2] / "example" / "fleet"
+SCENARIOS = ("calm", "roll", "herd", "zone", "split", "join")
 
 
 @pytest.mark.parametrize("seed", [1, 2])
-@pytest.mark.parametrize("name", NAMES)
+@pytest.mark.parametrize("name", SCENARIOS)
 def test_a_fault_scenario_keeps_every_rule(name: str, seed: int) -> None:
-    day = Day(name, (DAYS / f"{name}.conf").read_text(), seed)
+    day = Day(name, (SCENARIO_DIR / f"{name}.conf").read_text(), seed)
     found = play(day)
     assert [(rule.name, rule.first_violation) for rule in found.rules if rule.violations] == []
     assert found.score.whole > 0.5  # a policy that rejected everybody would keep the rules as well
 
 
 IS_WARM = "_slow_start.is_warm(endpoint)"
-PLACEMENT_COST = "return service_loss(load) + crossing + LOAD_FACTOR * load"
+PLACEMENT_COST = "return service_loss(load) + cross_zone_cost + LOAD_FACTOR * load"
 REMOVE = "        if not request.is_attempt_active:\n            self._remove(request)\n        elif"
 NOT_READY = "endpoint.availability != Availability.READY or endpoint.id in tried"
 MAY_START = "if request.is_attempt_active or request.attempts >= request.max_attempts:"
@@ -112,7 +112,9 @@
 ]
 
 
-@pytest.mark.parametrize(("rule", "name", "faults", "changes"), MUTATIONS, ids=[one[0] for one in MUTATIONS])
+@pytest.mark.parametrize(
+    ("rule", "name", "faults", "changes"), MUTATIONS, ids=[item[0] for item in MUTATIONS]
+)
 def test_a_changed_line_of_the_policy_breaks_its_rule(
     rule: str, name: str, faults: tuple[Fault, ...], changes: dict[str, str]
 ) -> None:
@@ -121,7 +123,7 @@
     for line, other in changes.items():
         [module] = [name for name, text in texts.items() if text.count(line) == 1]
         texts[module] = texts[module].replace(line, other)
-    scenario = load(DAYS / f"{name}.conf")
+    scenario = load(SCENARIO_DIR / f"{name}.conf")
     if faults:
         scenario = replace(scenario, day=replace(scenario.day, seconds=12, list_s=(0.0, 0.05)), faults=faults)
     broken: list[str] = []
@@ -129,7 +131,7 @@
         checker = RuleChecker()
         factory = factory_from_texts(texts, f"changed for {rule}")
         Simulation(scenario, seed, factory, observers=(checker,)).run()
-        broken = [one.name for one in checker.rules if one.violations]
+        broken = [item.name for item in checker.rules if item.violations]
         if broken:
             break
     assert rule in broken
@@ -196,11 +198,13 @@
 
 
 def test_a_margin_is_that_of_the_worst_scenario() -> None:
-    day = Day("calm", (DAYS / "calm.conf").read_text(), 1)
+    day = Day("calm", (SCENARIO_DIR / "calm.conf").read_text(), 1)
     first, second = Rule("r", 2.0), Rule("r", 2.0)
     first.record(1.0, "here")
     second.record(1.5, "there")
-    quiet = score(load(DAYS / "calm.conf"), Simulation(load(DAYS / "calm.conf"), 1).measurements)
+    quiet = score(
+        load(SCENARIO_DIR / "calm.conf"), Simulation(load(SCENARIO_DIR / "calm.conf"), 1).measurements
+    )
     (found,) = findings_of([Played(day, [first], quiet), Played(Day("x", "", 7), [second], quiet)])
     assert (found.margin, found.file, found.seed, found.kept) == (0.25, "x", 7, True)
     second.record(3.0, "there")
@@ -213,10 +217,10 @@
     path.write_text(
         "day {\n seconds 4\n servers 4\n nodes 3\n rate 4\n life 10\n}\nfault drain {\n at 6\n}\n"
     )
-    done = command("fleet", "audit", str(path), "--runs", "2", "--jobs", "2", "--json")
-    told = json.loads(done.stdout)
-    assert done.returncode == 0 and told["kept"] and told["days"] == 2 and len(told["rules"]) == 9
-    assert all(one["margin"] > 0 for one in told["rules"])
+    result = command("fleet", "audit", str(path), "--runs", "2", "--jobs", "2", "--json")
+    output = json.loads(result.stdout)
+    assert result.returncode == 0 and output["kept"] and output["days"] == 2 and len(output["rules"]) == 9
+    assert all(item["margin"] > 0 for item in output["rules"])
     plain = command("fleet", "audit", str(path), "--runs", "1", "--jobs", "1", "--policy", "random")
     assert plain.returncode == 0 and "1 days: all rules kept" in plain.stdout
     bad = command("fleet", "audit", str(path), "--policy", "best")
--- a/tests/policy/test_long_runs.py
+++ b/tests/policy/test_long_runs.py
@@ -26,18 +26,18 @@
 from tests.policy.driver import Driver, entry, of_type
 
 
-def reachable(thing: object, seen: set[int] | None = None) -> int:
+def count_objects(root: object, seen: set[int] | None = None) -> int:
     """How many objects something holds, all containers followed."""
     seen = set() if seen is None else seen
-    if id(thing) in seen or isinstance(thing, int | float | str | bytes | type | None) or callable(thing):
+    if id(root) in seen or isinstance(root, int | float | str | bytes | type | None) or callable(root):
         return 0
-    seen.add(id(thing))
-    inner: list[Any] = list(vars(thing).values()) if hasattr(thing, "__dict__") else []
-    if isinstance(thing, dict):
-        inner += list(thing.values())
-    elif isinstance(thing, list | tuple):
-        inner += list(thing)
-    return 1 + sum(reachable(one, seen) for one in inner)
+    seen.add(id(root))
+    children: list[Any] = list(vars(root).values()) if hasattr(root, "__dict__") else []
+    if isinstance(root, dict):
+        children += list(root.values())
+    elif isinstance(root, list | tuple):
+        children += list(root)
+    return 1 + sum(count_objects(item, seen) for item in children)
 
 
 def churn(driver: Driver, requests: range) -> None:
@@ -66,10 +66,10 @@
     classes = (RequestClass(message_latency_objective_us=60_000.0),)
     driver = Driver(Settings(classes=classes, load_report_fields=("x0",)), map(entry, range(10)))
     churn(driver, range(1000))
-    before = reachable(driver.policy)
+    before = count_objects(driver.policy)
     churn(driver, range(1000, 9000))
     assert not driver.policy.requests
-    assert reachable(driver.policy) <= before + 20
+    assert count_objects(driver.policy) <= before + 20
 
 
 def test_weights_stay_finite_over_hours_and_a_recovered_endpoint_regains_its_share() -> None:
@@ -128,19 +128,19 @@
     for size in (10, 1000):
         driver = Driver(Settings(load_report_fields=reports), map(entry, range(size)))
         driver.tick(5)
-        test_count = 0
+        call_count = 0
         original = SlowStart.is_warm
 
         def is_warm(self: SlowStart, endpoint: EndpointState) -> bool:
-            nonlocal test_count
-            test_count += 1
+            nonlocal call_count
+            call_count += 1
             return original(self, endpoint)  # noqa: B023
 
         monkeypatch.setattr(SlowStart, "is_warm", is_warm)
         for id in range(50):
             driver.request(id)
         monkeypatch.undo()
-        counts[size] = test_count
+        counts[size] = call_count
     assert 0 < counts[1000] <= counts[10] + 50
 
 
--- a/tests/policy/test_retry_safety.py
+++ b/tests/policy/test_retry_safety.py
@@ -16,7 +16,7 @@
     TimerFired,
 )
 from stepflow.policy.context import FIRST_REQUEST_TOKEN
-from tests.policy.driver import SECOND, Driver, entry, final, of_type, plain_settings
+from tests.policy.driver import SECOND, Driver, entry, final_answers, of_type, plain_settings
 
 
 def class_driver(idempotency: Idempotency, scope: DeduplicationScope = DeduplicationScope.ALL) -> Driver:
@@ -33,9 +33,9 @@
     [send] = of_type(StartAttempt, driver.request(1))
     actions = driver.end(send, result)
     assert not of_type(StartAttempt, actions)
-    while not final(driver.actions):
+    while not final_answers(driver.actions):
         actions = driver.feed(TimerFired(FIRST_REQUEST_TOKEN + 1))
-    assert final(driver.actions) == [FailRequest(1)]
+    assert final_answers(driver.actions) == [FailRequest(1)]
 
 
 @pytest.mark.parametrize("result", [AttemptResult.FULL, AttemptResult.CONNECT_FAILED, AttemptResult.NOT_SENT])
@@ -50,7 +50,7 @@
     driver = class_driver(Idempotency.NOT_IDEMPOTENT)
     driver.request(1)
     driver.now += 2 * SECOND
-    assert final(driver.feed(TimerFired(FIRST_REQUEST_TOKEN + 1))) == [FailRequest(1)]
+    assert final_answers(driver.feed(TimerFired(FIRST_REQUEST_TOKEN + 1))) == [FailRequest(1)]
 
 
 @pytest.mark.parametrize("scope", [DeduplicationScope.ZONE, DeduplicationScope.CELL])
@@ -74,7 +74,7 @@
     [again] = of_type(StartAttempt, driver.end(send, AttemptResult.RESET))
     driver.now += 1
     assert not of_type(StartAttempt, driver.end(again, AttemptResult.RESET, attempt=1))
-    assert final(driver.actions) == [RejectRequest(1)]
+    assert final_answers(driver.actions) == [RejectRequest(1)]
 
 
 def test_attempts_never_overlap_and_keep_to_the_limit() -> None:
@@ -83,4 +83,4 @@
     assert not of_type(StartAttempt, driver.tick())
     [again] = of_type(StartAttempt, driver.end(send, AttemptResult.FULL))
     assert not of_type(StartAttempt, driver.end(again, AttemptResult.FULL, attempt=1))
-    assert len(final(driver.actions)) == 1
+    assert len(final_answers(driver.actions)) == 1
--- a/tests/policy/test_safety_rules.py
+++ b/tests/policy/test_safety_rules.py
@@ -45,10 +45,10 @@
 from stepflow.policy import Policy
 from tests.policy.driver import SECOND, START, entry
 
-MAYBE_RAN = (AttemptResult.ERROR, AttemptResult.TIMEOUT, AttemptResult.RESET, AttemptResult.CANCELLED)
+MAY_HAVE_RUN = (AttemptResult.ERROR, AttemptResult.TIMEOUT, AttemptResult.RESET, AttemptResult.CANCELLED)
 
 
-class World:
+class RandomHost:
     """Feeds random events to a policy and checks each action against the events before it."""
 
     def __init__(self, seed: int, options: Settings, endpoint_count: int = 12) -> None:
@@ -179,7 +179,7 @@
             return self.report(id)
         result = self.rng.choice(list(AttemptResult))
         del self.active[id]
-        if result in MAYBE_RAN and id not in self.may_have_run and endpoint in self.entries:
+        if result in MAY_HAVE_RUN and id not in self.may_have_run and endpoint in self.entries:
             self.may_have_run[id] = (self.entries[endpoint], self.attempts[id][attempt][1])
         complete = id in self.established or result == AttemptResult.OK or self.is_finished(id)
         if complete:
@@ -196,7 +196,7 @@
             self.feed(TimerFired(token))
         self.now = until
 
-    def play(self, steps: int) -> None:
+    def run_random_events(self, steps: int) -> None:
         """Many random events, then enough time for every answer that is owed."""
         for id in range(-20, 0):
             self.adopt(abs(id) + steps)
@@ -274,7 +274,7 @@
 @settings(max_examples=150, deadline=None, derandomize=True)
 @given(st.integers(0, 2**32), random_settings, st.sampled_from((1, 2, 12, 12, 300)))
 def test_safety_rules_hold_for_random_events(seed: int, options: Settings, endpoint_count: int) -> None:
-    World(seed, options, endpoint_count).play(150)
+    RandomHost(seed, options, endpoint_count).run_random_events(150)
 
 
 @settings(max_examples=25, deadline=None, derandomize=True)
@@ -294,23 +294,23 @@
     endpoints = [entry(id) for id in range(warm)] + [
         entry(warm + id, started_us=START) for id in range(warming)
     ]
-    world = World(seed, Settings(rules=rules, load_report_fields=("x0",)))
-    world.entries = {row.id: row for row in endpoints}
-    world.feed(EndpointListUpdate(ListUpdateKind.FULL, tuple(endpoints)))
+    host = RandomHost(seed, Settings(rules=rules, load_report_fields=("x0",)))
+    host.entries = {row.id: row for row in endpoints}
+    host.feed(EndpointListUpdate(ListUpdateKind.FULL, tuple(endpoints)))
     for id in range(adopted):
-        world.feed(SessionAdopted(Request(10**6 + id, 0, START), id % warm))
+        host.feed(SessionAdopted(Request(10**6 + id, 0, START), id % warm))
     sent: dict[EndpointId, list[int]] = {}
     for id in range(int(rate * 20)):
-        world.pass_time(int(SECOND / rate))
-        world.requests[id] = Request(id, 0, world.now + SECOND)
-        world.feed(world.requests[id])
-        for other, (attempt, endpoint) in tuple(world.active.items()):
-            del world.active[other]
-            sent.setdefault(endpoint, []).append(world.now)
-            if world.rng.random() < 0.7:
-                world.feed(SessionEstablished(other, attempt, endpoint, 20_000))
+        host.pass_time(int(SECOND / rate))
+        host.requests[id] = Request(id, 0, host.now + SECOND)
+        host.feed(host.requests[id])
+        for other, (attempt, endpoint) in tuple(host.active.items()):
+            del host.active[other]
+            sent.setdefault(endpoint, []).append(host.now)
+            if host.rng.random() < 0.7:
+                host.feed(SessionEstablished(other, attempt, endpoint, 20_000))
             else:
-                world.feed(AttemptEnded(other, attempt, endpoint, AttemptResult.FULL, False, 900))
+                host.feed(AttemptEnded(other, attempt, endpoint, AttemptResult.FULL, False, 900))
     usual = max(rate / warm, (adopted + rate * 20) / warm / MIN_MEAN_LOAD / 20)
     for id in range(warm, warm + warming):
         times = sent.get(id, [])
--- a/tests/policy/test_slow_start.py
+++ b/tests/policy/test_slow_start.py
@@ -5,7 +5,16 @@
 from stepflow.budgets import slow_start
 from stepflow.interface import AttemptResult, Limits, StartAttempt, StartHealthCheck, TimerFired
 from stepflow.policy.context import FIRST_REQUEST_TOKEN
-from tests.policy.driver import REPORTING, SECOND, START, Driver, entry, of_type, placed, plain_settings
+from tests.policy.driver import (
+    REPORTING,
+    SECOND,
+    START,
+    Driver,
+    entry,
+    of_type,
+    placed_endpoint,
+    plain_settings,
+)
 
 
 def test_a_warming_endpoint_gets_no_more_than_its_budget() -> None:
@@ -45,7 +54,7 @@
 def test_a_warm_endpoint_is_not_limited_by_a_budget() -> None:
     driver = Driver(plain_settings(), [entry(9, started_us=START - 20 * SECOND)])
     for id in range(50):
-        assert placed(driver, id) == 9
+        assert placed_endpoint(driver, id) == 9
 
 
 def test_a_warming_endpoint_with_a_budget_is_a_candidate() -> None:
--- a/tests/policy/test_slow_start_sum.py
+++ b/tests/policy/test_slow_start_sum.py
@@ -32,23 +32,23 @@
 from stepflow.policy import Policy
 from tests.policy.driver import SECOND, START, entry
 
-FULL = 40.0  # sessions of mean load that fill an endpoint, where nothing else is said
+CAPACITY_SESSIONS = 40.0  # sessions of mean load that fill an endpoint, where nothing else is said
 RULES = SafetyRules(
     slow_start_share=0.3, slow_start_us=8 * SECOND, overload_multiple=2.5, overload_after_us=1_500_000
 )
 WINDOW_US, STEP_US = RULES.overload_after_us, 50_000
 
 
-def allowed(now: int, started: int, full: float = FULL) -> float:
+def allowed(now: int, started: int, capacity_sessions: float = CAPACITY_SESSIONS) -> float:
     """What the settings allow in the window that ends now, for an endpoint that started then."""
     age = (now - started) / RULES.slow_start_us
     capacity = min(1.0, RULES.slow_start_share + (1 - RULES.slow_start_share) * age)
-    rate = full / (RULES.slow_start_us / SECOND)  # fills it over its slow start
+    rate = capacity_sessions / (RULES.slow_start_us / SECOND)  # fills it over its slow start
     return RULES.overload_multiple * capacity * rate * WINDOW_US / SECOND
 
 
 @dataclass
-class World:
+class Fleet:
     """Nodes at equal endpoints; each session is established at once, and stays or ends after a while."""
 
     nodes: int
@@ -56,27 +56,27 @@
     load: float
     seed: int
     life_s: float = math.inf  # of a session, in the mean
-    full: float = FULL
-    uneven: float = 1.0  # the busiest node's traffic over the least busy one's, in steps
-    open: dict[object, int] = field(default_factory=dict)
+    capacity_sessions: float = CAPACITY_SESSIONS
+    skew: float = 1.0  # the busiest node's traffic over the least busy one's, in steps
+    open_sessions: dict[object, int] = field(default_factory=dict)
     started: dict[object, int] = field(default_factory=dict)
     sent: dict[object, list[int]] = field(default_factory=dict)
 
     def __post_init__(self) -> None:
-        self.rng, self.now, self.ids = random.Random(self.seed), START, 0
+        self.rng, self.now, self.last_id = random.Random(self.seed), START, 0
         self.settings = Settings(
             balancers=self.nodes, load_report_fields=("x0",), rules=RULES, prices=Prices(probe=0.004)
         )
         self.started = dict.fromkeys(range(self.endpoints), 0)
-        self.open = dict.fromkeys(self.started, 0)
+        self.open_sessions = dict.fromkeys(self.started, 0)
         self.timers: list[dict[int, int]] = [{} for _ in range(self.nodes)]
-        self.share = [self.uneven ** (n / max(1, self.nodes - 1)) for n in range(self.nodes)]
+        self.traffic_shares = [self.skew ** (n / max(1, self.nodes - 1)) for n in range(self.nodes)]
         self.policies = [self.start_node(n) for n in range(self.nodes)]
-        for _ in range(round(self.load * self.full * self.endpoints)):
+        for _ in range(round(self.load * self.capacity_sessions * self.endpoints)):
             node, endpoint = self.random_node(), self.rng.randrange(self.endpoints)
-            self.ids += 1
-            self.open[endpoint] += 1
-            self.feed(node, SessionAdopted(Request(self.ids, 0, 0, 1.0), endpoint))
+            self.last_id += 1
+            self.open_sessions[endpoint] += 1
+            self.feed(node, SessionAdopted(Request(self.last_id, 0, 0, 1.0), endpoint))
 
     def start_node(self, node: int) -> Policy:
         """A new process."""
@@ -92,7 +92,7 @@
         return tuple(entry(id, started_us=at) for id, at in self.started.items())
 
     def random_node(self) -> int:
-        return self.rng.choices(range(self.nodes), self.share)[0]
+        return self.rng.choices(range(self.nodes), self.traffic_shares)[0]
 
     def feed(self, node: int, event: Event) -> None:
         policy = self.policies[node]
@@ -105,15 +105,15 @@
             elif isinstance(action, StartHealthCheck):
                 capacity = allowed(self.now, self.started[action.endpoint]) / allowed(self.now, 0)
                 x0 = (
-                    self.open[action.endpoint]
-                    / self.full
+                    self.open_sessions[action.endpoint]
+                    / self.capacity_sessions
                     / (capacity if self.started[action.endpoint] else 1.0)
                 )
                 event = HealthCheckEnded(action.endpoint, AttemptResult.OK, 500, (x0,))
                 self.run(node, policy.handle(self.now, event), policy)
             elif isinstance(action, StartAttempt):
                 self.sent.setdefault(action.endpoint, []).append(self.now)
-                self.open[action.endpoint] += 1
+                self.open_sessions[action.endpoint] += 1
                 up = SessionEstablished(action.request_id, 0, action.endpoint, 20_000)
                 self.run(node, policy.handle(self.now, up), policy)
 
@@ -127,8 +127,8 @@
                     self.feed(node, TimerFired(token))
             expected = rate * STEP_US / SECOND
             for _ in range(int(expected) + (self.rng.random() < expected % 1)):
-                self.ids += 1
-                request = Request(self.ids, 0, self.now + 2 * SECOND, 1.0, is_migrated=is_migrated)
+                self.last_id += 1
+                request = Request(self.last_id, 0, self.now + 2 * SECOND, 1.0, is_migrated=is_migrated)
                 self.feed(self.random_node(), request)
 
     def end_sessions(self, share: float) -> None:
@@ -138,7 +138,7 @@
                 f for f in policy.requests.values() if f.is_established and self.rng.random() < share
             ]:
                 assert request.endpoint is not None
-                self.open[request.endpoint.id] -= 1
+                self.open_sessions[request.endpoint.id] -= 1
                 id = request.request.id
                 end = AttemptEnded(id, request.attempts - 1, request.endpoint.id, AttemptResult.OK, True, 0)
                 self.feed(node, end)
@@ -146,7 +146,7 @@
     def restart_endpoints(self, *endpoints: int) -> None:
         """These are replaced, and their sessions end."""
         for endpoint in endpoints:
-            self.started[endpoint], self.open[endpoint] = self.now, 0
+            self.started[endpoint], self.open_sessions[endpoint] = self.now, 0
             self.sent.pop(endpoint, None)
         entries = tuple(entry(id, started_us=self.now) for id in endpoints)
         for node, policy in enumerate(self.policies):
@@ -169,12 +169,12 @@
         for node in range(nodes):
             for request in self.policies[node].requests.values():
                 assert request.endpoint is not None
-                self.open[request.endpoint.id] -= 1
+                self.open_sessions[request.endpoint.id] -= 1
                 lost += 1
             self.policies[node] = self.start_node(node)
         return lost
 
-    def worst_window(self) -> float:
+    def max_window_ratio(self) -> float:
         """The most attempts at an endpoint in a window, over what is allowed with a margin for chance."""
         worst = 0.0
         for endpoint, times in self.sent.items():
@@ -184,7 +184,7 @@
                 if end - self.started[endpoint] >= RULES.slow_start_us:
                     break
                 count = sum(end - t < WINDOW_US for t in times[: i + 1])
-                n = allowed(end, self.started[endpoint], self.full)
+                n = allowed(end, self.started[endpoint], self.capacity_sessions)
                 worst = max(worst, count / (n + 2 * math.sqrt(n) + 2))
         return worst
 
@@ -193,39 +193,39 @@
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-@pytest.mark.parametrize("uneven", [1.0, 9.0])
+@pytest.mark.parametrize("skew", [1.0, 9.0])
 @pytest.mark.parametrize("nodes", [6, 30])
-def test_a_few_warming_endpoints_among_many(nodes: int, uneven: float, seed: int) -> None:
-    world = World(nodes, 20, 0.5, seed, uneven=uneven)
-    world.pass_time(4, 10)
-    world.restart_endpoints(0, 1, 2)
-    world.pass_time(9, 30)
-    assert 0 < world.worst_window() <= 1
+def test_a_few_warming_endpoints_among_many(nodes: int, skew: float, seed: int) -> None:
+    fleet = Fleet(nodes, 20, 0.5, seed, skew=skew)
+    fleet.pass_time(4, 10)
+    fleet.restart_endpoints(0, 1, 2)
+    fleet.pass_time(9, 30)
+    assert 0 < fleet.max_window_ratio() <= 1
 
 
 @pytest.mark.parametrize("seed", SEEDS)
 @pytest.mark.parametrize("nodes", [6, 30])
 def test_budgets_saved_while_idle_are_not_spent_at_once(nodes: int, seed: int) -> None:
     """Each node had saved an attempt for each warming endpoint, and a burst brought all of them."""
-    world = World(nodes, 20, 0.5, seed)
-    world.pass_time(4, 10)
-    world.restart_endpoints(0, 1, 2)
-    world.pass_time(3, 1)
-    world.pass_time(1, 200)
-    assert 0 < world.worst_window() <= 1
+    fleet = Fleet(nodes, 20, 0.5, seed)
+    fleet.pass_time(4, 10)
+    fleet.restart_endpoints(0, 1, 2)
+    fleet.pass_time(3, 1)
+    fleet.pass_time(1, 200)
+    assert 0 < fleet.max_window_ratio() <= 1
 
 
 @pytest.mark.parametrize("seed", SEEDS)
 @pytest.mark.parametrize("nodes", [6, 30])
 def test_clients_of_restarted_nodes_that_come_at_once(nodes: int, seed: int) -> None:
-    world = World(nodes, 20, 0.5, seed, uneven=4.0)
-    world.pass_time(4, 10)
-    world.restart_endpoints(0, 1, 2)
-    world.pass_time(1, 10)
-    lost = world.restart_nodes(round(0.7 * nodes))
-    world.pass_time(1.5, lost / 1.5, is_migrated=True)
-    world.pass_time(3, 30)
-    assert 0 < world.worst_window() <= 1
+    fleet = Fleet(nodes, 20, 0.5, seed, skew=4.0)
+    fleet.pass_time(4, 10)
+    fleet.restart_endpoints(0, 1, 2)
+    fleet.pass_time(1, 10)
+    lost = fleet.restart_nodes(round(0.7 * nodes))
+    fleet.pass_time(1.5, lost / 1.5, is_migrated=True)
+    fleet.pass_time(3, 30)
+    assert 0 < fleet.max_window_ratio() <= 1
 
 
 @pytest.mark.parametrize("seed", SEEDS)
@@ -233,12 +233,12 @@
 @pytest.mark.parametrize("warming", [18, 20])
 def test_nearly_all_endpoints_warm_up_at_once(nodes: int, warming: int, seed: int) -> None:
     """What one bears was learned from sessions at all endpoints over the few warm ones: up to 1.39."""
-    world = World(nodes, 20, 0.5, seed)
-    world.pass_time(4, 10)
-    world.restart_endpoints(*range(warming))
-    world.pass_time(1.5, 18 * FULL * 0.5 / 1.5)
-    world.pass_time(6, 30)
-    assert 0 < world.worst_window() <= 1
+    fleet = Fleet(nodes, 20, 0.5, seed)
+    fleet.pass_time(4, 10)
+    fleet.restart_endpoints(*range(warming))
+    fleet.pass_time(1.5, 18 * CAPACITY_SESSIONS * 0.5 / 1.5)
+    fleet.pass_time(6, 30)
+    assert 0 < fleet.max_window_ratio() <= 1
 
 
 @pytest.mark.parametrize("seed", SEEDS)
@@ -248,10 +248,10 @@
     nodes: int, warming: int, life_s: float, seed: int
 ) -> None:
     """Twice as many as come to a warm endpoint were sent, which fills a warming one too fast: 1.40."""
-    world = World(nodes, 20, 0.5, seed, life_s, full=80.0)
+    fleet = Fleet(nodes, 20, 0.5, seed, life_s, capacity_sessions=80.0)
     rate = 20 * 80.0 * 0.5 / life_s
-    world.pass_time(4, rate)
-    world.restart_endpoints(*range(warming))
-    world.pass_time(1.5, 2 * rate + warming * 40 / 1.5)
-    world.pass_time(6, rate)
-    assert 0 < world.worst_window() <= 1
+    fleet.pass_time(4, rate)
+    fleet.restart_endpoints(*range(warming))
+    fleet.pass_time(1.5, 2 * rate + warming * 40 / 1.5)
+    fleet.pass_time(6, rate)
+    assert 0 < fleet.max_window_ratio() <= 1
--- a/tests/policy/test_weights.py
+++ b/tests/policy/test_weights.py
@@ -8,7 +8,7 @@
 
 from stepflow.interface import Availability, EndpointId, HealthCheckEnded, Prices, StartAttempt
 from stepflow.policy import EndpointState, LoadModel, WeightController, weights
-from tests.policy.driver import REPORTING, Driver, entry, of_type, placed, plain_settings
+from tests.policy.driver import REPORTING, Driver, entry, of_type, placed_endpoint, plain_settings
 
 
 def test_pid_step_arithmetic() -> None:
@@ -33,11 +33,11 @@
     for _ in range(1000):
         controller.adjust([endpoint], 1.0, 1.0, 1.0)
     assert endpoint.error_sum == weights.MAX_ERROR_SUM
-    assert endpoint.weight == weights.WEIGHT_SPAN[0]
+    assert endpoint.weight == weights.WEIGHT_RANGE[0]
     endpoint.predicted_load = 0.0
     for _ in range(20):
         controller.adjust([endpoint], 1.0, 1.0, 1.0)
-    assert endpoint.weight == weights.WEIGHT_SPAN[1]
+    assert endpoint.weight == weights.WEIGHT_RANGE[1]
 
 
 def test_the_draw_follows_the_weights() -> None:
@@ -46,7 +46,7 @@
     driver.policy.weights.tabulate(driver.now)
     counts: dict[EndpointId, int] = {1: 0, 2: 0}
     for id in range(400):
-        counts[placed(driver, id)] += 1
+        counts[placed_endpoint(driver, id)] += 1
     assert 260 <= counts[1] <= 340
 
 
