--- a/stepflow/estimates/__init__.py
+++ b/stepflow/estimates/__init__.py
@@ -1,1 +1,1 @@
-"""What one node infers from the little that it sees. Pure: no clock, no I/O; the policy asks."""
+"""Estimates that the policy of one node makes from its own traffic. No clock, no I/O."""
