--- a/tests/policy/__init__.py
+++ b/tests/policy/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the policy: its decisions on events fed by hand, in long runs, and in the model of a fleet."""
+"""Tests of the policy: its decisions on single events, in long runs, and in the fleet model."""
--- a/tests/policy/driver.py
+++ b/tests/policy/driver.py
@@ -1,4 +1,4 @@
-"""Drives a policy by hand: feeds events on a virtual clock, and keeps the actions that came back."""
+"""A test driver for a policy: feeds events on a virtual clock, and records the actions returned."""
 
 from __future__ import annotations
 
@@ -43,17 +43,17 @@
     cell: int = 0,
     size: float = 1.0,
 ) -> Endpoint:
-    """An entry of the endpoint list."""
+    """Return an entry of the endpoint list."""
     return Endpoint(id, zone, 0, cell, availability, size, started_us)
 
 
 def plain_settings(**changes: Any) -> Settings:
-    """Settings without load reports, unless changed, so that every request is decided on at once."""
+    """Return settings with changes. By default there are no load reports, so requests are placed at once."""
     return Settings(**changes)
 
 
 class Driver:
-    """One policy, its clock, and all actions that it has returned."""
+    """A policy, its clock, and all actions that it has returned."""
 
     def __init__(self, settings: Settings, endpoints: Iterable[Endpoint] = (), seed: int = 7) -> None:
         self.policy = Policy(settings, seed)
@@ -63,23 +63,23 @@
         self.feed(EndpointListUpdate(ListUpdateKind.CACHED, tuple(endpoints)))
 
     def feed(self, event: Event) -> list[Action]:
-        """Feed one event at the present time."""
+        """Feed an event at the current time."""
         actions = self.policy.handle(self.now, event)
         self.actions.extend(actions)
         return actions
 
     def update_list(self, *endpoints: Endpoint, kind: int = ListUpdateKind.DELTA) -> list[Action]:
-        """An update of the endpoint list."""
+        """Feed an update of the endpoint list."""
         return self.feed(EndpointListUpdate(kind, endpoints))
 
     def request(
         self, id: int, class_index: int = 0, wait_us: int = 2 * SECOND, **fields: Any
     ) -> list[Action]:
-        """A new request."""
+        """Feed a new request with a deadline after `wait_us`."""
         return self.feed(Request(id, class_index, self.now + wait_us, **fields))
 
     def adopt(self, id: int, endpoint: EndpointId, load: float = 1.0) -> list[Action]:
-        """A session that was established before the start."""
+        """Feed a session that was established before the start."""
         return self.feed(SessionAdopted(Request(id, 0, 0, load), endpoint))
 
     def tick(self, seconds: float = 0.5) -> list[Action]:
@@ -88,21 +88,21 @@
         return self.feed(TimerFired(0))
 
     def establish(self, send: StartAttempt, attempt: int = 0) -> list[Action]:
-        """The attempt's session is established."""
+        """Establish the session of an attempt."""
         return self.feed(SessionEstablished(send.request_id, attempt, send.endpoint, 20_000))
 
     def end(self, send: StartAttempt, result: int, attempt: int = 0, is_final: bool = False) -> list[Action]:
-        """The attempt ends."""
+        """End an attempt."""
         return self.feed(AttemptEnded(send.request_id, attempt, send.endpoint, result, is_final, 20_000))
 
 
 def of_type(kind: type[A], actions: Iterable[object]) -> list[A]:
-    """The actions of one kind."""
+    """Return the actions of one type."""
     return [action for action in actions if isinstance(action, kind)]
 
 
 def placed_endpoint(driver: Driver, id: int) -> EndpointId:
-    """The endpoint of a request whose session is established and ends at once."""
+    """Place a request whose session ends at once, and return its endpoint."""
     [send] = of_type(StartAttempt, driver.request(id))
     driver.establish(send)
     driver.end(send, AttemptResult.OK, is_final=True)
@@ -110,12 +110,12 @@
 
 
 def final_answers(actions: list[Action]) -> list[Action]:
-    """The final answers among some actions."""
+    """Return the final answers among some actions."""
     return [a for a in actions if isinstance(a, RejectRequest | FailRequest)]
 
 
 def overloaded_driver(load: float) -> Driver:
-    """One endpoint that reports this load, and two classes of different priority weight."""
+    """Return a driver with one endpoint that reports this load, and classes of two priority weights."""
     classes = (
         RequestClass(priority_weight=1.0, message_latency_objective_us=100_000),
         RequestClass(priority_weight=5.0, message_latency_objective_us=100_000),
@@ -126,7 +126,7 @@
 
 
 def adopting_driver(load: float, count: int, **changes: Any) -> Driver:
-    """One endpoint with so many adopted sessions, and a report of their load."""
+    """Return a driver with one endpoint, `count` adopted sessions there, and a report of its load."""
     driver = Driver(plain_settings(**REPORTING, **changes), [entry(1)])
     for id in range(count):
         driver.adopt(id, 1)
--- a/tests/policy/test_answers.py
+++ b/tests/policy/test_answers.py
@@ -1,4 +1,4 @@
-"""Each request gets exactly one final answer, in time."""
+"""Each request gets exactly one final answer, by its deadline."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
     assert not driver.policy.requests
 
 
-def test_a_timeout_at_the_deadline_is_answered() -> None:
+def test_an_attempt_that_times_out_at_the_deadline_leads_to_one_final_answer() -> None:
     driver = Driver(plain_settings(), [entry(1)])
     [send] = of_type(StartAttempt, driver.request(1))
     driver.now += 2 * SECOND
--- a/tests/policy/test_attempts.py
+++ b/tests/policy/test_attempts.py
@@ -8,8 +8,8 @@
 from tests.policy.driver import Driver, entry, final_answers, of_type, plain_settings
 
 
-def test_failures_everywhere_close_the_throttle_and_time_opens_it() -> None:
-    # The retries of all instances together overloaded the store that every session needs.
+def test_failures_at_all_endpoints_close_the_throttle_until_time_has_passed() -> None:
+    # Without a throttle, the retries of all instances overloaded the store that every session needs.
     driver = Driver(plain_settings(), [entry(i) for i in range(9)])
     for id in range(40):
         for send in of_type(StartAttempt, driver.request(id)):
@@ -28,7 +28,7 @@
         driver.establish(again, attempt=1)
 
 
-def test_a_failing_endpoint_loses_its_health_and_regains_it() -> None:
+def test_failures_lower_the_health_of_an_endpoint_and_time_restores_it() -> None:
     driver = Driver(plain_settings(), [entry(1), entry(2)])
     endpoint = driver.policy.model.endpoints[1]
     for _ in range(5):
@@ -40,7 +40,7 @@
 
 
 def test_a_session_reset_at_once_does_not_count_as_established() -> None:
-    # Overloaded endpoints accept a connection and reset it; repeated setups wore all endpoints down.
+    # Overloaded endpoints accept a connection and reset it; the repeated setups overloaded all of them.
     driver = Driver(plain_settings(), [entry(i) for i in range(9)])
     for id in range(40):
         for send in of_type(StartAttempt, driver.request(id)):
@@ -52,24 +52,25 @@
     )
 
 
-def test_timeouts_follow_the_usual_latency() -> None:
-    """After a restart setups took 0.4 to 1 s; attempts cut at half the time left overloaded the store."""
+def test_timeouts_follow_the_smoothed_latency() -> None:
+    """After a restart, setups took 0.4 to 1 s, and timeouts of half the time left overloaded the store."""
     driver = Driver(plain_settings(limits=Limits(max_attempts=6)), map(entry, range(4)))
     for id in range(100, 160):
         for send in of_type(StartAttempt, driver.request(id)):
             driver.feed(SessionEstablished(id, 0, send.endpoint, 500_000))
     [send] = of_type(StartAttempt, driver.request(1, wait_us=1_200_000))
-    assert send.timeout_us == 1_200_000  # all of it: half would be less than the usual latency
+    # All the time left, since that is less than TIMEOUT_FACTOR times the smoothed latency.
+    assert send.timeout_us == 1_200_000
     driver.now += 800_000
     again = driver.end(send, AttemptResult.CONNECT_FAILED)
-    # The time left is less than the usual latency.
+    # The time left is less than the smoothed latency.
     assert not of_type(StartAttempt, again) and of_type(RejectRequest, again)
     [send] = of_type(StartAttempt, driver.request(2, wait_us=4_800_000))
-    assert send.timeout_us <= 2_400_000  # there is room for another attempt
+    assert send.timeout_us <= 2_400_000  # there is time for another attempt
 
 
 def test_an_outlier_does_not_close_the_throttle_for_others() -> None:
-    """An endpoint that answers errors at once closed the throttle for all, and kept its health."""
+    """An endpoint that answered with errors at once closed the throttle for all, and kept its health."""
     driver = Driver(plain_settings(), map(entry, range(3)))
     established = 0
     for id in range(200):
@@ -80,5 +81,5 @@
         if sends:
             driver.establish(sends[0], driver.policy.requests[id].attempts - 1)
             established += 1
-    assert established > 190  # all but the first, before others were known to succeed
+    assert established > 190  # all but the first few, before attempts elsewhere were known to succeed
     assert driver.policy.model.endpoints[0].health == state.MIN_HEALTH
--- a/tests/policy/test_fault_scenarios.py
+++ b/tests/policy/test_fault_scenarios.py
@@ -1,4 +1,4 @@
-"""Fault scenarios in the model of a fleet: each safety rule is kept, and each breaks by a changed line."""
+"""Fault scenarios in the fleet model: the policy keeps each safety rule, and breaks it if a line changes."""
 
 from __future__ import annotations
 
@@ -45,7 +45,7 @@
     day = Day(name, (SCENARIO_DIR / f"{name}.conf").read_text(), seed)
     found = play(day)
     assert [(rule.name, rule.first_violation) for rule in found.rules if rule.violations] == []
-    assert found.score.whole > 0.5  # a policy that rejected everybody would keep the rules as well
+    assert found.score.whole > 0.5  # a policy that rejected every request would keep the rules as well
 
 
 IS_WARM = "_slow_start.is_warm(endpoint)"
@@ -115,10 +115,10 @@
 @pytest.mark.parametrize(
     ("rule", "name", "faults", "changes"), MUTATIONS, ids=[item[0] for item in MUTATIONS]
 )
-def test_a_changed_line_of_the_policy_breaks_its_rule(
+def test_changing_the_line_that_keeps_a_rule_breaks_this_rule(
     rule: str, name: str, faults: tuple[Fault, ...], changes: dict[str, str]
 ) -> None:
-    """Else the scenarios above could pass whatever the policy did: these lines keep the rules."""
+    """The scenarios above can fail: each of these lines of the policy keeps a rule."""
     texts = policy_texts()
     for line, other in changes.items():
         [module] = [name for name, text in texts.items() if text.count(line) == 1]
@@ -127,7 +127,7 @@
     if faults:
         scenario = replace(scenario, day=replace(scenario.day, seconds=12, list_s=(0.0, 0.05)), faults=faults)
     broken: list[str] = []
-    for seed in range(1, 9):  # whether a scenario reaches the changed line depends on the seed
+    for seed in range(1, 9):  # whether the scenario reaches the changed line depends on the seed
         checker = RuleChecker()
         factory = factory_from_texts(texts, f"changed for {rule}")
         Simulation(scenario, seed, factory, observers=(checker,)).run()
@@ -138,7 +138,7 @@
 
 
 def checker_of(*events: Event | Action) -> RuleChecker:
-    """The rule checker of one node after these events and actions, a second apart."""
+    """Return the rule checker of one node after these events and actions, which are a second apart."""
     checker = RuleChecker()
     checker.node_started(0, 1, Settings(limits=Limits(max_attempts=2)))
     for second, event in enumerate(events):
@@ -155,42 +155,45 @@
 
 
 FULL, DELTA = ListUpdateKind.FULL, ListUpdateKind.DELTA
-BACK = AttemptEnded(1, 0, "a", AttemptResult.FULL, False, 0)
-UP = SessionEstablished(1, 0, "a", 0)
+ENDED_FULL = AttemptEnded(1, 0, "a", AttemptResult.FULL, False, 0)
+ESTABLISHED = SessionEstablished(1, 0, "a", 0)
 
 
 @pytest.mark.parametrize(
     ("events", "broken"),
     [
-        ([request(), StartAttempt(1, "a", 0), BACK, RejectRequest(1)], []),
-        ([request(), StartAttempt(1, "b", 0), BACK, RejectRequest(1)], ["unlisted"]),
+        ([request(), StartAttempt(1, "a", 0), ENDED_FULL, RejectRequest(1)], []),
+        ([request(), StartAttempt(1, "b", 0), ENDED_FULL, RejectRequest(1)], ["unlisted"]),
         ([request()], ["unanswered"]),
         ([request(), ClientDisconnected(1)], []),
         ([request(), RejectRequest(1), RejectRequest(1)], ["extra_answers"]),
         ([request(), RejectRequest(1), StartAttempt(1, "a", 0)], ["extra_answers"]),
-        ([request(2), StartAttempt(1, "a", 0), UP], ["late"]),
-        ([request(1), StartAttempt(1, "a", 0), BACK, FailRequest(1)], ["late"]),
+        ([request(2), StartAttempt(1, "a", 0), ESTABLISHED], ["late"]),
+        ([request(1), StartAttempt(1, "a", 0), ENDED_FULL, FailRequest(1)], ["late"]),
         ([request(), StartAttempt(1, "a", 0), StartAttempt(1, "a", 0), FailRequest(1)], ["overlap"]),
         ([request(), MigrateSession(1), FailRequest(1)], ["migrations"]),
-        ([request(), StartAttempt(1, "a", 0), UP, MigrateSession(1)], []),
-        ([request(), *[StartAttempt(1, "a", 0), BACK] * 3, FailRequest(1)], ["attempts"]),
+        ([request(), StartAttempt(1, "a", 0), ESTABLISHED, MigrateSession(1)], []),
+        ([request(), *[StartAttempt(1, "a", 0), ENDED_FULL] * 3, FailRequest(1)], ["attempts"]),
         (
             [
                 EndpointListUpdate(DELTA, (entry("a", availability=1),)),
                 request(),
                 StartAttempt(1, "a", 0),
-                UP,
+                ESTABLISHED,
             ],
             ["sent_to_draining"],
         ),
         (
-            [EndpointListUpdate(FULL, (entry("b"),)), request(), StartAttempt(1, "a", 0), UP],
+            [EndpointListUpdate(FULL, (entry("b"),)), request(), StartAttempt(1, "a", 0), ESTABLISHED],
             ["sent_to_draining"],
         ),
-        ([EndpointListUpdate(ListUpdateKind.FAILED, ()), request(), StartAttempt(1, "a", 0), UP], []),
+        (
+            [EndpointListUpdate(ListUpdateKind.FAILED, ()), request(), StartAttempt(1, "a", 0), ESTABLISHED],
+            [],
+        ),
     ],
 )
-def test_the_checker_finds_the_rules_that_are_broken(events: list[Event], broken: list[str]) -> None:
+def test_the_rule_checker_finds_exactly_the_broken_rules(events: list[Event], broken: list[str]) -> None:
     checker = checker_of(EndpointListUpdate(FULL, (entry("a"),)), *events)
     assert [
         name for name, rule in vars(checker).items() if isinstance(rule, Rule) and rule.violations
--- a/tests/policy/test_health_checks.py
+++ b/tests/policy/test_health_checks.py
@@ -14,7 +14,7 @@
     assert not of_type(StartHealthCheck, driver.actions) and of_type(StartAttempt, driver.actions)
 
 
-def test_open_sessions_pay_for_checks_in_rotation() -> None:
+def test_open_sessions_allow_checks_in_rotation_without_new_requests() -> None:
     prices = Prices(probe=0.004)
     driver = Driver(plain_settings(prices=prices, **REPORTING), [entry(i) for i in range(4)])
     for id in range(240):  # and there are no new requests
@@ -24,7 +24,7 @@
 
 
 def test_checks_go_to_the_endpoint_checked_longest_ago() -> None:
-    """Drawn at random, some waited for several seconds, and an overload there went unnoticed."""
+    """With a random choice, some endpoints waited several seconds, and an overload there went unnoticed."""
     driver = Driver(plain_settings(prices=Prices(probe=0.004), **REPORTING), map(entry, range(4)))
     for id in range(240):
         driver.adopt(id, id % 4)
--- a/tests/policy/test_load_model.py
+++ b/tests/policy/test_load_model.py
@@ -17,18 +17,17 @@
 from tests.policy.driver import REPORTING, Driver, adopting_driver, entry, of_type, plain_settings
 
 
-def test_cost_learning() -> None:
-    # 4 balancers, own load 50, as much pseudo load: cost = 0.8 / (4 * (50 + 50)).
+def test_a_cost_is_learned_from_load_reports() -> None:
+    # 4 balancers, own load 50, pseudo load 50: cost = 0.8 / (4 * (50 + 50)).
     model = LoadModel(plain_settings(balancers=4, load_report_fields=("eps", "x0")))
     endpoint = model.endpoints[1] = EndpointState(entry(1), 0.0)
     endpoint.load = model.own_load = 50.0
-    assert model.pseudo_load() == pytest.approx(
-        50.0
-    )  # mean own load of the one endpoint is above MIN_PSEUDO_SESSIONS
+    # The mean own load of the one endpoint is above MIN_PSEUDO_SESSIONS.
+    assert model.pseudo_load() == pytest.approx(50.0)
     model.learn(1, endpoint, (0.0, 0.8))
     assert endpoint.cost == pytest.approx(0.8 / (4 * 100))
     assert endpoint.predicted_load == pytest.approx(0.8)
-    # A second report at once counts REPORT_WEIGHT, a later one more.
+    # A second report at the same time has a weight of REPORT_WEIGHT; a later one would have more.
     model.learn(1, endpoint, (0.0, 1.6))
     assert endpoint.cost == pytest.approx((0.8 + load_model.REPORT_WEIGHT * 0.8) / 400)
 
@@ -56,7 +55,7 @@
     assert not driver.policy.requests
 
 
-def test_adopted_sessions_count() -> None:
+def test_the_load_of_an_adopted_session_counts_until_it_ends() -> None:
     driver = Driver(plain_settings(), [entry(1), entry(2)])
     driver.adopt(5, 2, load=3.0)
     assert driver.policy.model.endpoints[2].load == 3.0
@@ -65,7 +64,7 @@
 
 
 def test_adopted_sessions_and_session_reports_do_not_count_as_placed() -> None:
-    """117 adopted sessions once counted as a load of 10.8 that no report shows yet."""
+    """117 adopted sessions once counted as a load of 10.8 that no report showed yet."""
     driver = adopting_driver(0.5, 20)
     [send] = of_type(StartAttempt, driver.request(100, load=1.0))
     driver.establish(send)
@@ -77,18 +76,18 @@
 
 
 def test_a_load_report_is_compared_with_the_load_of_its_time() -> None:
-    """Compared with the present load, a late report made each session look lighter than it is."""
+    """Compared with the current load, a late report made each session look lighter than it was."""
     driver = adopting_driver(0.3, 20)
     driver.update_list(*(entry(id) for id in range(2, 6)))
     for id in range(100, 110):
         driver.adopt(id, 1)
     for _ in range(8):
-        driver.feed(HealthCheckEnded(1, 0, 500, (0.3, 0.0)))  # the ten do not show in it yet
+        driver.feed(HealthCheckEnded(1, 0, 500, (0.3, 0.0)))  # the report does not include these ten yet
     assert driver.policy.model.endpoints[1].predicted_load > 0.38
 
 
 def test_a_live_weight_is_not_taken_for_a_size() -> None:
-    """An empty endpoint weighed thirty times a full one, and so did its pseudo load."""
+    """The live size of an empty endpoint was thirty times a full one's, and so was its pseudo load."""
     driver = Driver(plain_settings(live_weights=True, **REPORTING), [entry(1, size=0.2), entry(2, size=6.0)])
     for id in range(30):
         driver.adopt(id, 1)
@@ -102,7 +101,7 @@
 
 
 def test_the_first_reported_load_rescales_all_loads() -> None:
-    """Sessions without a load count as 1; costs learned so made the first reported load an overload."""
+    """Sessions without a load count as 1; with costs learned so, the first reported load was an overload."""
     driver = Driver(plain_settings(load_report_fields=("x0",)), [entry(1), entry(2)])
     for endpoint in (1, 2):
         driver.feed(HealthCheckEnded(endpoint, AttemptResult.OK, 900, (0.4,)))
@@ -121,13 +120,13 @@
 
 
 def test_placements_count_before_the_first_step() -> None:
-    """Without a cost no placement counted: a restarted node sent its first second to one endpoint."""
+    """Without costs, placements counted 0, and a restarted node sent all requests of a second to one endpoint."""
     driver = Driver(plain_settings(), [entry(1), entry(2)])
     [send] = of_type(StartAttempt, driver.request(1))
     assert driver.policy.model.endpoints[send.endpoint].placed_load > 0
 
 
-def test_a_missing_load_is_the_usual_one_of_its_class() -> None:
+def test_a_missing_load_is_replaced_by_the_mean_of_its_class() -> None:
     driver = Driver(plain_settings(classes=(RequestClass(), RequestClass())), [entry(1)])
     driver.request(1, load=10.0)
     driver.request(2, class_index=1, load=60.0)
@@ -136,8 +135,8 @@
     assert driver.policy.model.endpoints[1].load == pytest.approx(140.0)
 
 
-def test_costs_outlive_a_first_load_that_is_far_from_the_mean() -> None:
-    """Costs in the unit of an untypical first load made a node predict 15 to 60 for idle endpoints."""
+def test_costs_stay_valid_after_a_first_load_far_from_the_mean() -> None:
+    """Costs in the unit of an atypical first load led to predicted loads of 15 to 60 at idle endpoints."""
     driver = Driver(plain_settings(balancers=40, load_report_fields=("x0",)), [entry(1), entry(2)])
     for id in (1, 2):
         driver.feed(HealthCheckEnded(id, AttemptResult.OK, 900, (0.5,)))
--- a/tests/policy/test_long_runs.py
+++ b/tests/policy/test_long_runs.py
@@ -1,4 +1,4 @@
-"""Long runs, many endpoints, and wrong use: state and work stay bounded, errors are named."""
+"""Long runs, many endpoints and invalid input: state and work stay bounded, and errors name the cause."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 def count_objects(root: object, seen: set[int] | None = None) -> int:
-    """How many objects something holds, all containers followed."""
+    """Count the objects that can be reached from `root` through attributes and containers."""
     seen = set() if seen is None else seen
     if id(root) in seen or isinstance(root, int | float | str | bytes | type | None) or callable(root):
         return 0
@@ -41,7 +41,7 @@
 
 
 def churn(driver: Driver, requests: range) -> None:
-    """Requests that end in every way, endpoints that come and go, health checks that fail."""
+    """Feed requests with all results, endpoints that are added and removed, and failing health checks."""
     results = list(AttemptResult)
     for id in requests:
         sends = of_type(StartAttempt, driver.request(id))
@@ -62,7 +62,7 @@
         driver.actions.clear()
 
 
-def test_state_does_not_grow() -> None:
+def test_state_does_not_grow_with_the_number_of_requests() -> None:
     classes = (RequestClass(message_latency_objective_us=60_000.0),)
     driver = Driver(Settings(classes=classes, load_report_fields=("x0",)), map(entry, range(10)))
     churn(driver, range(1000))
@@ -93,7 +93,7 @@
     assert shares[0] == pytest.approx(sum(shares.values()) / 4, rel=0.1)
 
 
-def test_requests_are_placed_where_all_endpoints_fail() -> None:
+def test_requests_are_placed_while_all_endpoints_fail() -> None:
     driver = Driver(Settings(), map(entry, range(5)))
     for endpoint in driver.policy.model.endpoints.values():
         for _ in range(50):
@@ -123,7 +123,7 @@
 def test_work_for_a_request_does_not_grow_with_the_endpoints(
     reports: tuple[str, ...], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Counted in tests of single endpoints: as many for 1000 endpoints as for 10."""
+    """Counted in calls of `SlowStart.is_warm`: about as many with 1000 endpoints as with 10."""
     counts = {}
     for size in (10, 1000):
         driver = Driver(Settings(load_report_fields=reports), map(entry, range(size)))
@@ -157,11 +157,11 @@
         ({"tick_us": 0}, "tick_us"),
     ],
 )
-def test_impossible_settings_are_named(settings: dict[str, Any], key: str) -> None:
+def test_an_impossible_setting_raises_an_error_that_names_it(settings: dict[str, Any], key: str) -> None:
     with pytest.raises(ValueError, match=key):
         Settings(**settings)
 
 
-def test_a_class_that_the_settings_lack_is_named() -> None:
+def test_a_class_that_the_settings_lack_raises_an_error_that_names_it() -> None:
     with pytest.raises(ValueError, match="class 3"):
         Driver(Settings(), [entry(1)]).request(1, class_index=3)
--- a/tests/policy/test_migration.py
+++ b/tests/policy/test_migration.py
@@ -1,4 +1,4 @@
-"""Sessions are migrated off overloaded endpoints, and only off these."""
+"""Sessions are migrated off overloaded endpoints, and only off those."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 from tests.policy.driver import REPORTING, SECOND, Driver, entry, of_type, overloaded_driver, plain_settings
 
 
-def test_sessions_stay_where_no_endpoint_is_overloaded() -> None:
+def test_no_session_is_migrated_while_no_endpoint_is_overloaded() -> None:
     driver = Driver(plain_settings(), [entry(1), entry(2)])
     [send] = of_type(StartAttempt, driver.request(1))
     driver.establish(send)
@@ -27,7 +27,7 @@
         assert not of_type(MigrateSession, driver.tick())
 
 
-def test_an_overloaded_endpoint_is_relieved_of_the_least_priority_weight() -> None:
+def test_sessions_of_the_lowest_priority_weight_are_migrated_off_an_overloaded_endpoint() -> None:
     driver = overloaded_driver(0.01)
     for id in range(40):
         [send] = of_type(StartAttempt, driver.request(id, class_index=id % 2))
@@ -37,15 +37,17 @@
         driver.now += SECOND
         driver.feed(HealthCheckEnded(1, 0, 500, (1.7, 0.0)))
     migrated = [m.request_id for m in of_type(MigrateSession, driver.tick())]
-    # As many as bring 1.7 down to TARGET_LOAD, as fast as migrations may go.
+    # As many as lower the load from 1.7 to TARGET_LOAD, within the budget of migrations.
     assert 5 <= len(migrated) <= 40 * (1 - migration.TARGET_LOAD / 1.7) + 1
     assert all(id % 2 == 0 for id in migrated)
     assert not of_type(MigrateSession, driver.tick())  # the same report is not acted on twice
 
 
 @pytest.mark.parametrize(("delay_ms", "is_watched"), [(99.0, False), (100.0, True)])
-def test_a_delay_below_every_objective_is_not_watched(delay_ms: float, is_watched: bool) -> None:
-    # Delays are reported from a third of the shortest objective; migrating then kept clients moving.
+def test_an_endpoint_is_watched_once_its_delay_reaches_the_shortest_objective(
+    delay_ms: float, is_watched: bool
+) -> None:
+    # Delays are reported from a third of the shortest objective on; migrating then kept migrating clients.
     driver = overloaded_driver(0.1)
     [send] = of_type(StartAttempt, driver.request(1))
     driver.establish(send)
@@ -54,7 +56,7 @@
 
 
 def test_an_overload_is_found_and_relieved_with_few_new_requests() -> None:
-    # No delay was reported, and health checks in rotation took 9 s to find the overload.
+    # Without a report of delays, health checks in rotation took 9 s to find the overload.
     prices = Prices(probe=0.004, moves=0.02)
     driver = Driver(plain_settings(prices=prices, **REPORTING), [entry(1), entry(2)])
     for id in range(100):
@@ -70,11 +72,11 @@
             )
     moves = of_type(MigrateSession, driver.actions)
     assert all(move.request_id % 2 == 0 for move in moves)
-    assert len(moves) > 8  # paced by new requests there were 4, and an overload lasted for 10 s
+    assert len(moves) > 8  # paced by new requests alone there were 4, and the overload lasted 10 s
 
 
 def test_an_overloaded_endpoint_is_checked_once_a_second() -> None:
-    """Each node checked at each step, though reports are no fresher; 40 of them paid 0.01 points for it."""
+    """Each node checked at each tick, though reports are no fresher; 40 nodes paid 0.01 points for that."""
     prices = Prices(probe=0.004, moves=1.0)  # migrations are not worth it: the overload stays
     driver = Driver(plain_settings(prices=prices, **REPORTING), [entry(1), entry(2)])
     for id in range(100):
@@ -94,7 +96,7 @@
 
 @pytest.mark.parametrize("load", [0.1, 0.3, 0.9])
 def test_sessions_of_a_draining_endpoint_are_not_migrated(load: float) -> None:
-    """When all nodes migrated them at once, the others were full before a replacement had started."""
+    """When all nodes migrated them at once, other endpoints were full before a replacement had started."""
     driver = Driver(plain_settings(load_report_fields=("x0",)), [entry(1), entry(2)])
     for id in range(6):
         driver.adopt(id, 2 if id < 3 else 1)
--- a/tests/policy/test_policy.py
+++ b/tests/policy/test_policy.py
@@ -12,12 +12,12 @@
 from tests.policy.driver import plain_settings
 
 
-def test_what_is_no_event_raises() -> None:
+def test_handling_an_object_that_is_no_event_raises_type_error() -> None:
     with pytest.raises(TypeError, match="not an event"):
         Policy(plain_settings(), 1).handle(0, "hello")  # type: ignore[arg-type]
 
 
-def test_each_decision_file_is_short_and_deployed() -> None:
+def test_each_policy_file_is_short_and_listed_in_the_deploy_file() -> None:
     """Each file that holds decisions is short, and the deploy file names it."""
     root = Path(__file__).parents[2]
     files = tomllib.loads((root / "deploy" / "balancer.toml").read_text())["policy"]
--- a/tests/policy/test_rendezvous.py
+++ b/tests/policy/test_rendezvous.py
@@ -19,7 +19,7 @@
 
 
 @given(st.integers(1, 2**64 - 1), st.permutations(ENDPOINTS[:12]), st.integers(1, 11))
-def test_the_order_depends_on_the_group_alone_and_a_lost_endpoint_moves_only_its_groups(
+def test_the_order_ignores_the_list_order_and_a_lost_endpoint_moves_only_its_groups(
     group: int, endpoints: list[KeyedEndpoint], lost: int
 ) -> None:
     order = preferred_endpoints(group, endpoints, 12)
@@ -29,7 +29,7 @@
 
 
 def test_groups_are_spread_evenly_at_first_and_second_endpoints() -> None:
-    """With CRC alone all groups of one endpoint had the same second one, which got the whole lost load."""
+    """With CRC alone, all groups of an endpoint had the same second one, which took the whole load."""
     found = [
         preferred_endpoints(0x5C0F6E1A2B3D4C59 * i & (1 << 64) - 1, ENDPOINTS, 2) for i in range(1, 6601)
     ]
--- a/tests/policy/test_safety_rules.py
+++ b/tests/policy/test_safety_rules.py
@@ -70,7 +70,7 @@
         self.feed(Started())
 
     def feed(self, event: Event) -> None:
-        """Feed an event and check what comes of it."""
+        """Feed an event and check the resulting actions."""
         for action in self.policy.handle(self.now, event):
             if isinstance(action, StartAttempt):
                 self.check_attempt(action)
@@ -117,14 +117,14 @@
             )
 
     def update_list(self) -> None:
-        """A random update of the list: endpoints come, restart, drain, vanish from it, or nothing at all."""
+        """Feed a random list update: endpoints are added, restart, drain, are missing, or nothing changes."""
         ids = self.rng.sample(range(self.endpoint_count), self.rng.randrange(self.endpoint_count + 1))
         full = self.rng.random() < 0.2
-        rows = []
+        new_entries = []
         for id in ids:
             started = self.rng.choice((0, 0, self.now, self.now - 5 * SECOND))
             state = self.rng.choice((0, 0, 0, 1, 2))
-            rows.append(
+            new_entries.append(
                 entry(
                     id,
                     availability=state,
@@ -136,14 +136,16 @@
             )
         if full:
             self.draining = set(self.entries) - set(ids)
-        for row in rows:
-            if row.availability != Availability.GONE:
-                self.entries[row.id] = row
-            (self.draining.discard if row.availability == 0 else self.draining.add)(row.id)
-        self.feed(EndpointListUpdate(ListUpdateKind.FULL if full else ListUpdateKind.DELTA, tuple(rows)))
+        for new_entry in new_entries:
+            if new_entry.availability != Availability.GONE:
+                self.entries[new_entry.id] = new_entry
+            (self.draining.discard if new_entry.availability == 0 else self.draining.add)(new_entry.id)
+        self.feed(
+            EndpointListUpdate(ListUpdateKind.FULL if full else ListUpdateKind.DELTA, tuple(new_entries))
+        )
 
     def request(self, id: int) -> None:
-        more = {
+        extra = {
             "load": self.rng.choice((None, 0.0, 5.0, 500.0, float("nan"))),
             "is_migrated": self.rng.random() < 0.3,
             "mid_flow": self.rng.random() < 0.1,
@@ -152,11 +154,11 @@
         }
         wait = self.rng.randrange(1, 3 * SECOND)
         cls = self.rng.randrange(len(self.options.classes))
-        self.requests[id] = Request(id, cls, self.now + wait, **more)  # type: ignore[arg-type]
+        self.requests[id] = Request(id, cls, self.now + wait, **extra)  # type: ignore[arg-type]
         self.feed(self.requests[id])
 
     def adopt(self, id: int) -> None:
-        """A session was established before the start, perhaps at an endpoint that no list names."""
+        """Adopt a session, perhaps at an endpoint that no list names."""
         self.requests[id] = Request(id, 0, self.now, self.rng.choice((None, 3.0)))
         endpoint = self.rng.randrange(self.endpoint_count + 2)
         self.established.add(id)
@@ -169,7 +171,7 @@
         self.feed(SessionReport(id, attempt, endpoint, kind, value))
 
     def end(self, id: int) -> None:
-        """An attempt ends, is established, or reports."""
+        """Establish or end an attempt, or report on its session."""
         attempt, endpoint = self.active[id]
         if id not in self.established and not self.is_finished(id) and self.rng.random() < 0.4:
             self.established.add(id)
@@ -188,7 +190,7 @@
         self.feed(AttemptEnded(id, attempt, endpoint, result, complete, 20_000, (self.rng.uniform(-1, 3),)))
 
     def pass_time(self, span_us: int) -> None:
-        """Time passes and timers come due, at the time they were set for."""
+        """Let time pass, and fire each timer at the time for which it was set."""
         until = self.now + span_us
         while self.timers and self.timers[0][0] <= until:
             when, token = heappop(self.timers)
@@ -197,37 +199,37 @@
         self.now = until
 
     def run_random_events(self, steps: int) -> None:
-        """Many random events, then enough time for every answer that is owed."""
+        """Feed random events, then let enough time pass for every answer that is due."""
         for id in range(-20, 0):
             self.adopt(abs(id) + steps)
         for id in range(steps):
-            what = self.rng.random()
-            if what < 0.15:
+            draw = self.rng.random()
+            if draw < 0.15:
                 self.update_list()
-            elif what < 0.5:
+            elif draw < 0.5:
                 self.request(id)
-            elif what < 0.8 and self.active:
+            elif draw < 0.8 and self.active:
                 self.end(self.rng.choice(sorted(self.active)))
-            elif what < 0.85 and self.requests:
-                gone = self.rng.choice(sorted(self.requests))
-                if gone not in self.established and not self.is_finished(gone):
-                    self.ended.add(gone)
-                    self.feed(ClientDisconnected(gone))
-            elif what < 0.9:
+            elif draw < 0.85 and self.requests:
+                disconnected = self.rng.choice(sorted(self.requests))
+                if disconnected not in self.established and not self.is_finished(disconnected):
+                    self.ended.add(disconnected)
+                    self.feed(ClientDisconnected(disconnected))
+            elif draw < 0.9:
                 self.feed(
                     HealthCheckEnded(
                         self.rng.randrange(20), self.rng.randrange(4), 900, (self.rng.uniform(0, 3),)
                     )
                 )
-            elif what < 0.91:
+            elif draw < 0.91:
                 self.feed(
                     PeerMessageReceived(self.rng.randrange(5), self.rng.randbytes(self.rng.randrange(9)))
                 )
-            elif what < 0.92 and all(self.is_finished(id) or id in self.established for id in self.requests):
-                self.now += 3600 * SECOND  # nothing is owed: the host may have slept
-            elif what < 0.93:
-                for more in range(50):  # a flood
-                    self.request((id + 1) * 1000 + more)
+            elif draw < 0.92 and all(self.is_finished(id) or id in self.established for id in self.requests):
+                self.now += 3600 * SECOND  # no answer is due: the machine may have been suspended
+            elif draw < 0.93:
+                for extra in range(50):  # a burst
+                    self.request((id + 1) * 1000 + extra)
             else:
                 self.pass_time(self.rng.randrange(SECOND))
         self.pass_time(5 * SECOND)
@@ -289,13 +291,13 @@
 def test_warming_endpoints_are_sent_no_more_than_their_budget(
     seed: int, warm: int, warming: int, rate: float, multiple: float, adopted: int
 ) -> None:
-    """No window holds more attempts at a warming endpoint than the multiple of what a warm one takes."""
+    """No window has more attempts at a warming endpoint than the multiple of what a warm one gets."""
     rules = SafetyRules(overload_multiple=multiple, slow_start_share=0.2, slow_start_us=20 * SECOND)
     endpoints = [entry(id) for id in range(warm)] + [
         entry(warm + id, started_us=START) for id in range(warming)
     ]
     host = RandomHost(seed, Settings(rules=rules, load_report_fields=("x0",)))
-    host.entries = {row.id: row for row in endpoints}
+    host.entries = {new_entry.id: new_entry for new_entry in endpoints}
     host.feed(EndpointListUpdate(ListUpdateKind.FULL, tuple(endpoints)))
     for id in range(adopted):
         host.feed(SessionAdopted(Request(10**6 + id, 0, START), id % warm))
--- a/tests/policy/test_selection.py
+++ b/tests/policy/test_selection.py
@@ -29,7 +29,7 @@
 
 
 def test_candidates_are_checked_and_the_best_one_is_chosen() -> None:
-    # An instance with few requests never has fresh reports of a large group.
+    # An instance with few requests never has fresh reports of many endpoints.
     driver = Driver(plain_settings(balancers=50, **REPORTING), [entry(i) for i in range(40)])
     check_count = 0
     for id in range(20):
@@ -63,7 +63,7 @@
 
 
 @pytest.mark.parametrize("class_index", [0, 1])
-def test_near_saturation_the_least_priority_weight_is_rejected_first(class_index: int) -> None:
+def test_near_saturation_the_lowest_priority_weight_is_rejected_first(class_index: int) -> None:
     assert admission.ADMISSION_LIMITS[0] < admission.ADMISSION_LIMITS[1]
     limit = admission.ADMISSION_LIMITS[class_index]
     assert of_type(StartAttempt, overloaded_driver(limit - 0.01).request(1, class_index))
@@ -71,25 +71,25 @@
 
 
 def test_a_burst_between_two_reports_is_rejected_once_it_fills_the_endpoint() -> None:
-    """Clients of two failed nodes came together, and all were admitted by old reports."""
+    """Clients of two failed nodes arrived at once, and all were admitted on the basis of old reports."""
     driver = adopting_driver(0.5, 20)
     admitted = 0
     for id in range(100, 140):
         for send in of_type(StartAttempt, driver.request(id, load=1.0)):
             driver.establish(send)
             admitted += 1
-    # 20 sessions are reported as 0.5, with a pseudo load of 20 beside them: each is predicted to add 0.0125.
+    # A load of 0.5 is reported for 20 sessions and a pseudo load of 20: each session adds 0.0125.
     assert 10 <= admitted <= 20
 
 
 def test_a_request_rejected_for_load_is_told_when_to_retry() -> None:
-    # Rejected clients retried at once, fifteen for each new one, and were rejected again.
+    # Rejected clients retried at once, fifteen for each new client, and were rejected again.
     [rejection] = of_type(RejectRequest, overloaded_driver(2.0).request(1))
     assert 500_000 <= rejection.retry_after_us <= 1_000_000
 
 
 def test_a_burst_is_spread_before_any_report() -> None:
-    # All clients of an endpoint that was lost went to the one with the least predicted load.
+    # All clients of a lost endpoint went to the endpoint with the lowest predicted load.
     driver = Driver(plain_settings(**REPORTING), [entry(1), entry(2)])
     for endpoint in (1, 2):
         driver.feed(HealthCheckEnded(endpoint, AttemptResult.OK, 500, (0.02 * endpoint, 0.0)))
@@ -98,11 +98,11 @@
         [send] = of_type(StartAttempt, driver.request(id, load=1.0))
         driver.establish(send)
         sent[int(str(send.endpoint))] += 1
-    assert min(sent.values()) >= 5  # and both end at the same predicted load
+    assert min(sent.values()) >= 5  # both end at the same predicted load
 
 
-def test_an_affinity_group_stays_together_where_load_allows() -> None:
-    """Each endpoint with sessions of a group pays for it; by load alone each group was everywhere."""
+def test_an_affinity_group_stays_at_one_endpoint_until_that_is_overloaded() -> None:
+    """Each endpoint with sessions of a group bears its shared work; by load alone, groups were everywhere."""
     driver = Driver(plain_settings(load_report_fields=("x0",)), map(entry, range(6)))
     for id in range(6):
         driver.feed(HealthCheckEnded(id, AttemptResult.OK, 900, (0.03,)))
@@ -115,7 +115,7 @@
     other = Driver(plain_settings(load_report_fields=("x0",)), map(entry, range(6)), seed=99)
     for id in range(6):
         other.feed(HealthCheckEnded(id, AttemptResult.OK, 900, (0.03,)))
-    # Other instances prefer the same endpoint.
+    # Another instance prefers the same endpoint.
     assert of_type(StartAttempt, other.request(1, affinity_group=7))[0].endpoint == endpoints[0]
     for _ in range(3):
         driver.feed(HealthCheckEnded(endpoints[0], AttemptResult.OK, 900, (1.5,)))
@@ -123,10 +123,10 @@
 
 
 def test_instances_that_share_nothing_place_an_affinity_group_together() -> None:
-    """99 groups were once spread over 826 endpoints, and that load alone filled the fleet."""
+    """99 groups were once spread over 826 endpoints, and the load of that alone filled all endpoints."""
     settings = plain_settings(balancers=200, load_report_fields=("x0",))
     endpoints = [entry(i) for i in range(1, 41)]
-    where: dict[int, set[EndpointId]] = {}
+    endpoints_by_group: dict[int, set[EndpointId]] = {}
     for seed in range(10):
         driver = Driver(settings, endpoints, seed=seed)
         for endpoint in endpoints:
@@ -134,9 +134,9 @@
         for group in range(1, 21):
             [send] = of_type(StartAttempt, driver.request(group, affinity_group=group))
             driver.establish(send)
-            where.setdefault(group, set()).add(send.endpoint)
-    assert sum(map(len, where.values())) <= 1.2 * len(where)
-    assert len(set().union(*where.values())) > 12  # and different groups prefer different ones
+            endpoints_by_group.setdefault(group, set()).add(send.endpoint)
+    assert sum(map(len, endpoints_by_group.values())) <= 1.2 * len(endpoints_by_group)
+    assert len(set().union(*endpoints_by_group.values())) > 12  # different groups prefer different endpoints
 
 
 def test_an_affinity_group_goes_to_its_second_endpoint_where_the_first_is_overloaded() -> None:
--- a/tests/policy/test_send_safety.py
+++ b/tests/policy/test_send_safety.py
@@ -1,4 +1,4 @@
-"""Never twice in effect: what is allowed when an attempt is decided, and again when its line goes out."""
+"""No request takes effect twice: checks when an attempt is started, and again before its line is sent."""
 
 from __future__ import annotations
 
@@ -34,10 +34,10 @@
 
 
 def test_a_rejected_retry_keeps_the_request_bound_to_the_first_endpoint() -> None:
-    """When the endpoint rejected the retry, the request was freed for all endpoints, and could run twice."""
+    """The first attempt may have run; after its endpoint rejected a retry, all endpoints were allowed."""
     driver = make_driver(KEYED)
     [first] = of_type(StartAttempt, driver.request(1))
-    driver.end(first, AttemptResult.TIMEOUT)  # it may run yet; only its own cell drops a repeat
+    driver.end(first, AttemptResult.TIMEOUT)  # it may still run; only its own cell drops a repeat
     driver.now += 100_000
     again = of_type(StartAttempt, driver.feed(TimerFired(16 + 1)))
     assert [send.endpoint for send in again] == [first.endpoint]
@@ -58,9 +58,9 @@
     assert not driver.policy.is_safe_to_reject(1)
     driver.end(send, AttemptResult.CONNECT_FAILED)
     driver.feed(ClientDisconnected(1))
-    anywhere = make_driver(replace(KEYED, deduplication_scope=DeduplicationScope.ALL))
-    anywhere.request(1)
-    assert anywhere.policy.is_safe_to_reject(1)
+    shared_keys_driver = make_driver(replace(KEYED, deduplication_scope=DeduplicationScope.ALL))
+    shared_keys_driver.request(1)
+    assert shared_keys_driver.policy.is_safe_to_reject(1)
 
 
 def test_no_line_is_sent_to_an_endpoint_that_began_to_drain_during_the_connect() -> None:
@@ -83,7 +83,7 @@
 
 
 def test_no_retry_is_sent_after_the_deduplication_window_of_the_first_attempt() -> None:
-    """Decided within the window and dialled for longer than was left of it, it would have run twice."""
+    """A retry started within the window, whose connection took longer than the rest, would have run twice."""
     driver = make_driver(KEYED)
     [first] = of_type(StartAttempt, driver.request(1, wait_us=5 * SECOND))
     assert driver.policy.may_send_attempt(driver.now + SECOND, 1)  # the first attempt opens the window
--- a/tests/policy/test_slow_start.py
+++ b/tests/policy/test_slow_start.py
@@ -23,7 +23,7 @@
     sent = 0
     endpoint = driver.policy.model.endpoints[99]
     endpoint.slow_start_budget = 0.0
-    for step in range(80):  # 40 s of 20 requests a second, each soon over
+    for step in range(80):  # 40 s of 20 requests a second; each session ends at once
         for id in range(step * 10, step * 10 + 10):
             [send] = of_type(StartAttempt, driver.request(id))
             sent += send.endpoint == 99
--- a/tests/policy/test_slow_start_sum.py
+++ b/tests/policy/test_slow_start_sum.py
@@ -1,4 +1,4 @@
-"""What all nodes together send to a warming endpoint, on a virtual clock, compared with what is allowed."""
+"""All nodes together send no more to a warming endpoint than the settings allow, on a virtual clock."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 from stepflow.policy import Policy
 from tests.policy.driver import SECOND, START, entry
 
-CAPACITY_SESSIONS = 40.0  # sessions of mean load that fill an endpoint, where nothing else is said
+CAPACITY_SESSIONS = 40.0  # sessions of mean load that fill an endpoint, by default
 RULES = SafetyRules(
     slow_start_share=0.3, slow_start_us=8 * SECOND, overload_multiple=2.5, overload_after_us=1_500_000
 )
@@ -40,24 +40,24 @@
 
 
 def allowed(now: int, started: int, capacity_sessions: float = CAPACITY_SESSIONS) -> float:
-    """What the settings allow in the window that ends now, for an endpoint that started then."""
+    """Return the attempts allowed in the window that ends at `now`, for an endpoint started at `started`."""
     age = (now - started) / RULES.slow_start_us
     capacity = min(1.0, RULES.slow_start_share + (1 - RULES.slow_start_share) * age)
-    rate = capacity_sessions / (RULES.slow_start_us / SECOND)  # fills it over its slow start
+    rate = capacity_sessions / (RULES.slow_start_us / SECOND)  # fills the endpoint over its slow start
     return RULES.overload_multiple * capacity * rate * WINDOW_US / SECOND
 
 
 @dataclass
 class Fleet:
-    """Nodes at equal endpoints; each session is established at once, and stays or ends after a while."""
+    """Nodes with equal endpoints. Each session is established at once, and lasts `life_s` on average."""
 
     nodes: int
     endpoints: int
     load: float
     seed: int
-    life_s: float = math.inf  # of a session, in the mean
+    life_s: float = math.inf  # mean life of a session
     capacity_sessions: float = CAPACITY_SESSIONS
-    skew: float = 1.0  # the busiest node's traffic over the least busy one's, in steps
+    skew: float = 1.0  # traffic of the busiest node over the least busy one's; the rest lie between
     open_sessions: dict[object, int] = field(default_factory=dict)
     started: dict[object, int] = field(default_factory=dict)
     sent: dict[object, list[int]] = field(default_factory=dict)
@@ -79,7 +79,7 @@
             self.feed(node, SessionAdopted(Request(self.last_id, 0, 0, 1.0), endpoint))
 
     def start_node(self, node: int) -> Policy:
-        """A new process."""
+        """Start a new process of a node."""
         self.timers[node] = {}
         policy = Policy(self.settings, self.seed * 1000 + node + self.now)
         self.run(node, policy.handle(self.now, Started()), policy)
@@ -132,7 +132,7 @@
                 self.feed(self.random_node(), request)
 
     def end_sessions(self, share: float) -> None:
-        """About this share of the sessions ends, wherever they are."""
+        """End about this share of all sessions."""
         for node, policy in enumerate(self.policies if share else ()):
             for request in [
                 f for f in policy.requests.values() if f.is_established and self.rng.random() < share
@@ -144,7 +144,7 @@
                 self.feed(node, end)
 
     def restart_endpoints(self, *endpoints: int) -> None:
-        """These are replaced, and their sessions end."""
+        """Restart endpoints, which ends their sessions."""
         for endpoint in endpoints:
             self.started[endpoint], self.open_sessions[endpoint] = self.now, 0
             self.sent.pop(endpoint, None)
@@ -164,7 +164,7 @@
             self.feed(node, EndpointListUpdate(ListUpdateKind.DELTA, entries))
 
     def restart_nodes(self, nodes: int) -> int:
-        """So many nodes are killed and start again; returns how many sessions they held."""
+        """Kill and restart this many nodes. Returns the number of sessions that they held."""
         lost = 0
         for node in range(nodes):
             for request in self.policies[node].requests.values():
@@ -175,7 +175,7 @@
         return lost
 
     def max_window_ratio(self) -> float:
-        """The most attempts at an endpoint in a window, over what is allowed with a margin for chance."""
+        """Return the highest ratio of attempts to allowed ones in any window, with a margin for chance."""
         worst = 0.0
         for endpoint, times in self.sent.items():
             if not self.started[endpoint]:
@@ -195,7 +195,7 @@
 @pytest.mark.parametrize("seed", SEEDS)
 @pytest.mark.parametrize("skew", [1.0, 9.0])
 @pytest.mark.parametrize("nodes", [6, 30])
-def test_a_few_warming_endpoints_among_many(nodes: int, skew: float, seed: int) -> None:
+def test_a_few_warming_endpoints_get_no_more_than_is_allowed(nodes: int, skew: float, seed: int) -> None:
     fleet = Fleet(nodes, 20, 0.5, seed, skew=skew)
     fleet.pass_time(4, 10)
     fleet.restart_endpoints(0, 1, 2)
@@ -206,7 +206,7 @@
 @pytest.mark.parametrize("seed", SEEDS)
 @pytest.mark.parametrize("nodes", [6, 30])
 def test_budgets_saved_while_idle_are_not_spent_at_once(nodes: int, seed: int) -> None:
-    """Each node had saved an attempt for each warming endpoint, and a burst brought all of them."""
+    """Each node had saved an attempt for each warming endpoint, and a burst spent all of these at once."""
     fleet = Fleet(nodes, 20, 0.5, seed)
     fleet.pass_time(4, 10)
     fleet.restart_endpoints(0, 1, 2)
@@ -217,7 +217,7 @@
 
 @pytest.mark.parametrize("seed", SEEDS)
 @pytest.mark.parametrize("nodes", [6, 30])
-def test_clients_of_restarted_nodes_that_come_at_once(nodes: int, seed: int) -> None:
+def test_a_burst_of_clients_of_restarted_nodes_gets_no_more_than_is_allowed(nodes: int, seed: int) -> None:
     fleet = Fleet(nodes, 20, 0.5, seed, skew=4.0)
     fleet.pass_time(4, 10)
     fleet.restart_endpoints(0, 1, 2)
@@ -231,8 +231,10 @@
 @pytest.mark.parametrize("seed", SEEDS)
 @pytest.mark.parametrize("nodes", [6, 30])
 @pytest.mark.parametrize("warming", [18, 20])
-def test_nearly_all_endpoints_warm_up_at_once(nodes: int, warming: int, seed: int) -> None:
-    """What one bears was learned from sessions at all endpoints over the few warm ones: up to 1.39."""
+def test_nearly_all_endpoints_warming_up_at_once_get_no_more_than_is_allowed(
+    nodes: int, warming: int, seed: int
+) -> None:
+    """Capacity was learned as the sessions at all endpoints over the few warm ones: a ratio of up to 1.39."""
     fleet = Fleet(nodes, 20, 0.5, seed)
     fleet.pass_time(4, 10)
     fleet.restart_endpoints(*range(warming))
@@ -244,10 +246,10 @@
 @pytest.mark.parametrize("seed", SEEDS)
 @pytest.mark.parametrize("nodes", [6, 30])
 @pytest.mark.parametrize(("warming", "life_s"), [(3, 4.0), (10, 4.0), (20, 4.0), (20, 10.0)])
-def test_sessions_that_are_shorter_than_the_slow_start(
+def test_sessions_shorter_than_the_slow_start_get_no_more_than_is_allowed(
     nodes: int, warming: int, life_s: float, seed: int
 ) -> None:
-    """Twice as many as come to a warm endpoint were sent, which fills a warming one too fast: 1.40."""
+    """Twice a warm endpoint's rate was sent, which filled a warming one too fast: a ratio of 1.40."""
     fleet = Fleet(nodes, 20, 0.5, seed, life_s, capacity_sessions=80.0)
     rate = 20 * 80.0 * 0.5 / life_s
     fleet.pass_time(4, rate)
--- a/tests/policy/test_weights.py
+++ b/tests/policy/test_weights.py
@@ -1,4 +1,4 @@
-"""The PID controller of the weights, the draw, and the price of crossings."""
+"""The PID controller of the weights, the draw, and the price of crossing zones."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from tests.policy.driver import REPORTING, Driver, entry, of_type, placed_endpoint, plain_settings
 
 
-def test_pid_step_arithmetic() -> None:
+def test_a_pid_step_changes_the_weights_by_the_calculated_amounts() -> None:
     # One step of 1 s, mean 1: errors 0.6 * +-0.5 = +-0.3, integrals 0.5 * +-0.3 = +-0.15,
     # derivatives 0.125 * (0 - +-0.3) = -+0.0375; changes +-0.4125, from equal weights and costs.
     settings = plain_settings()
@@ -68,7 +68,7 @@
 
 
 def test_a_zone_without_endpoints_does_not_keep_sessions_from_other_zones() -> None:
-    # The last load of a zone that was lost was kept, and its clients never reached the other zones.
+    # The last load of a lost zone was kept, so its clients never reached the other zones.
     settings = plain_settings(prices=Prices(cross_zone=0.1))
     driver = Driver(settings, [entry(1), entry(2, zone=1), entry(3, zone=1)])
     driver.tick(10.0)
