--- a/stepflow/estimates/arrivals.py
+++ b/stepflow/estimates/arrivals.py
@@ -8,7 +8,7 @@
 RATE_DECAY_S = 20.0
 RATE_KNOWN_AFTER_S = 3.0  # the own request rate is not reliable before
 MIN_SESSION_S = 60.0  # assumed minimum life of a session, which converts open sessions to a rate
-ADOPTED_RATIO = 6.0  # from this ratio, an overload lasts, since few new requests find it
+ADOPTED_RATIO = 6.0  # of adopted to new; above it, an overload lasts, since few new requests find it
 
 
 class ArrivalEstimate:
--- a/stepflow/policy/health_checks.py
+++ b/stepflow/policy/health_checks.py
@@ -14,7 +14,7 @@
 from stepflow.policy.weights import WeightController
 
 ROTATION_PRICE_SHARE = 0.002  # points of the result that health checks in rotation may cost
-MIN_ROTATION_INTERVAL_S = 1.0  # minimum time between two checks of an endpoint in rotation
+MIN_ROTATION_INTERVAL_S = 1.0  # lower bound of the mean time between two checks of an endpoint in rotation
 MIN_PRICE = 1e-9  # assumed price of a check that is free
 FRESH_REPORT_US = 700_000  # a load report older than this is stale
 LATENCY_WEIGHT = 0.1  # weight of a new latency in the smoothed latency
@@ -46,10 +46,10 @@
         affordable = ROTATION_PRICE_SHARE / price * context.arrivals.turnover()
         rate = min(len(context.model.endpoints) / MIN_ROTATION_INTERVAL_S, affordable)
         self._rotation_budget = clamp(self._rotation_budget + rate * seconds, -rate, 1.0 + rate)
-        while self._rotation_budget >= 1 and self._weights.listed:
+        while self._rotation_budget >= 1 and self._weights.drawable:
             self._rotation_budget -= 1
             # The endpoint checked longest ago is next: with a random choice, some would wait long.
-            self.start(min(self._weights.listed, key=lambda endpoint: endpoint.checked_us))
+            self.start(min(self._weights.drawable, key=lambda endpoint: endpoint.checked_us))
 
     def finish(self, event: HealthCheckEnded) -> EndpointState | None:
         """Handle the result of a check. Returns its endpoint, or None if it is no longer listed."""
--- a/stepflow/policy/load_model.py
+++ b/stepflow/policy/load_model.py
@@ -71,12 +71,12 @@
             return
         pseudo, balancers = self.pseudo_load() * endpoint.relative_size, self.settings.balancers
         # The report was measured a moment ago and does not include later sessions.
-        load_then = endpoint.load_history[0] if endpoint.load_history else endpoint.load
-        cost = value / (balancers * (self.loads.in_sessions(load_then) + pseudo))
-        kept = 0.0
+        load_at_report = endpoint.load_history[0] if endpoint.load_history else endpoint.load
+        cost = value / (balancers * (self.loads.in_sessions(load_at_report) + pseudo))
+        old_weight = 0.0
         if endpoint.reported_us:
-            kept = (1 - REPORT_WEIGHT) * math.exp((endpoint.reported_us - now) / REPORT_DECAY_US)
-        endpoint.cost = kept * endpoint.cost + (1 - kept) * cost
+            old_weight = (1 - REPORT_WEIGHT) * math.exp((endpoint.reported_us - now) / REPORT_DECAY_US)
+        endpoint.cost = old_weight * endpoint.cost + (1 - old_weight) * cost
         endpoint.reported_us, endpoint.placed_load = now, 0.0
         endpoint.predicted_load = endpoint.cost * balancers * (self.loads.in_sessions(endpoint.load) + pseudo)
         kind_cost = self.kind_cost.setdefault(endpoint.kind, cost)
--- a/stepflow/policy/periodic.py
+++ b/stepflow/policy/periodic.py
@@ -65,4 +65,4 @@
         self._weights.step(context.now_us, elapsed_us / SECOND_US)
         if context.arrivals.is_mostly_adopted():
             # With few new requests, checks in rotation find an overload too late: watch these endpoints now.
-            self._migration.watch_overloaded(self._weights.listed)
+            self._migration.watch_overloaded(self._weights.drawable)
--- a/stepflow/policy/requests.py
+++ b/stepflow/policy/requests.py
@@ -18,7 +18,8 @@
     def __init__(self, model: LoadModel) -> None:
         self._model = model
         self.by_id: dict[int, RequestState] = {}
-        self._group_endpoints: dict[int, dict[EndpointId, EndpointState]] = {}  # by group
+        # The endpoints with own sessions of each affinity group.
+        self._group_endpoints: dict[int, dict[EndpointId, EndpointState]] = {}
 
     def add(self, request: Request, max_attempts: int = 1) -> RequestState:
         """Add a request that has arrived, or that was open at the start, and return its state."""
--- a/stepflow/policy/selection.py
+++ b/stepflow/policy/selection.py
@@ -100,7 +100,7 @@
         held = sorted(holders, key=lambda endpoint: endpoint.predicted_load)[:1]
         preferred = []
         if group:
-            preferred = preferred_endpoints(group, self._weights.listed, MAX_GROUP_CANDIDATES)
+            preferred = preferred_endpoints(group, self._weights.drawable, MAX_GROUP_CANDIDATES)
         request.preferred_endpoint = preferred[0] if preferred else None
         return held + [endpoint for endpoint in preferred if endpoint not in held]
 
--- a/stepflow/policy/weights.py
+++ b/stepflow/policy/weights.py
@@ -38,8 +38,8 @@
 
     def __init__(self, settings: Settings, model: LoadModel, rng: random.Random) -> None:
         self.settings, self.model, self.rng = settings, model, rng
-        self.listed: list[EndpointState] = []  # endpoints in the table
-        self.cumulative_weights: list[float] = []  # those of the listed endpoints
+        self.drawable: list[EndpointState] = []  # endpoints in the table
+        self.cumulative_weights: list[float] = []  # running sums of their weights
         self.zone_load: dict[int, float] = {}  # mean predicted load by zone
         self.mean_load = UNREPORTED_LOAD
         self.stepped_us = 0
@@ -76,15 +76,15 @@
             endpoint.error_sum = clamp(error_sum, -MAX_ERROR_SUM, MAX_ERROR_SUM)
             change = error + endpoint.error_sum + KD * (endpoint.last_error - error) * seconds
             endpoint.last_error = error
-            base = clamp(mean_cost / endpoint.cost, floor, cap) if endpoint.cost > 0 else 1.0
-            weight = endpoint.weight + leak * (base - endpoint.weight) - change
+            base_weight = clamp(mean_cost / endpoint.cost, floor, cap) if endpoint.cost > 0 else 1.0
+            weight = endpoint.weight + leak * (base_weight - endpoint.weight) - change
             endpoint.weight = clamp(weight, floor, cap)
             endpoint.health = min(1.0, endpoint.health + seconds / HEALTH_RECOVERY_S)
 
     def tabulate(self, now: int) -> None:
         """Rebuild the table for the draw from the weights of the endpoints that are ready."""
         shares = {zone: self._zone_share(zone) for zone in self.zone_load}
-        self.listed, self.cumulative_weights, total = [], [], 0.0
+        self.drawable, self.cumulative_weights, total = [], [], 0.0
         for endpoint in self.model.endpoints.values():
             if endpoint.availability != Availability.READY:
                 continue
@@ -93,18 +93,18 @@
             if weight > 0:
                 total += weight
                 self.cumulative_weights.append(total)
-                self.listed.append(endpoint)
+                self.drawable.append(endpoint)
 
     def draw(self, is_eligible: Callable[[EndpointState], bool]) -> EndpointState | None:
         """Draw an eligible endpoint by weight. Returns None if there is none."""
         for _ in range(MAX_DRAWS if self.cumulative_weights else 0):
             point = self.rng.random() * self.cumulative_weights[-1]
             index = bisect(self.cumulative_weights, point)
-            endpoint = self.listed[min(index, len(self.listed) - 1)]
+            endpoint = self.drawable[min(index, len(self.drawable) - 1)]
             if is_eligible(endpoint):
                 return endpoint
-        rest = [e for e in self.model.endpoints.values() if is_eligible(e)]
-        return self.rng.choices(rest, [e.weight * e.health for e in rest])[0] if rest else None
+        eligible = [e for e in self.model.endpoints.values() if is_eligible(e)]
+        return self.rng.choices(eligible, [e.weight * e.health for e in eligible])[0] if eligible else None
 
     def _zone_share(self, zone: int) -> float:
         """Return the share of their weight that a zone's endpoints get, given the price of crossing zones."""
--- a/tests/policy/test_load_model.py
+++ b/tests/policy/test_load_model.py
@@ -120,7 +120,7 @@
 
 
 def test_placements_count_before_the_first_step() -> None:
-    """Without costs, placements counted 0, and a restarted node sent all requests of a second to one endpoint."""
+    """Without costs, placements counted 0, and a restarted node sent a second's requests to one endpoint."""
     driver = Driver(plain_settings(), [entry(1), entry(2)])
     [send] = of_type(StartAttempt, driver.request(1))
     assert driver.policy.model.endpoints[send.endpoint].placed_load > 0
--- a/tests/policy/test_migration.py
+++ b/tests/policy/test_migration.py
@@ -70,9 +70,9 @@
                     check.endpoint, AttemptResult.OK, 500, (1.4 if check.endpoint == 1 else 0.2, 0.0)
                 )
             )
-    moves = of_type(MigrateSession, driver.actions)
-    assert all(move.request_id % 2 == 0 for move in moves)
-    assert len(moves) > 8  # paced by new requests alone there were 4, and the overload lasted 10 s
+    migrations = of_type(MigrateSession, driver.actions)
+    assert all(action.request_id % 2 == 0 for action in migrations)
+    assert len(migrations) > 8  # paced by new requests alone there were 4, and the overload lasted 10 s
 
 
 def test_an_overloaded_endpoint_is_checked_once_a_second() -> None:
@@ -103,4 +103,4 @@
     driver.update_list(entry(2, availability=Availability.DRAINING))
     for _ in range(60):
         driver.feed(HealthCheckEnded(1, AttemptResult.OK, 900, (load,)))
-        assert [move for move in of_type(MigrateSession, driver.tick()) if move.request_id < 3] == []
+        assert [action for action in of_type(MigrateSession, driver.tick()) if action.request_id < 3] == []
--- a/tests/policy/test_slow_start_sum.py
+++ b/tests/policy/test_slow_start_sum.py
@@ -217,7 +217,9 @@
 
 @pytest.mark.parametrize("seed", SEEDS)
 @pytest.mark.parametrize("nodes", [6, 30])
-def test_a_burst_of_clients_of_restarted_nodes_gets_no_more_than_is_allowed(nodes: int, seed: int) -> None:
+def test_warming_endpoints_get_no_more_than_is_allowed_in_a_burst_after_node_restarts(
+    nodes: int, seed: int
+) -> None:
     fleet = Fleet(nodes, 20, 0.5, seed, skew=4.0)
     fleet.pass_time(4, 10)
     fleet.restart_endpoints(0, 1, 2)
@@ -246,7 +248,7 @@
 @pytest.mark.parametrize("seed", SEEDS)
 @pytest.mark.parametrize("nodes", [6, 30])
 @pytest.mark.parametrize(("warming", "life_s"), [(3, 4.0), (10, 4.0), (20, 4.0), (20, 10.0)])
-def test_sessions_shorter_than_the_slow_start_get_no_more_than_is_allowed(
+def test_endpoints_with_sessions_shorter_than_the_slow_start_get_no_more_than_is_allowed(
     nodes: int, warming: int, life_s: float, seed: int
 ) -> None:
     """Twice a warm endpoint's rate was sent, which filled a warming one too fast: a ratio of 1.40."""
--- a/tests/policy/test_weights.py
+++ b/tests/policy/test_weights.py
@@ -72,10 +72,10 @@
     settings = plain_settings(prices=Prices(cross_zone=0.1))
     driver = Driver(settings, [entry(1), entry(2, zone=1), entry(3, zone=1)])
     driver.tick(10.0)
-    assert [s.id for s in driver.policy.weights.listed] == [1]
+    assert [s.id for s in driver.policy.weights.drawable] == [1]
     driver.update_list(entry(1, availability=Availability.GONE))
     driver.tick(10.0)
-    assert [s.id for s in driver.policy.weights.listed] == [2, 3]
+    assert [s.id for s in driver.policy.weights.drawable] == [2, 3]
 
 
 def test_few_requests_take_few_controller_steps() -> None:
