--- a/tests/policy/test_slow_start.py
+++ b/tests/policy/test_slow_start.py
@@ -5,7 +5,16 @@
 from stepflow.budgets import slow_start
 from stepflow.interface import AttemptResult, Limits, StartAttempt, StartHealthCheck, TimerFired
 from stepflow.policy.context import FIRST_REQUEST_TOKEN
-from tests.policy.driver import REPORTING, SECOND, START, Driver, entry, of_type, placed, plain_settings
+from tests.policy.driver import (
+    REPORTING,
+    SECOND,
+    START,
+    Driver,
+    entry,
+    of_type,
+    placed_endpoint,
+    plain_settings,
+)
 
 
 def test_a_warming_endpoint_gets_no_more_than_its_budget() -> None:
@@ -14,7 +23,7 @@
     sent = 0
     endpoint = driver.policy.model.endpoints[99]
     endpoint.slow_start_budget = 0.0
-    for step in range(80):  # 40 s of 20 requests a second, each soon over
+    for step in range(80):  # 40 s of 20 requests a second; each session ends at once
         for id in range(step * 10, step * 10 + 10):
             [send] = of_type(StartAttempt, driver.request(id))
             sent += send.endpoint == 99
@@ -45,7 +54,7 @@
 def test_a_warm_endpoint_is_not_limited_by_a_budget() -> None:
     driver = Driver(plain_settings(), [entry(9, started_us=START - 20 * SECOND)])
     for id in range(50):
-        assert placed(driver, id) == 9
+        assert placed_endpoint(driver, id) == 9
 
 
 def test_a_warming_endpoint_with_a_budget_is_a_candidate() -> None:
--- a/tests/policy/test_weights.py
+++ b/tests/policy/test_weights.py
@@ -1,4 +1,4 @@
-"""The PID controller of the weights, the draw, and the price of crossings."""
+"""The PID controller of the weights, the draw, and the price of crossing zones."""
 
 from __future__ import annotations
 
@@ -8,10 +8,10 @@
 
 from stepflow.interface import Availability, EndpointId, HealthCheckEnded, Prices, StartAttempt
 from stepflow.policy import EndpointState, LoadModel, WeightController, weights
-from tests.policy.driver import REPORTING, Driver, entry, of_type, placed, plain_settings
+from tests.policy.driver import REPORTING, Driver, entry, of_type, placed_endpoint, plain_settings
 
 
-def test_pid_step_arithmetic() -> None:
+def test_a_pid_step_changes_the_weights_by_the_calculated_amounts() -> None:
     # One step of 1 s, mean 1: errors 0.6 * +-0.5 = +-0.3, integrals 0.5 * +-0.3 = +-0.15,
     # derivatives 0.125 * (0 - +-0.3) = -+0.0375; changes +-0.4125, from equal weights and costs.
     settings = plain_settings()
@@ -33,11 +33,11 @@
     for _ in range(1000):
         controller.adjust([endpoint], 1.0, 1.0, 1.0)
     assert endpoint.error_sum == weights.MAX_ERROR_SUM
-    assert endpoint.weight == weights.WEIGHT_SPAN[0]
+    assert endpoint.weight == weights.WEIGHT_RANGE[0]
     endpoint.predicted_load = 0.0
     for _ in range(20):
         controller.adjust([endpoint], 1.0, 1.0, 1.0)
-    assert endpoint.weight == weights.WEIGHT_SPAN[1]
+    assert endpoint.weight == weights.WEIGHT_RANGE[1]
 
 
 def test_the_draw_follows_the_weights() -> None:
@@ -46,7 +46,7 @@
     driver.policy.weights.tabulate(driver.now)
     counts: dict[EndpointId, int] = {1: 0, 2: 0}
     for id in range(400):
-        counts[placed(driver, id)] += 1
+        counts[placed_endpoint(driver, id)] += 1
     assert 260 <= counts[1] <= 340
 
 
@@ -68,14 +68,14 @@
 
 
 def test_a_zone_without_endpoints_does_not_keep_sessions_from_other_zones() -> None:
-    # The last load of a zone that was lost was kept, and its clients never reached the other zones.
+    # The last load of a lost zone was kept, so its clients never reached the other zones.
     settings = plain_settings(prices=Prices(cross_zone=0.1))
     driver = Driver(settings, [entry(1), entry(2, zone=1), entry(3, zone=1)])
     driver.tick(10.0)
-    assert [s.id for s in driver.policy.weights.listed] == [1]
+    assert [s.id for s in driver.policy.weights.drawable] == [1]
     driver.update_list(entry(1, availability=Availability.GONE))
     driver.tick(10.0)
-    assert [s.id for s in driver.policy.weights.listed] == [2, 3]
+    assert [s.id for s in driver.policy.weights.drawable] == [2, 3]
 
 
 def test_few_requests_take_few_controller_steps() -> None:
