--- a/stepflow/interface/__init__.py
+++ b/stepflow/interface/__init__.py
@@ -1,12 +1,12 @@
-"""The types at the boundary of the decision module: settings in, events in, actions out.
+"""The types that the policy and its host exchange: settings and events in, actions out.
 
-The host (the real node, the simulator's adapter or the fleet model) translates its own facts into events,
-hands them to the policy one at a time, and carries out the actions that come back. Nothing here holds state
-or does I/O.
+The host (a node, the simulator's adapter or the fleet model) translates what happens to it into events,
+passes them to the policy one at a time, and carries out the actions that the policy returns. These types hold
+no state of either side and do no I/O.
 
-Units: times are whole microseconds on a clock of the host's choice that only moves forward. Loads are work
-per second in the unit of the client's hint (microseconds of a standard core). Endpoint ids are opaque: they
-are compared, hashed and handed back.
+Units: times are integer microseconds on a monotonic clock that the host chooses. Loads are work per second in
+the unit of the client's load hint (microseconds of a standard core). Endpoint ids are opaque: the policy
+compares and hashes them, and returns them to the host.
 """
 
 from stepflow.interface.actions import (
--- a/stepflow/interface/actions.py
+++ b/stepflow/interface/actions.py
@@ -1,4 +1,4 @@
-"""Actions: what the policy asks its host to do, in the order in which they are to be done."""
+"""Actions that the policy asks its host to carry out, in the order in which it returns them."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class StartAttempt(NamedTuple):
-    """Begin an attempt of a request at an endpoint; a timeout of 0 leaves it to the request's deadline."""
+    """Start an attempt of a request at an endpoint; a timeout of 0 stands for the request's deadline."""
 
     request_id: int
     endpoint: EndpointId
@@ -16,27 +16,30 @@
 
 
 class RejectRequest(NamedTuple):
-    """Final answer: rejected without effect, so safe to retry (after `retry_after_us`; 0 gives no advice)."""
+    """Answer a request finally: rejected without effect, so safe to retry.
+
+    `retry_after_us` advises the client how long to wait before its retry; 0 gives no advice.
+    """
 
     request_id: int
     retry_after_us: int = 0
 
 
 class FailRequest(NamedTuple):
-    """Final answer: failed, with no promise that the request had no effect."""
+    """Answer a request finally: failed, and the request may have had an effect."""
 
     request_id: int
 
 
 class CancelAttempt(NamedTuple):
-    """Give up an attempt that is in flight; AttemptEnded follows."""
+    """Cancel an attempt that is in flight; an AttemptEnded event follows."""
 
     request_id: int
     attempt: int
 
 
 class MigrateSession(NamedTuple):
-    """End an established session gracefully; its client comes back with a new request."""
+    """End an established session gracefully; its client reconnects with a new request."""
 
     request_id: int
 
@@ -49,7 +52,7 @@
 
 
 class StartHealthCheck(NamedTuple):
-    """Ask an endpoint for its health and load report; HealthCheckEnded follows."""
+    """Ask an endpoint for its health and load report; a HealthCheckEnded event follows."""
 
     endpoint: EndpointId
 
@@ -68,7 +71,7 @@
 
 
 class WatchEndpointList(NamedTuple):
-    """Open (or end) a watch of the endpoint list."""
+    """Start a watch of the endpoint list, or end it where `enabled` is false."""
 
     enabled: bool
 
@@ -78,7 +81,7 @@
 
 
 class LogMessage(NamedTuple):
-    """A line for the host's log."""
+    """Write a line to the host's log."""
 
     text: str
 
@@ -97,4 +100,4 @@
     | FetchEndpointList
     | LogMessage
 )
-"""Whatever a policy can ask for."""
+"""Any action of a policy."""
--- a/stepflow/interface/events.py
+++ b/stepflow/interface/events.py
@@ -1,7 +1,7 @@
-"""Events: what the host tells the policy, one at a time.
+"""Events that the host passes to the policy, one at a time.
 
-An event states a fact that has happened. Its order of fields is part of the simulator's wire and of recorded
-journals, so fields are only ever added at the end.
+An event describes something that has already happened. The order of its fields is part of the simulator's
+wire and of recorded journals, so new fields are only added at the end.
 """
 
 from __future__ import annotations
@@ -11,35 +11,35 @@
 from typing import NamedTuple
 
 EndpointId = Hashable
-"""The opaque identity of an endpoint: the host chooses its type."""
+"""An opaque identifier of an endpoint; the host chooses its type."""
 
 ALL_PEERS = 0xFFFFFFFF
-"""The address of a peer message that goes to every other balancer."""
+"""The `peer` of a message to all other balancers."""
 
 
 class AttemptResult(IntEnum):
-    """How an attempt or a health check ended. The names stand in traces and logs."""
+    """The result of an attempt or a health check. Traces and logs contain the member names."""
 
     OK = 0
-    """Served to its end."""
+    """It was served to its end."""
     ERROR = 1
     """The endpoint answered with an error."""
     FULL = 2
-    """The endpoint rejected it for want of capacity; it did not run."""
+    """The endpoint rejected it for lack of capacity; it did not run."""
     TIMEOUT = 3
-    """No answer within the attempt's timeout; it may have run."""
+    """No answer came within the attempt's timeout; it may have run."""
     CONNECT_FAILED = 4
-    """No connection came up; it did not run."""
+    """No connection was established; it did not run."""
     RESET = 5
-    """The connection broke; it may have run."""
+    """The connection was lost; it may have run."""
     CANCELLED = 6
-    """The host gave it up at the policy's word or because its client left."""
+    """The host cancelled it, at the policy's request or because its client disconnected."""
     NOT_SENT = 7
-    """Ended before its request line was written; it did not run."""
+    """It ended before its request line was written; it did not run."""
 
 
 class Availability(IntEnum):
-    """What the endpoint list says of an endpoint's process."""
+    """The state of an endpoint's process according to the endpoint list."""
 
     READY = 0
     DRAINING = 1
@@ -47,32 +47,32 @@
 
 
 class ListUpdateKind(IntEnum):
-    """What an update of the endpoint list holds. The names stand in traces."""
+    """The entries that a list update contains. Traces contain the member names."""
 
     DELTA = 0
-    """Only entries that changed."""
+    """Only the entries that changed."""
     FULL = 1
-    """All entries; what is missing has been removed."""
+    """All entries; an endpoint without an entry has been removed."""
     CACHED = 2
-    """All entries as last known to the host before its start."""
+    """All entries that the host knew of before its start."""
     FAILED = 3
-    """None: the poll or watch failed."""
+    """No entries, since the poll or watch failed."""
 
 
 class SessionReportKind(IntEnum):
-    """What a report on an established session measures. The names stand in traces."""
+    """The quantity that a session report measures. Traces contain the member names."""
 
     LOAD = 1
-    """The session's load now."""
+    """The session's current load."""
     DELAY = 2
-    """How long messages take at its endpoint, in milliseconds."""
+    """The latency of the session's messages at its endpoint, in milliseconds."""
 
 
 class Endpoint(NamedTuple):
     """One entry of the endpoint list.
 
-    `size` is its capacity relative to other endpoints. `started_us` is when its process started, on the
-    host's clock, or 0 where that is unknown; it decides the endpoint's slow start.
+    `size` is the endpoint's capacity relative to other endpoints. `started_us` is the time at which its
+    process started, on the host's clock, or 0 if that is unknown; its slow start is counted from then.
     """
 
     id: EndpointId
@@ -85,7 +85,7 @@
 
 
 class Started(NamedTuple):
-    """The instance starts: the first event of all."""
+    """The instance has started; always its first event."""
 
 
 class EndpointListUpdate(NamedTuple):
@@ -96,12 +96,13 @@
 
 
 class Request(NamedTuple):
-    """A client asks for a session. The instance owes it one final answer by `expires_us`.
+    """A client requests a session. The instance has to give it one final answer by `expires_us`.
 
-    `load` is the client's hint, or None. `idempotency_key` lets endpoints drop repeats, within the class's
-    scope and window. Sessions of one `affinity_group` (0 for none) share work at the endpoint that holds
-    them. `is_retry` marks a client's own retry of an earlier request, `is_migrated` one that comes back after
-    its session was migrated, `mid_flow` one that continues a stream already begun elsewhere.
+    `load` is the client's load hint, or None. Endpoints drop repeated requests with the same
+    `idempotency_key`, within the deduplication scope and window of the request's class. Sessions of one
+    `affinity_group` (0 for none) share work if they are at the same endpoint. `is_retry` marks a retry by the
+    client itself, `is_migrated` a request that follows the migration of its session, and `mid_flow` a request
+    that continues a stream begun elsewhere.
     """
 
     id: int
@@ -117,14 +118,14 @@
 
 
 class SessionAdopted(NamedTuple):
-    """A session that was established before this instance started; its attempt 0 counts as made."""
+    """A session established before this instance started; its connection counts as attempt 0."""
 
     request: Request
     endpoint: EndpointId
 
 
 class SessionEstablished(NamedTuple):
-    """An attempt's connection is up; from now on only AttemptEnded ends it."""
+    """An attempt has established its session; the next event of its end is AttemptEnded."""
 
     request_id: int
     attempt: int
@@ -133,7 +134,7 @@
 
 
 class SessionReport(NamedTuple):
-    """A measurement on an established session (`kind` is a SessionReportKind)."""
+    """A measurement of an established session (`kind` is a SessionReportKind)."""
 
     request_id: int
     attempt: int
@@ -143,10 +144,11 @@
 
 
 class AttemptEnded(NamedTuple):
-    """An attempt has ended with an AttemptResult; `is_final` once the request needs no further answer.
+    """An attempt has ended; `result` is an AttemptResult.
 
-    `load_report` holds the endpoint's figures in the order of the settings' `load_report_fields`, if it sent
-    any.
+    `is_final` is true if the request needs no further answer. `load_report` holds the values of the
+    endpoint's load report in the order of the settings' `load_report_fields`, if the endpoint
+    sent one.
     """
 
     request_id: int
@@ -159,19 +161,22 @@
 
 
 class ClientDisconnected(NamedTuple):
-    """The client left; its request is owed nothing more."""
+    """A client has disconnected; its request needs no answer any more."""
 
     request_id: int
 
 
 class TimerFired(NamedTuple):
-    """A timer that the instance set by SetTimer has expired."""
+    """A timer that the instance set with SetTimer has expired."""
 
     token: int
 
 
 class HealthCheckEnded(NamedTuple):
-    """The result of one StartHealthCheck, with the endpoint's load report if it sent one."""
+    """A health check that StartHealthCheck asked for has ended; `result` is an AttemptResult.
+
+    `load_report` is as in AttemptEnded.
+    """
 
     endpoint: EndpointId
     result: int
@@ -180,7 +185,7 @@
 
 
 class PeerMessageReceived(NamedTuple):
-    """Bytes from another balancer."""
+    """Another balancer has sent bytes."""
 
     peer: int
     data: bytes
@@ -199,4 +204,4 @@
     | HealthCheckEnded
     | PeerMessageReceived
 )
-"""Whatever a policy can be told."""
+"""Any event of a policy."""
--- a/stepflow/interface/settings.py
+++ b/stepflow/interface/settings.py
@@ -1,7 +1,7 @@
-"""Settings: all that a deployment tells an instance of the policy at its start or at a reload.
+"""Settings that an instance of the policy gets at its start and at a reload.
 
-They are parsed elsewhere (`stepflow.settings`), from the simulator's text or the node's JSON; the keys that
-stand there are listed in docs/settings.md. Every field has a default, and impossible values raise ValueError.
+`stepflow.settings` parses them from the simulator's text or a node's JSON; docs/settings.md lists the keys
+there. Every field has a default, and an impossible value raises ValueError.
 """
 
 from __future__ import annotations
@@ -14,18 +14,18 @@
 
 
 class Idempotency(IntEnum):
-    """Whether a request of a class may be sent again after it may have run."""
+    """Whether a class's request that may already have run may be sent again."""
 
     IDEMPOTENT = 0
-    """It may: a repeat has no further effect."""
+    """Yes: a repeat has no further effect."""
     BY_KEY = 1
-    """It may where endpoints drop repeats by the request's idempotency key."""
+    """Only to endpoints that drop repeats by the request's idempotency key."""
     NOT_IDEMPOTENT = 2
-    """It may not: a repeat would take effect twice."""
+    """No: a repeat would take effect a second time."""
 
 
 class DeduplicationScope(IntEnum):
-    """Which endpoints share the idempotency keys that they have seen."""
+    """The endpoints that share the idempotency keys they have seen."""
 
     ALL = 0
     ZONE = 1
@@ -36,8 +36,9 @@
 class RequestClass:
     """One class of requests.
 
-    Endpoints drop repeats of a key for `deduplication_window_us`. `priority_weight` is what serving one
-    request is worth, relative to other classes. `message_latency_objective_us` of 0 sets none.
+    Endpoints drop requests that repeat an idempotency key for `deduplication_window_us`. `priority_weight` is
+    the value of serving one request, relative to other classes. A `message_latency_objective_us` of 0 sets no
+    objective.
     """
 
     name: str = ""
@@ -52,7 +53,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Tenant:
-    """One tenant, its share of the service and its quotas (0 for none)."""
+    """One tenant, with its share of the service and its quotas (0 for no quota)."""
 
     name: str = ""
     share: float = 1.0
@@ -62,7 +63,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Prices:
-    """What the operators charge for, in points of the result for each unit of rate or share."""
+    """The operators' prices, in points of the result for each unit of rate or share."""
 
     cross_zone: float = 0.0
     late_fail: float = 0.0
@@ -74,7 +75,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Limits:
-    """What the deployment permits."""
+    """The actions and the numbers of attempts that the deployment permits."""
 
     max_attempts: int = 3
     health_checks: bool = True
@@ -86,12 +87,12 @@
 
 @dataclass(frozen=True, slots=True)
 class SafetyRules:
-    """The figures of the operators' safety rules.
+    """The parameters of the operators' safety rules.
 
-    An endpoint that has just started bears `slow_start_share` of its capacity, and all of it `slow_start_us`
-    later. It falls once it is loaded `overload_multiple` times what it bears for `overload_after_us`. The
-    endpoint list has to be polled every `list_refresh_us`, and nothing may be sent to an endpoint
-    `drain_grace_us` after it began to drain.
+    An endpoint that has just started has `slow_start_share` of its capacity, and all of it `slow_start_us`
+    later. It crashes once its load has been `overload_multiple` times that capacity for `overload_after_us`.
+    The endpoint list has to be polled at least every `list_refresh_us`. Nothing may be sent to an endpoint
+    later than `drain_grace_us` after it began to drain.
     """
 
     answer_slack_us: int = 20_000
@@ -107,9 +108,9 @@
 class Settings:
     """All settings of an instance.
 
-    `balancers` is how many share the endpoints, `position` this one's place among them. With
-    `polls_endpoint_list` the endpoint list has to be polled, else it is pushed. With `live_weights` an
-    endpoint's size falls with what it holds.
+    `balancers` is the number of balancers that share the endpoints, `position` this balancer's index among
+    them. With `polls_endpoint_list` the instance has to poll the endpoint list; otherwise list updates are
+    pushed to it. With `live_weights` an endpoint's `size` falls as its load rises.
     """
 
     balancers: int = 1
@@ -132,7 +133,7 @@
     tick_us: int = 5_000
 
     def __post_init__(self) -> None:
-        """Raise ValueError naming a value that no deployment can mean."""
+        """Raise ValueError, which names the setting, if a value is impossible in any deployment."""
         checks = {
             "balancers": self.balancers >= 1,
             "classes": len(self.classes) >= 1,
@@ -151,9 +152,13 @@
                 raise ValueError(f"impossible setting: {name}")
 
     def class_of(self, request: Request) -> RequestClass:
-        """The class of a request; ValueError where the settings have no such class."""
+        """Return the class of a request.
+
+        Raises:
+            ValueError: The settings define no class of that index.
+        """
         if not 0 <= request.class_index < len(self.classes):
             raise ValueError(
-                f"request {request.id} is of class {request.class_index}, which the settings lack"
+                f"request {request.id} has class index {request.class_index}, which the settings lack"
             )
         return self.classes[request.class_index]
--- a/stepflow/settings/__init__.py
+++ b/stepflow/settings/__init__.py
@@ -1,4 +1,4 @@
-"""The settings of a balancer: one parser for the simulator's text and the JSON of a node's configuration."""
+"""Parses the settings of a balancer, from the simulator's text or the JSON of a node's configuration."""
 
 from stepflow.settings.errors import SettingsError
 from stepflow.settings.parser import NodeSettings, parse_node_settings, parse_settings
--- a/stepflow/settings/errors.py
+++ b/stepflow/settings/errors.py
@@ -2,4 +2,4 @@
 
 
 class SettingsError(ValueError):
-    """A setting that can't be read; its text is one line, and names the key."""
+    """A setting can't be parsed; the message is one line and names the key."""
--- a/stepflow/settings/formats.py
+++ b/stepflow/settings/formats.py
@@ -1,8 +1,8 @@
-"""The two forms of the settings, each turned into pairs of a dotted key and a text.
+"""Converts the two formats of the settings to pairs of a dotted key and a text.
 
-The simulator sends lines of `key=value`; a node's configuration has nested JSON. In both, an item of a list
-of objects has its number in the key (`classes.0.name`), and `classes.count` tells how many there are; a list
-of plain values is one text with commas.
+The simulator sends lines of `key=value`; a node's configuration contains nested JSON. In the pairs of both, a
+list of objects has the index of each item in its keys (`classes.0.name`) and its length in a key of its own
+(`classes.count`). A list of plain values is one text, separated by commas.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 
 
 def pairs_of_text(text: str) -> Iterator[tuple[str, str]]:
-    """Yield the pairs of the simulator's text; lines without an equals sign are skipped."""
+    """Yield the pairs of the simulator's text; skip lines without an equals sign."""
     for line in text.splitlines():
         key, equals, value = line.partition("=")
         if equals:
@@ -19,7 +19,7 @@
 
 
 def pairs_of_json(value: object, path: str = "") -> Iterator[tuple[str, str]]:
-    """Yield the pairs of nested JSON in the form that the simulator's text has."""
+    """Yield the pairs of nested JSON, as the simulator's text would contain them."""
     if isinstance(value, dict):
         for key, inner in value.items():
             yield from pairs_of_json(inner, f"{path}.{key}" if path else key)
@@ -34,7 +34,7 @@
 
 
 def _text_of(value: object) -> str:
-    """Return a plain value as text; spaces and commas, which separate values, become underscores."""
+    """Return a plain value as text, with underscores for its spaces and commas, which separate values."""
     if value is None:
         return ""
     if isinstance(value, bool):
--- a/stepflow/settings/parser.py
+++ b/stepflow/settings/parser.py
@@ -16,11 +16,11 @@
 
 
 class NodeSettings(NamedTuple):
-    """The settings of a real node: the policy's, and what its sockets need beside."""
+    """The settings of a node: those of its policy and those of its connections to endpoints."""
 
     policy: Settings
     connect_timeout: timedelta
-    idle_close: timedelta  # a connection for health checks is closed after this time without one
+    idle_close: timedelta  # a health check connection is closed after this time without a health check
     reports_load: bool = True  # endpoints send `LOAD X` with their load
     reports_delay: bool = False  # endpoints send `LOAD X` with the latency of messages
 
@@ -29,7 +29,7 @@
     """Parse the simulator's text.
 
     Raises:
-        SettingsError: A value is not of its type, or out of range.
+        SettingsError: A value is not of its type or is out of range.
     """
     return read_policy_settings(SettingsReader(pairs_of_text(text)))
 
@@ -38,11 +38,11 @@
     """Parse the nested JSON of a node's configuration.
 
     Raises:
-        SettingsError: It is no object, a value is not of its type or out of range, or two classes have one
-        name.
+        SettingsError: The JSON is not an object, a value is not of its type or is out of range, or two
+            classes have the same name.
     """
     if not isinstance(tree, dict):
-        raise SettingsError("the settings are not an object")
+        raise SettingsError("settings: not a JSON object")
     reader = SettingsReader(pairs_of_json(tree))
     policy = read_policy_settings(reader)
     if len({cls.name for cls in policy.classes}) < len(policy.classes):
--- a/stepflow/settings/policy.py
+++ b/stepflow/settings/policy.py
@@ -1,6 +1,6 @@
-"""The policy's settings: read by key (docs/settings.md), and merged when they change under open requests.
+"""Reads the policy's settings by key (docs/settings.md), and merges changed settings into current ones.
 
-Unknown keys are skipped, and absent ones take the defaults of `stepflow.interface`.
+Unknown keys are ignored; absent keys take the defaults of `stepflow.interface`.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 _DEFAULT_OVER_SHARE_WEIGHT = 0.1
 _DEFAULT_TICK_US = 5_000
 
-# Load report fields whose names in the settings differ from those on the wire.
+# Fields of load reports that have another name in the settings than on the wire.
 _WIRE_NAME_OF_FIELD = {
     "outstanding": "inflight",
     "backlog": "queue",
@@ -47,7 +47,7 @@
     """Return the policy's settings.
 
     Raises:
-        SettingsError: A value is not of its type, or out of range.
+        SettingsError: A value is not of its type or is out of range.
     """
     return Settings(
         classes=_read_classes(reader) or (RequestClass(),),
@@ -72,11 +72,12 @@
 
 
 def merge_settings(current: Settings, new: Settings) -> Settings:
-    """Return new settings that fit the requests that are open under the current ones.
+    """Return the new settings, adapted to the requests that are open under the current ones.
 
-    Open requests know classes and tenants by number, so these keep theirs: new or altered classes are added
-    at the end, and a tenant that is no longer listed has no share. Zones and kinds stay, since the endpoint
-    list numbers them, and so does who asks for that list, since a watch depends on it.
+    Open requests refer to classes and tenants by index, so all current classes and tenants keep their index:
+    new and changed classes are appended, and a tenant that is no longer listed gets a share of 0. The zone,
+    the zones and the kinds stay, because the endpoint list refers to them by index. `polls_endpoint_list`
+    stays too, because a watch of the endpoint list depends on it.
     """
     added_classes = tuple(cls for cls in new.classes if cls not in current.classes)
     new_tenants = {tenant.name: tenant for tenant in new.tenants}
@@ -169,7 +170,7 @@
 
 
 def _read_load_report_fields(reader: SettingsReader) -> tuple[str, ...]:
-    """Return the fields of load reports by their names on the wire; none where no reports are sent."""
+    """Return the wire names of the load report's fields; an empty tuple if endpoints send no reports."""
     if reader.text("report.via", "none") == "none":
         return ()
     return tuple(_WIRE_NAME_OF_FIELD.get(name, name) for name in reader.names("report.fields"))
