--- a/stepflow/simhost.py
+++ b/stepflow/simhost.py
@@ -1,8 +1,8 @@
-"""Hosts many isolated instances of the policy on the simulator's wire, over standard input and output.
+"""Hosts isolated instances of the policy for the simulator, over standard input and output.
 
 `python -m stepflow.simhost` answers every batch with one reply until the input ends between frames. A
-malformed frame or settings text ends it with exit code 1 and one line on standard error; an exception of a
-policy does not end it, but is reported to the simulator in the reply.
+malformed frame, record or settings text ends it with exit code 1 and one line on standard error. An exception
+of a policy does not end it: the reply reports the exception to the simulator.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 
 class PolicyError(Exception):
-    """An exception that an instance's policy raised for an event."""
+    """The policy of an instance raised an exception while it handled an event."""
 
     def __init__(self, instance: int, cause: Exception) -> None:
         super().__init__(f"{type(cause).__name__}: {cause}")
@@ -25,13 +25,13 @@
 
 
 class PolicyHost:
-    """The instances of one simulation, by their numbers; they share nothing."""
+    """The instances of one simulation by their numbers; they share no state."""
 
     def __init__(self) -> None:
         self._policies: dict[int, Policy] = {}
 
     def handle_batch(self, batch: wire.Batch) -> list[bytes]:
-        """Return the reply's records: all actions, or the report of a policy's exception alone."""
+        """Return the reply's records: all actions, or only the report of a policy's exception."""
         try:
             actions = self._handle_events(batch)
         except PolicyError as error:
@@ -43,7 +43,7 @@
         ]
 
     def _handle_events(self, batch: wire.Batch) -> dict[int, list[Action]]:
-        """Return the actions by instance; those of an instance that ends within the batch are dropped."""
+        """Return the actions by instance, without those of an instance from before its stop or restart."""
         actions: dict[int, list[Action]] = {}
         for instance, event in wire.decode(batch.record_count, batch.records):
             if isinstance(event, wire.StopInstance):
@@ -63,10 +63,10 @@
     def _handle_event(self, instance: int, now: int, event: Event) -> list[Action]:
         policy = self._policies.get(instance)
         if policy is None:
-            raise wire.WireError(f"event for instance {instance}, which was never started")
+            raise wire.WireError(f"event for instance {instance}, which is not running")
         try:
             return policy.handle(now, event)
-        except Exception as error:  # whatever it is, the simulator gets a report
+        except Exception as error:  # the simulator gets a report of any exception
             raise PolicyError(instance, error) from error
 
 
@@ -74,8 +74,8 @@
     """Answer every batch with one reply until the input ends between frames.
 
     Raises:
-        WireError: A frame or record is malformed, or an event is for an instance that was never started.
-        SettingsError: An instance's settings can't be read.
+        WireError: A frame or record is malformed, or an event is for an instance that is not running.
+        SettingsError: The settings of an instance can't be parsed.
     """
     host = PolicyHost()
     while (batch := wire.read_batch(source)) is not None:
@@ -84,7 +84,7 @@
 
 
 def main() -> int:
-    """Serve standard input; returns the exit code."""
+    """Serve standard input; return the exit code."""
     try:
         serve(sys.stdin.buffer, sys.stdout.buffer)
     except (wire.WireError, SettingsError) as error:
--- a/stepflow/wire/__init__.py
+++ b/stepflow/wire/__init__.py
@@ -1,7 +1,7 @@
-"""The simulator's wire: frames of records, little-endian, in both directions. It decides nothing.
+"""The codec of the simulator's wire: frames of little-endian records, in both directions. Makes no decisions.
 
-A batch brings records of events, a reply has records of actions. In both, a record that names an instance
-precedes the records that belong to it.
+A batch contains records of events, a reply contains records of actions. In both, a record that selects an
+instance precedes the records of that instance.
 """
 
 from stepflow.wire.actions import crash, encode
--- a/stepflow/wire/actions.py
+++ b/stepflow/wire/actions.py
@@ -1,4 +1,4 @@
-"""Records of actions, which make up replies: a code (1 byte), the fields' size (4 bytes), then the fields."""
+"""Encodes actions as records of replies: a code (1 byte), the fields' size (4 bytes), then the fields."""
 
 from __future__ import annotations
 
@@ -23,11 +23,11 @@
     WatchEndpointList,
 )
 
-MAX_TEXT_BYTES = 0xFFFF  # longer texts are cut
+MAX_TEXT_BYTES = 0xFFFF  # longer texts are truncated
 
 
 class ActionCode(IntEnum):
-    """What a record of a reply is."""
+    """The code of a record in a reply."""
 
     START_ATTEMPT = 10
     REJECT_REQUEST = 20
@@ -45,22 +45,22 @@
     SELECT_INSTANCE = 140
 
 
-def _record(code: ActionCode, fields: str) -> Callable[..., bytes]:
-    """Return a function that packs the fields into a record; `fields` is a format of struct."""
+def _record_packer(code: ActionCode, fields: str) -> Callable[..., bytes]:
+    """Return a function that packs fields into a record; `fields` is their format string for `struct`."""
     return partial(struct.Struct("<BI" + fields).pack, int(code), struct.calcsize("<" + fields))
 
 
-_start_attempt = _record(ActionCode.START_ATTEMPT, "QI6s")
-_reject_request = _record(ActionCode.REJECT_REQUEST, "QI")
-_fail_request = _record(ActionCode.FAIL_REQUEST, "Q")
-_cancel_attempt = _record(ActionCode.CANCEL_ATTEMPT, "QH")
-_set_timer = _record(ActionCode.SET_TIMER, "IQ")
-_start_health_check = _record(ActionCode.START_HEALTH_CHECK, "6s")
-_close_idle_connections = _record(ActionCode.CLOSE_IDLE_CONNECTIONS, "6s")
-_watch_endpoint_list = _record(ActionCode.WATCH_ENDPOINT_LIST, "B")
-_fetch_endpoint_list = _record(ActionCode.FETCH_ENDPOINT_LIST, "")
-_migrate_session = _record(ActionCode.MIGRATE_SESSION, "Q")
-_select_instance = _record(ActionCode.SELECT_INSTANCE, "I")
+_start_attempt = _record_packer(ActionCode.START_ATTEMPT, "QI6s")
+_reject_request = _record_packer(ActionCode.REJECT_REQUEST, "QI")
+_fail_request = _record_packer(ActionCode.FAIL_REQUEST, "Q")
+_cancel_attempt = _record_packer(ActionCode.CANCEL_ATTEMPT, "QH")
+_set_timer = _record_packer(ActionCode.SET_TIMER, "IQ")
+_start_health_check = _record_packer(ActionCode.START_HEALTH_CHECK, "6s")
+_close_idle_connections = _record_packer(ActionCode.CLOSE_IDLE_CONNECTIONS, "6s")
+_watch_endpoint_list = _record_packer(ActionCode.WATCH_ENDPOINT_LIST, "B")
+_fetch_endpoint_list = _record_packer(ActionCode.FETCH_ENDPOINT_LIST, "")
+_migrate_session = _record_packer(ActionCode.MIGRATE_SESSION, "Q")
+_select_instance = _record_packer(ActionCode.SELECT_INSTANCE, "I")
 
 _PEER_MESSAGE = struct.Struct("<BIIH")  # code, size, peer, length; then the message
 _TEXT = struct.Struct("<BIH")  # code, size, length; then the text
@@ -69,12 +69,12 @@
 
 
 def encode(instance: int, actions: Iterable[Action]) -> list[bytes]:
-    """Return the records of one instance's actions, the one that names it first."""
+    """Return the records of one instance's actions, after the record that selects the instance."""
     return [_select_instance(instance), *(_ENCODERS[type(action)](action) for action in actions)]
 
 
 def crash(instance: int, text: str) -> list[bytes]:
-    """Return the records that report an exception of an instance's policy."""
+    """Return the records that report an exception that an instance's policy raised."""
     return [_select_instance(instance), _text(ActionCode.CRASH, text)]
 
 
--- a/stepflow/wire/errors.py
+++ b/stepflow/wire/errors.py
@@ -2,4 +2,4 @@
 
 
 class WireError(Exception):
-    """A frame or record that can't be read; its text is one line."""
+    """A frame or record can't be decoded; the message is one line."""
--- a/stepflow/wire/events.py
+++ b/stepflow/wire/events.py
@@ -1,4 +1,4 @@
-"""Records of events, which make up batches: a code (1 byte), the fields' size (4 bytes), then the fields."""
+"""Decodes events from records of batches: a code (1 byte), the fields' size (4 bytes), then the fields."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 class EventCode(IntEnum):
-    """What a record of a batch is."""
+    """The code of a record in a batch."""
 
     PEER_MESSAGE = 10
     ATTEMPT_ENDED = 20
@@ -42,7 +42,7 @@
     STOP_INSTANCE = 130
 
 
-# Flags of a request; other bits are ignored. Plain integers, since they are tested for each request.
+# Flags of a request; other bits are ignored. They are plain integers because every request tests them.
 HAS_LOAD = 1
 IS_RETRY = 2
 IS_MID_FLOW = 8
@@ -50,14 +50,14 @@
 
 
 class StartInstance(NamedTuple):
-    """A new instance: its seed and the text of its settings."""
+    """An instance starts, with this seed and the text of its settings."""
 
     seed: int
     settings: str
 
 
 class StopInstance(NamedTuple):
-    """The instance was killed."""
+    """An instance was killed."""
 
 
 Decoded = Event | StartInstance | StopInstance
@@ -71,22 +71,24 @@
 _SESSION_REPORT = struct.Struct("<QH6sBf")  # id, attempt, endpoint, kind, value
 _ATTEMPT_ENDED = struct.Struct(
     "<Q6sIBBHB"
-)  # id, endpoint, latency, is final, result, attempt, count of figures
-_HEALTH_CHECK = struct.Struct("<6sBIB")  # endpoint, result, latency, count of figures
+)  # id, endpoint, latency, is final, result, attempt, count of load report values
+_HEALTH_CHECK = struct.Struct("<6sBIB")  # endpoint, result, latency, count of load report values
 _LIST = struct.Struct("<IBI")  # version, kind, count of entries
 _LIST_ENTRY = struct.Struct("<6sBHHBfQ")  # in the order of Endpoint's fields
 _PEER_MESSAGE = struct.Struct("<IH")  # peer, length
 _START = struct.Struct("<QI")  # seed, length of the settings
 
-_SELECT_INSTANCE = int(EventCode.SELECT_INSTANCE)  # a local name is looked up faster, once for each record
+# Compared with the code of each record: a module constant is looked up faster than an enum member.
+_SELECT_INSTANCE = int(EventCode.SELECT_INSTANCE)
 _NO_INSTANCE = -1
 
 
 def decode(record_count: int, records: memoryview) -> Iterator[tuple[int, Decoded]]:
-    """Yield the events of a batch, each with its instance; records of unknown codes are skipped.
+    """Yield the events of a batch, each with its instance; skip records of unknown codes.
 
     Raises:
-        WireError: A record is cut short, belongs to no instance, or is not counted.
+        WireError: A record is truncated or precedes the first selected instance, or the frame does not end
+            with its last counted record.
     """
     offset, instance = 0, _NO_INSTANCE
     for _ in range(record_count):
@@ -95,7 +97,7 @@
         code, size = _HEADER.unpack_from(records, offset)
         offset += _HEADER.size
         if offset + size > len(records):
-            raise WireError(f"record of code {code} runs past its frame")
+            raise WireError(f"record of code {code} extends past the end of its frame")
         fields = records[offset : offset + size]
         offset += size
         try:
@@ -103,29 +105,29 @@
                 instance = _U32.unpack_from(fields)[0]
             elif code in _DECODERS:
                 if instance == _NO_INSTANCE:
-                    raise WireError(f"record of code {code} before any instance was named")
+                    raise WireError(f"record of code {code} before an instance was selected")
                 yield instance, _DECODERS[code](fields)
         except (struct.error, UnicodeDecodeError) as error:
             raise WireError(f"record of code {code}: {error}") from None
     if offset != len(records):
-        raise WireError("frame is longer than its records")
+        raise WireError("frame has bytes after its last record")
 
 
 def _decode_request(fields: memoryview) -> Request:
     id, class_index, flags, tenant, load, expires_us, key, group = _REQUEST.unpack_from(fields)
     load_hint = float(load) if flags & HAS_LOAD else None
-    return Request(id, class_index, expires_us, load_hint, tenant, key, group, *_marks(flags))
+    return Request(id, class_index, expires_us, load_hint, tenant, key, group, *_flag_fields(flags))
 
 
-def _marks(flags: int) -> tuple[bool, bool, bool]:
-    """Return the last fields of a `Request`: whether it is a retry, in the middle of a flow, and migrated."""
+def _flag_fields(flags: int) -> tuple[bool, bool, bool]:
+    """Return the last fields of a `Request`: `is_retry`, `mid_flow` and `is_migrated`."""
     return bool(flags & IS_RETRY), bool(flags & IS_MID_FLOW), bool(flags & IS_MIGRATED)
 
 
 def _decode_session_adopted(fields: memoryview) -> SessionAdopted:
     id, class_index, tenant, key, expires_us, load, group, flags, endpoint = _ADOPTED.unpack_from(fields)
     load_hint = float(load) if flags & HAS_LOAD else None
-    request = Request(id, class_index, expires_us, load_hint, tenant, key, group, *_marks(flags))
+    request = Request(id, class_index, expires_us, load_hint, tenant, key, group, *_flag_fields(flags))
     return SessionAdopted(request, endpoint)
 
 
@@ -158,7 +160,7 @@
     _version, kind, count = _LIST.unpack_from(fields)
     end = _LIST.size + count * _LIST_ENTRY.size
     if len(fields) < end:
-        raise WireError(f"list of {count} entries is cut short")
+        raise WireError(f"endpoint list of {count} entries is truncated")
     entries = _LIST_ENTRY.iter_unpack(fields[_LIST.size : end])
     return EndpointListUpdate(kind, tuple(map(Endpoint._make, entries)))
 
@@ -167,7 +169,7 @@
     peer, length = _PEER_MESSAGE.unpack_from(fields)
     end = _PEER_MESSAGE.size + length
     if len(fields) < end:
-        raise WireError("peer message is cut short")
+        raise WireError("peer message is truncated")
     return PeerMessageReceived(peer, bytes(fields[_PEER_MESSAGE.size : end]))
 
 
@@ -175,7 +177,7 @@
     seed, length = _START.unpack_from(fields)
     end = _START.size + length
     if len(fields) < end:
-        raise WireError("settings text is cut short")
+        raise WireError("settings text is truncated")
     return StartInstance(seed, str(fields[_START.size : end], "utf-8"))
 
 
--- a/stepflow/wire/frames.py
+++ b/stepflow/wire/frames.py
@@ -1,7 +1,7 @@
-"""Frames of the simulator's wire.
+"""Reads and builds the frames of the simulator's wire.
 
-A batch has a header of 16 bytes (record count, size with the header, clock in microseconds), a reply one of 8
-(record count, size with the header); then the records follow.
+A batch begins with a header of 16 bytes (record count, size including the header, time in microseconds), a
+reply with a header of 8 bytes (record count, size including the header). The records follow the header.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 
 
 class Batch(NamedTuple):
-    """Events that happened at one time."""
+    """The records of events that happened at the same time."""
 
     now: int  # microseconds
     record_count: int
@@ -27,10 +27,10 @@
 
 
 def read_batch(stream: BinaryIO) -> Batch | None:
-    """Read one batch; None where the input ends between frames.
+    """Read one batch; return None if the input ends between frames.
 
     Raises:
-        WireError: The input ends inside a frame, or the frame's size is impossible.
+        WireError: The input ends inside a frame, or the size of the frame is out of range.
     """
     header = stream.read(_BATCH_HEADER.size)
     if not header:
@@ -39,7 +39,7 @@
         raise WireError("input ends inside a frame header")
     record_count, size, now = _BATCH_HEADER.unpack(header)
     if not _BATCH_HEADER.size <= size <= MAX_FRAME_BYTES:
-        raise WireError(f"frame of {size} bytes")
+        raise WireError(f"frame size is out of range: {size} bytes")
     body = stream.read(size - _BATCH_HEADER.size)
     if len(body) < size - _BATCH_HEADER.size:
         raise WireError("input ends inside a frame")
@@ -47,7 +47,7 @@
 
 
 def frame(records: Iterable[bytes]) -> bytes:
-    """Return a reply of some records."""
+    """Return a reply that contains these records."""
     parts = list(records)
     body = b"".join(parts)
     return _REPLY_HEADER.pack(len(parts), _REPLY_HEADER.size + len(body)) + body
