--- a/stepflow/budgets/errors.py
+++ b/stepflow/budgets/errors.py
@@ -2,8 +2,8 @@
 
 
 class BudgetError(ValueError):
-    """The base of what budgets can't be made with."""
+    """Base class of errors for invalid arguments of a budget."""
 
 
 class TooManyMembersError(BudgetError):
-    """A membership with a member number that doesn't fit into the messages' sets of members."""
+    """A member number of a membership is too large for the sets of members in messages."""
--- a/stepflow/budgets/leases.py
+++ b/stepflow/budgets/leases.py
@@ -1,13 +1,13 @@
-"""Leases of base shares, held by the votes of a majority (Gray and Cheriton, 1989).
+"""Leases of base shares, granted by the votes of a majority of members (Gray and Cheriton, 1989).
 
-What of a member's base share is not reserved is leased: to the member itself, or, once it is dead, to the
-next member alive. The holder asks all members for their votes every `LEASE_RENEWAL_US`; votes of a majority
-within one round make a lease of `LEASE_US`, counted from when the round began. `LeaseVoter` gives a member's
-votes, `LeaseHolder` collects those that it asks for. Both are pure; times are microseconds on the member's
-own clock.
+The part of a member's base share that is not reserved is leased: to the member itself or, once that is dead,
+to the next member that is alive. A candidate asks all members for their votes every `LEASE_RENEWAL_US`. The
+votes of a majority in one round grant a lease of `LEASE_US`, counted from the start of the round.
+`LeaseVoter` gives a member's votes, `LeaseHolder` collects the votes for a member. Both are pure; times are
+microseconds on the member's own clock.
 
-Safety: two majorities have a voter in common, and a voter gives a base share to another candidate only after
-the first one's lease is over on every clock, and what was used under it has left the window.
+Safety: any two majorities have a voter in common. A voter votes for another candidate of a base share only
+after the first candidate's lease has ended on every clock and all usage under it has left the window.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 
 class _Vote(NamedTuple):
     candidate: int
-    until_us: int  # the candidate's lease is over by then, on this voter's clock
+    until_us: int  # end of the candidate's lease on any clock, as a time of this voter's clock
 
 
 class LeaseVoter:
@@ -30,12 +30,16 @@
     def __init__(self, membership: Membership, window_us: int, now: int) -> None:
         self._membership = membership
         self._window_us = window_us
-        # The process before this one may have voted just before it ended, for a lease that still runs.
+        # The predecessor of this process may have voted for a lease that has not ended yet.
         self.votes_from_us = now + timing.guard_duration_us(timing.LEASE_US) + window_us
-        self._votes: dict[int, _Vote] = {}  # by the base share's owner
+        self._votes: dict[int, _Vote] = {}  # by owner of the base share
 
     def vote(self, now: int, owner: int, candidate: int) -> bool:
-        """Vote for a lease of a base share if it is free; its owner has precedence while not dead."""
+        """Return whether this member votes for the candidate's lease of the owner's base share.
+
+        A vote excludes other candidates until its lease has ended and the usage under it has left the window.
+        A candidate other than the owner gets a vote only if the owner is dead.
+        """
         if owner not in self._membership.members or now < self.votes_from_us:
             return False
         if owner != candidate and self._membership.status_of(now, owner) != MemberStatus.DEAD:
@@ -53,17 +57,17 @@
     def __init__(self, membership: Membership) -> None:
         self._membership = membership
         self._majority = len(membership.members) // 2 + 1
-        self._round_nonce = 0  # 0: no round has begun
+        self._round_nonce = 0  # 0 before the first round
         self._round_started_us = 0
-        self._voters: dict[int, set[int]] = {}  # in this round, by the base share's owner
-        self._leases: dict[int, int] = {}  # when each ends, by the base share's owner
+        self._voters: dict[int, set[int]] = {}  # in the current round, by owner of the base share
+        self._leases: dict[int, int] = {}  # time when each ends, by owner of the base share
 
     def round_is_due(self, now: int) -> bool:
-        """Whether to begin a round of lease requests."""
+        """Return whether to start a round of lease requests."""
         return not self._round_nonce or now - self._round_started_us >= timing.LEASE_RENEWAL_US
 
     def start_round(self, now: int, nonce: int) -> list[int]:
-        """Begin a round, which voids earlier votes; returns the owners whose base shares are wanted."""
+        """Start a round, which discards earlier votes; return the owners of the base shares to ask for."""
         wanted = self._wanted_owners(now)
         self._round_nonce = nonce
         self._round_started_us = now
@@ -71,13 +75,13 @@
         return wanted
 
     def receive_votes(self, nonce: int, owners: Iterable[int], voter: int) -> None:
-        """Count a peer's votes; those of another round are ignored."""
+        """Count a peer's votes; ignore those of another round."""
         if nonce == self._round_nonce:
             for owner in owners:
                 self.count_vote(owner, voter)
 
     def count_vote(self, owner: int, voter: int) -> None:
-        """Count a vote of the current round; a majority makes or renews the lease."""
+        """Count a vote in the current round; a majority grants or renews the lease."""
         voters = self._voters.get(owner)
         if voters is None:
             return
@@ -86,15 +90,15 @@
             self._leases[owner] = self._round_started_us + timing.LEASE_US
 
     def active_leases(self, now: int) -> int:
-        """Return how many base shares this member holds leases of."""
+        """Return the number of base shares of which this member holds a lease."""
         return sum(until_us > now for until_us in self._leases.values())
 
     def own_lease_until_us(self) -> int:
-        """Return when the lease of this member's own base share ends; 0 where it never had one."""
+        """Return the time when the lease of this member's own base share ends; 0 if it never had one."""
         return self._leases.get(self._membership.own_number, 0)
 
     def _wanted_owners(self, now: int) -> list[int]:
-        """Return this member, and the dead members right before it in the order of members."""
+        """Return this member and the dead members directly before it, in the cyclic order of members."""
         members = self._membership.members
         own_index = members.index(self._membership.own_number)
         wanted = [self._membership.own_number]
--- a/stepflow/budgets/limit_account.py
+++ b/stepflow/budgets/limit_account.py
@@ -1,4 +1,4 @@
-"""What one member has used, lent and borrowed of one limit."""
+"""One member's account of one limit: its usage, and the loans that it gave and took."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 class LimitAccount:
-    """One limit's usage within the window and its loans in both directions."""
+    """Holds the usage of one limit within the window, and its loans in both directions."""
 
     def __init__(self, window_us: int) -> None:
         self.usage = WindowedUsage(window_us)
@@ -15,15 +15,15 @@
         self.borrower = Borrower()
 
     def expire(self, now: int) -> None:
-        """Drop the uses that have left the window and the loans that have ended."""
+        """Remove the uses that have left the window and the loans that have ended."""
         self.usage.expire(now)
         self.lent.expire(now)
         self.borrower.loans.expire(now)
 
     def net_borrowed(self, now: int) -> int:
-        """Return what loans add to this member's share, or, where negative, take off it."""
+        """Return the amount that loans add to this member's share; negative if they reduce it."""
         return self.borrower.loans.total(now) - self.lent.total(now)
 
     def is_idle(self) -> bool:
-        """Whether nothing is left to remember, as of the last `expire`."""
+        """Return whether the account held no usage, loan or shortfall at the last `expire`."""
         return not (self.usage or self.lent or self.borrower.loans or self.borrower.shortfall)
--- a/stepflow/budgets/loans.py
+++ b/stepflow/budgets/loans.py
@@ -1,8 +1,8 @@
-"""Loans between members: what one has lent or borrowed of one limit, and when it asks for more.
+"""Loans between members: the amounts of one limit that a member has lent or borrowed, and its loan requests.
 
-A loan has an end, so that it is safe to lose: the borrower counts its duration from when it asked, the lender
-from when it granted. A new loan between two members takes the place of the one before, which is renewed
-without a gap. Amounts are millionths of the limit, times microseconds on the member's own clock.
+Every loan ends by itself, so losing a message about it is safe. The borrower counts its duration from its
+request, the lender from its grant. A new loan between two members replaces the previous one, so that a loan
+is renewed without a gap. Amounts are millionths of the limit, times microseconds on the member's own clock.
 """
 
 from __future__ import annotations
@@ -16,41 +16,41 @@
 
 
 class Loan(NamedTuple):
-    """All that one member has lent to another, until it ends."""
+    """The whole amount that one member has lent to another, until the loan ends."""
 
-    member: int  # the other one
+    member: int  # the other member
     amount: int
     until_us: int
 
 
 class Loans:
-    """The loans of one limit in one direction; of those with one member only the largest counts."""
+    """The loans of one limit in one direction; of several loans with one member only the largest counts."""
 
     def __init__(self) -> None:
         self._loans: list[Loan] = []
 
     def __bool__(self) -> bool:
-        """Whether any loan is held, as of the last `expire`."""
+        """Return whether any loan was held at the last `expire`."""
         return bool(self._loans)
 
     def add(self, loan: Loan) -> None:
-        """Add a loan; those before it with the same member run on until they end."""
+        """Add a loan; earlier loans with the same member stay until they end."""
         self._loans.append(loan)
 
     def expire(self, now: int) -> None:
-        """Drop the loans that have ended."""
+        """Remove the loans that have ended."""
         self._loans = [loan for loan in self._loans if loan.until_us > now]
 
     def total(self, now: int) -> int:
-        """Return the sum over all members of what counts with each."""
+        """Return the sum of the amounts that count, over all members."""
         return sum(self._largest_by_member(now).values())
 
     def amount_with(self, now: int, member: int) -> int:
-        """Return what counts with one member."""
+        """Return the amount that counts with one member."""
         return self._largest_by_member(now).get(member, 0)
 
     def latest_by_member(self, members: Sequence[int]) -> dict[int, Loan]:
-        """Return the last loan that was added with each of these members."""
+        """Return the last added loan with each of these members."""
         return {loan.member: loan for loan in self._loans if loan.member in members}
 
     def _largest_by_member(self, now: int) -> dict[int, int]:
@@ -62,46 +62,47 @@
 
 
 class LoanTerms(NamedTuple):
-    """Whom to ask for a loan, and of how much."""
+    """The lender of a loan request, and the amount to ask for."""
 
     lender: int
     amount: int
 
 
 class Borrower:
-    """Asks for loans of one limit while this member's own share is too small, and holds those it was given.
+    """Asks for loans of one limit while this member's own share is too small, and holds the granted loans.
 
-    One request is under way at a time; while none is answered, the time between two of them doubles.
+    At most one request is pending. The time between two requests doubles until one is answered.
     """
 
     def __init__(self) -> None:
         self.loans = Loans()
-        self.shortfall = 0  # the largest use that was denied since the last request
+        self.shortfall = 0  # the largest use denied since the last request
         self._last_shortfall_us = -timing.LEASE_US
-        self._request_nonce = 0  # 0: the last request was answered, or there was none
+        self._request_nonce = 0  # 0 if no request is pending
         self._requested_us = 0
         self._next_request_us = 0
         self._retry_delay_us = timing.LOAN_RETRY_MIN_US
 
     def record_shortfall(self, now: int, amount: int) -> None:
-        """Note that a use of this amount was denied."""
+        """Record that a use of this amount was denied."""
         self.shortfall = max(self.shortfall, amount)
         self._last_shortfall_us = now
 
     def had_shortfall_within(self, now: int, window_us: int) -> bool:
-        """Whether a use was denied within the last `window_us`."""
+        """Return whether a use was denied within the last `window_us`."""
         return now - self._last_shortfall_us < window_us
 
     def request_is_due(self, now: int) -> bool:
-        """Whether to ask for a loan now."""
+        """Return whether to ask for a loan now."""
         return self.shortfall > 0 and now >= self._next_request_us
 
     def start_request(
         self, now: int, nonce: int, lenders: Sequence[int], increment: int, rng: random.Random
     ) -> LoanTerms:
-        """Begin a request: to renew the loan that ends first, if that is soon, else for one of any lender.
+        """Start a request to renew the loan that ends first, if it ends soon, else one to a random lender.
 
-        It asks for the larger of the shortfall and `increment`, beside what the lender has lent already.
+        The request asks for the larger of the shortfall and `increment`, on top of the amount that the lender
+        has lent already.
         """
         self._request_nonce = nonce
         self._requested_us = now
@@ -119,7 +120,7 @@
         return LoanTerms(lender, amount)
 
     def receive_grant(self, now: int, grant: LoanGrant) -> None:
-        """Take a loan that answers the request under way; other, repeated and late answers are ignored."""
+        """Add the loan that answers the pending request; ignore other, repeated and late answers."""
         if grant.nonce != self._request_nonce:
             return
         self._request_nonce = 0
--- a/stepflow/budgets/shared_limits.py
+++ b/stepflow/budgets/shared_limits.py
@@ -1,17 +1,18 @@
-"""Limits that hold for all members together, divided among them so that no failure breaks one.
+"""Divides limits among members so that no failure lets the members together exceed a limit.
 
-The rule: in no window does the sum of what all members use of a limit exceed it, whichever messages are lost,
-late or duplicated, whichever links are cut, whoever is paused, killed or restarted (proof: docs/budgets.md).
+Invariant: in no window does the usage of a limit by all members exceed the limit, whichever messages are
+lost, late or duplicated, whichever links are cut, and whichever members are paused, killed or restarted
+(proof: docs/budgets.md).
 
-- A limit has a million millionths. Each member has an equal part of it, its base share.
-- A quarter of that is its reserved share, which it may use whatever messages it gets.
+- A limit is a million millionths. Each member has an equal part of it, its base share.
+- A quarter of the base share is the reserved share, which the member may use without any message.
 - The rest is leased by majority votes (`leases`), so that the share of a dead member is used again. A member
-  that reaches no majority has its reserved share only. Of two members neither is a majority without the
-  other: there nothing is leased, and each has its whole base share.
-- A member lends what it does not need of its base share (`loans`).
+  that can't reach a majority has only its reserved share. With two members neither is a majority without the
+  other: nothing is leased, and each has its whole base share.
+- A member lends the part of its base share that it does not need (`loans`).
 
 `SharedLimits` routes the messages and holds the accounts of all limits. It is pure: times and messages in,
-messages out. Amounts are millionths of a limit, times microseconds on a clock that only moves forward.
+messages out. Amounts are millionths of a limit, times microseconds on a monotonic clock.
 """
 
 from __future__ import annotations
@@ -35,39 +36,40 @@
     Message,
 )
 
-RESERVED_DIVISOR = 4  # one part in so many of a base share is reserved
-LOAN_INCREMENT_DIVISOR = 4  # a loan request asks at least for one part in so many of a base share
-LENT_IDLE_DIVISOR = 2  # one loan takes at most one part in so many of what is idle
-MAX_LIMITS = 256  # that are counted at a time
-MIN_MEMBERS_FOR_LEASES = 3  # with fewer, one member alone is no majority
+RESERVED_DIVISOR = 4  # base share / reserved share
+LOAN_INCREMENT_DIVISOR = 4  # base share / minimum amount that a loan request asks for
+LENT_IDLE_DIVISOR = 2  # idle amount / maximum amount that one grant adds
+MAX_LIMITS = 256  # accounts held at a time
+MIN_MEMBERS_FOR_LEASES = 3  # with two, one member alone is no majority
 
 
 class OutgoingMessage(NamedTuple):
-    """A message and the member that it is for."""
+    """A message and the member to send it to."""
 
     receiver: int
     message: Message
 
 
 class SharedLimits:
-    """One member's part in dividing limits; every member of its membership runs one.
+    """One member's part in dividing limits; every member of the membership runs one.
 
-    All members ask each other, so that a fleet of many nodes is to be divided into memberships of a few, each
-    with a fixed part of the limits.
+    Every member sends requests to all others, so a fleet of many nodes has to be divided into memberships of
+    a few nodes, each with a fixed part of the limits.
     """
 
     def __init__(self, membership: Membership, window_us: int, rng: random.Random, now: int) -> None:
         if max(membership.members) >= MAX_MEMBERS:
-            raise TooManyMembersError(f"a member number above {MAX_MEMBERS - 1}")
+            raise TooManyMembersError(f"member number above the maximum of {MAX_MEMBERS - 1}")
         self.membership = membership
-        self._window_us = timing.guard_duration_us(window_us)  # long enough for a slower clock's window too
+        self._window_us = timing.guard_duration_us(window_us)  # covers the window on a slower clock too
         self._rng = rng
         count = len(membership.members)
         self.base_share = timing.FULL_LIMIT // count
         self.reserved_share = self.base_share // RESERVED_DIVISOR if count > 1 else self.base_share
         self.leasable_share = self.base_share - self.reserved_share
         self._uses_leases = count >= MIN_MEMBERS_FOR_LEASES
-        # The process before this one may have used and lent just before it ended: both has to be over.
+        # The predecessor of this process may have used and lent amounts just before it ended: that usage has
+        # to leave the window first, and those loans have to end.
         self._usable_from_us = now + self._window_us
         self._leasable_from_us = now + timing.guard_duration_us(timing.LOAN_US) + self._window_us
         self._voter = LeaseVoter(membership, self._window_us, now)
@@ -75,7 +77,7 @@
         self._accounts: dict[int, LimitAccount] = {}
 
     def available_share(self, now: int, limit: int = 0) -> int:
-        """Return how much of a limit this member may use within the window, whether or not it was used."""
+        """Return the amount of a limit that this member may use within the window, including earlier uses."""
         if now < self._usable_from_us or self.membership.superseded:
             return 0
         share = self.reserved_share
@@ -87,7 +89,10 @@
         return max(0, share)
 
     def try_use(self, now: int, limit: int, amount: int) -> bool:
-        """Use an amount of a limit, if this member's share has room for it; else note that more is needed."""
+        """Use an amount of a limit if this member's share has room for it, else record a shortfall.
+
+        Return whether the amount may be used.
+        """
         account = self._account_of(limit)
         if account is None:
             return False
@@ -99,13 +104,13 @@
         return True
 
     def tick(self, now: int) -> list[OutgoingMessage]:
-        """Return the requests that are due: for leases at intervals, for loans where a limit needs them."""
+        """Return the requests that are due: for leases at intervals, for loans of limits with a shortfall."""
         if self.membership.superseded:
             return []
         return self._request_leases(now) + self._request_loans(now)
 
     def receive(self, now: int, message: Message) -> list[OutgoingMessage]:
-        """Take a message of another member; returns the answer, if there is one."""
+        """Handle a message from another member; return the answer, if there is one."""
         is_current = self.membership.record_message(now, message.sender, message.incarnation)
         if not is_current or self.membership.superseded:
             return []
@@ -122,17 +127,17 @@
         return []
 
     def _account_of(self, limit: int) -> LimitAccount | None:
-        """Return a limit's account; None where too many limits are counted already."""
+        """Return a limit's account; None if it has none and `MAX_LIMITS` accounts exist."""
         if limit not in self._accounts and len(self._accounts) >= MAX_LIMITS:
             return None
         return self._accounts.setdefault(limit, LimitAccount(self._window_us))
 
     def _new_nonce(self) -> int:
-        """Return a request's nonce, which is odd and so never the 0 that stands for no request."""
+        """Return a nonce for a request; it is odd, since 0 stands for no request."""
         return self._rng.getrandbits(32) | 1
 
     def _request_leases(self, now: int) -> list[OutgoingMessage]:
-        """Begin a round of lease requests if one is due, with this member's own votes."""
+        """Start a round of lease requests if one is due, and count this member's own votes."""
         peers = self.membership.peers
         if not peers or not self._leases.round_is_due(now):
             return []
@@ -151,7 +156,7 @@
         return [OutgoingMessage(request.sender, grant)]
 
     def _request_loans(self, now: int) -> list[OutgoingMessage]:
-        """Ask a member that is alive for a loan of each limit that needs one; forget limits that are idle."""
+        """Ask an alive member for a loan of each limit that needs one; remove the accounts of idle limits."""
         requests: list[OutgoingMessage] = []
         lenders = [
             peer
@@ -178,9 +183,9 @@
         return OutgoingMessage(terms.lender, request)
 
     def _answer_loan_request(self, now: int, request: LoanRequest) -> list[OutgoingMessage]:
-        """Lend what this member won't miss; no answer where that is nothing."""
+        """Grant a loan of an amount that this member does not need; return no answer if there is none."""
         until_us = now + timing.LOAN_US
-        if self._uses_leases:  # what is lent is of the own lease, and ends with it
+        if self._uses_leases:  # the lent amount is part of the own lease and ends with it
             until_us = min(until_us, self._leases.own_lease_until_us())
         if until_us <= now or now < self._leasable_from_us:
             return []
@@ -194,8 +199,8 @@
         if amount <= 0:
             return []
         duration_us = until_us - now
-        taken_off_until_us = now + timing.guard_duration_us(duration_us) + self._window_us
-        account.lent.add(Loan(request.sender, amount, taken_off_until_us))
+        lent_until_us = now + timing.guard_duration_us(duration_us) + self._window_us
+        account.lent.add(Loan(request.sender, amount, lent_until_us))
         grant = LoanGrant(
             self.membership.own_number,
             self.membership.incarnation,
@@ -207,7 +212,7 @@
         return [OutgoingMessage(request.sender, grant)]
 
     def _amount_to_lend(self, now: int, request: LoanRequest, account: LimitAccount) -> int:
-        """Return what the borrower may have: what it has already, and a part of what is idle."""
+        """Return the amount to lend: what this member has already lent, plus a part of what is idle."""
         idle = min(
             self.available_share(now, request.limit) - account.usage.total,
             self.leasable_share - account.lent.total(now),
--- a/stepflow/budgets/usage.py
+++ b/stepflow/budgets/usage.py
@@ -1,4 +1,4 @@
-"""What was used of a limit within a sliding window."""
+"""The usage of a limit within a sliding window."""
 
 from __future__ import annotations
 
@@ -23,15 +23,15 @@
         self._uses: deque[_Use] = deque()
 
     def __bool__(self) -> bool:
-        """Whether any use is within the window."""
+        """Return whether any use was within the window at the last `expire`."""
         return bool(self._uses)
 
     def record(self, now: int, amount: int) -> None:
-        """Add a use; times don't go back."""
+        """Add a use; `now` must not be earlier than that of the use before."""
         self._uses.append(_Use(now, amount))
         self.total += amount
 
     def expire(self, now: int) -> None:
-        """Drop the uses that have left the window."""
+        """Remove the uses that have left the window."""
         while self._uses and self._uses[0].used_us <= now - self._window_us:
             self.total -= self._uses.popleft().amount
--- a/stepflow/interface/actions.py
+++ b/stepflow/interface/actions.py
@@ -16,7 +16,7 @@
 
 
 class RejectRequest(NamedTuple):
-    """Answer a request finally: rejected without effect, so safe to retry.
+    """Send a request's final answer: rejected without effect, so safe to retry.
 
     `retry_after_us` advises the client how long to wait before its retry; 0 gives no advice.
     """
@@ -26,7 +26,7 @@
 
 
 class FailRequest(NamedTuple):
-    """Answer a request finally: failed, and the request may have had an effect."""
+    """Send a request's final answer: failed, with no promise that the request had no effect."""
 
     request_id: int
 
--- a/stepflow/interface/events.py
+++ b/stepflow/interface/events.py
@@ -54,7 +54,7 @@
     FULL = 1
     """All entries; an endpoint without an entry has been removed."""
     CACHED = 2
-    """All entries that the host knew of before its start."""
+    """All entries, as the host last knew them before its start."""
     FAILED = 3
     """No entries, since the poll or watch failed."""
 
@@ -125,7 +125,7 @@
 
 
 class SessionEstablished(NamedTuple):
-    """An attempt has established its session; the next event of its end is AttemptEnded."""
+    """An attempt has established its session; from now on only AttemptEnded ends it."""
 
     request_id: int
     attempt: int
--- a/stepflow/interface/settings.py
+++ b/stepflow/interface/settings.py
@@ -75,7 +75,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Limits:
-    """The actions and the numbers of attempts that the deployment permits."""
+    """The attempts and actions that the deployment permits."""
 
     max_attempts: int = 3
     health_checks: bool = True
--- a/stepflow/members/__init__.py
+++ b/stepflow/members/__init__.py
@@ -1,4 +1,4 @@
-"""Membership: who takes part in sharing limits, and the messages between them. Pure: no socket, no clock."""
+"""The membership of the nodes that share limits, and their messages. Pure: no socket, no clock."""
 
 from stepflow.members.datagrams import MAX_DATAGRAM_BYTES, MAX_MEMBERS, DatagramError, decode, encode
 from stepflow.members.membership import Membership, MemberStatus
--- a/stepflow/members/datagrams.py
+++ b/stepflow/members/datagrams.py
@@ -1,7 +1,7 @@
-"""The binary form of members' messages, one a datagram, versioned and little-endian (docs/members.md).
+"""The binary format of messages between members: one message per datagram, versioned, little-endian.
 
-`decode` accepts any bytes and raises only `DatagramError`; what it accepts, `encode` turns into the same
-bytes.
+`decode` takes any bytes and raises only `DatagramError`; `encode` turns a decoded message into the same bytes
+again. Source: docs/members.md.
 """
 
 from __future__ import annotations
@@ -11,20 +11,20 @@
 
 from stepflow.members.messages import LeaseGrant, LeaseRequest, LoanGrant, LoanRequest, Message
 
-MAX_DATAGRAM_BYTES = 256  # the platform's limit for datagrams between balancers
-MAX_MEMBERS = 64  # a set of members is sent as one bit for each, in 64 bits
+MAX_DATAGRAM_BYTES = 256  # the platform's limit on datagrams between balancers
+MAX_MEMBERS = 64  # a set of members is encoded as 64 bits, one for each member
 
 _MAGIC = 0xD5
 _VERSION = 1
-_LEASE_REQUEST, _LEASE_GRANT, _LOAN_REQUEST, _LOAN_GRANT = 1, 2, 3, 4  # kinds of messages
+_LEASE_REQUEST, _LEASE_GRANT, _LOAN_REQUEST, _LOAN_GRANT = 1, 2, 3, 4  # kinds of message
 
 _HEADER = struct.Struct("<BBBHQI")  # magic, version, kind, sender, incarnation, nonce
-_LEASE_BODY = struct.Struct("<Q")  # the owners of base shares, as bits
+_LEASE_BODY = struct.Struct("<Q")  # the owners of base shares, one bit each
 _LOAN_BODY = struct.Struct("<IIQ")  # limit, amount, duration in microseconds
 
 
 class DatagramError(ValueError):
-    """A datagram that is no message of this protocol version; its text says why."""
+    """A datagram is not a message of this protocol version; the message says why."""
 
 
 def encode(message: Message) -> bytes:
@@ -45,13 +45,13 @@
     """Return the message of a datagram.
 
     Raises:
-        DatagramError: The datagram has a wrong length, magic, version or kind.
+        DatagramError: The datagram has an invalid length, magic number, version or kind.
     """
     if len(data) < _HEADER.size or len(data) > MAX_DATAGRAM_BYTES:
-        raise DatagramError("no whole head, or too long")
+        raise DatagramError("datagram is shorter than its header or too long")
     magic, version, kind, sender, incarnation, nonce = _HEADER.unpack_from(data)
     if (magic, version) != (_MAGIC, _VERSION):
-        raise DatagramError("not a message of this version")
+        raise DatagramError("not a message of this protocol version")
     body = data[_HEADER.size :]
     try:
         if kind in (_LEASE_REQUEST, _LEASE_GRANT):
@@ -63,8 +63,8 @@
             loan_type = LoanRequest if kind == _LOAN_REQUEST else LoanGrant
             return loan_type(sender, incarnation, nonce, limit, amount, duration_us)
     except struct.error:
-        raise DatagramError("a body of the wrong length") from None
-    raise DatagramError(f"kind {kind}")
+        raise DatagramError("body has the wrong length for its kind of message") from None
+    raise DatagramError(f"unknown kind of message: {kind}")
 
 
 def _header(kind: int, message: Message) -> bytes:
--- a/stepflow/members/membership.py
+++ b/stepflow/members/membership.py
@@ -1,9 +1,8 @@
-"""The failure detector: when each member was last heard, and in which incarnation.
+"""The failure detector: the time and incarnation of the last message from each member.
 
-Members are numbered, and their number is fixed by the configuration. Each process of a member has an
-incarnation, higher than those of the processes before it. There are no probes of its own: any message counts
-as a heartbeat. Times are microseconds on a clock of this process that only moves forward; nothing here reads
-a clock.
+The configuration gives each member a fixed number. Each process of a member has an incarnation, higher than
+those of the member's earlier processes. The detector sends no probes: every message counts as a heartbeat.
+Times are microseconds on a monotonic clock of this process; the detector reads no clock itself.
 """
 
 from __future__ import annotations
@@ -12,14 +11,14 @@
 from enum import IntEnum
 from typing import NamedTuple
 
-SUSPECT_AFTER_US = 1_500_000  # without a message, a member is suspected after this
-DEAD_AFTER_US = 2_500_000  # and held for dead after this
+SUSPECT_AFTER_US = 1_500_000  # a member is suspected after this time without a message
+DEAD_AFTER_US = 2_500_000  # and considered dead after this time
 
 
 class MemberStatus(IntEnum):
-    """What the failure detector holds a member to be."""
+    """The status of a member according to the failure detector."""
 
-    UNKNOWN = 0  # not heard yet
+    UNKNOWN = 0  # no message received yet
     ALIVE = 1
     SUSPECTED = 2
     DEAD = 3
@@ -33,8 +32,8 @@
 class Membership:
     """One process's view of the members, itself included.
 
-    Only the newest incarnation of a member counts. `superseded` turns true once a newer incarnation of this
-    process's own member was heard: then this process has to stop taking part.
+    Only messages of a member's newest incarnation count. `superseded` becomes true when a message of a newer
+    incarnation of this process's own member arrives: this process then has to stop taking part.
     """
 
     def __init__(self, own_number: int, incarnation: int, members: Iterable[int], now: int) -> None:
@@ -47,11 +46,11 @@
 
     @property
     def peers(self) -> list[int]:
-        """All members but this one."""
+        """All members except this one."""
         return [member for member in self.members if member != self.own_number]
 
     def record_message(self, now: int, sender: int, incarnation: int) -> bool:
-        """Note that a message was received; returns whether it is of a peer's newest incarnation."""
+        """Record that a message was received; return whether it is from a peer's newest incarnation."""
         if sender == self.own_number:
             self.superseded |= incarnation > self.incarnation
             return False
@@ -64,7 +63,10 @@
         return True
 
     def status_of(self, now: int, member: int) -> MemberStatus:
-        """Return a member's status; one never heard is held for dead as late as one that fell silent."""
+        """Return a member's status.
+
+        A member without any message is dead `DEAD_AFTER_US` after this process started.
+        """
         if member == self.own_number:
             return MemberStatus.DEAD if self.superseded else MemberStatus.ALIVE
         last = self._last_messages.get(member)
@@ -76,5 +78,5 @@
         return MemberStatus.SUSPECTED if silent_us >= SUSPECT_AFTER_US else MemberStatus.ALIVE
 
     def alive_members(self, now: int) -> list[int]:
-        """Return the members that are held to be alive, this one among them."""
+        """Return the members with status ALIVE, including this one unless it is superseded."""
         return [member for member in self.members if self.status_of(now, member) == MemberStatus.ALIVE]
--- a/stepflow/members/messages.py
+++ b/stepflow/members/messages.py
@@ -1,8 +1,8 @@
 """The messages that members send each other about shared limits (docs/budgets.md).
 
-Each carries its sender's member number and incarnation, and a nonce that ties an answer to its request.
-Amounts are in millionths of a limit, durations in microseconds. A message holds no absolute time: members'
-clocks differ, so each side counts durations from its own events.
+Each message carries its sender's member number and incarnation, and a nonce that matches an answer to its
+request. Amounts are millionths of a limit, durations microseconds. A message contains no absolute time: the
+clocks of members differ, so each side counts durations from its own events.
 """
 
 from __future__ import annotations
@@ -11,16 +11,16 @@
 
 
 class LeaseRequest(NamedTuple):
-    """Asks for the votes on leases of some members' base shares, counted from when the request was sent."""
+    """Asks for votes for leases of these owners' base shares, counted from when the request was sent."""
 
     sender: int
     incarnation: int
     nonce: int
-    owners: frozenset[int]  # whose base shares are to be leased
+    owners: frozenset[int]  # of the base shares to lease
 
 
 class LeaseGrant(NamedTuple):
-    """The votes that answer a `LeaseRequest`: those of its base shares that the sender votes for."""
+    """Answers a `LeaseRequest`: `owners` are those of the requested ones that the sender votes for."""
 
     sender: int
     incarnation: int
@@ -29,14 +29,14 @@
 
 
 class LoanRequest(NamedTuple):
-    """Asks for a loan of one limit, in place of what the receiver has lent to the sender so far."""
+    """Asks for a loan of one limit, which replaces what the receiver has lent to the sender so far."""
 
     sender: int
     incarnation: int
     nonce: int
     limit: int
     amount: int
-    duration_us: int = 0  # the lender decides; in the request only since both loan datagrams have one layout
+    duration_us: int = 0  # unused, the lender decides; both loan datagrams have the same layout
 
 
 class LoanGrant(NamedTuple):
