--- a/tests/budgets/test_processes.py
+++ b/tests/budgets/test_processes.py
@@ -1,4 +1,4 @@
-"""Real processes that share a limit, with failing links between them: no window exceeds the limit."""
+"""Runs processes that share a limit over failing links: usage exceeds the limit in no window."""
 
 from __future__ import annotations
 
@@ -18,11 +18,11 @@
 
 MEMBERS, PORT = 3, 7946
 WINDOW_NS = 1_000_000_000
-PATIENCE_S = 30.0
+TIMEOUT_S = 30.0
 
 
 class Use(NamedTuple):
-    """One use of the limit, as the process printed it."""
+    """One use of the limit, as a process printed it."""
 
     used_ns: int
     amount: int
@@ -50,7 +50,7 @@
             sys.executable, "-m", "standins.sharer", json.dumps(arguments), stdout=asyncio.subprocess.PIPE
         )
         assert process.stdout is not None
-        assert (await asyncio.wait_for(process.stdout.readline(), PATIENCE_S)) == b"listens\n"
+        assert (await asyncio.wait_for(process.stdout.readline(), TIMEOUT_S)) == b"listens\n"
         self.processes[member] = process
         self._readers.append(asyncio.create_task(self._read_uses(member, process.stdout)))
 
@@ -66,7 +66,7 @@
 
     async def wait_for_usage(self, share: float, by: set[int] | None = None) -> None:
         """Wait until some members have used this share of the limit within the last window."""
-        async with asyncio.timeout(PATIENCE_S):
+        async with asyncio.timeout(TIMEOUT_S):
             while True:
                 await asyncio.sleep(0.05)
                 window_start = max((use.used_ns for use in self.uses), default=0) - WINDOW_NS
@@ -76,19 +76,19 @@
                     return
 
     def max_in_window(self) -> int:
-        """The most that was used within any window."""
+        """Return the maximum usage within any window."""
         window: deque[Use] = deque()
-        most = total = 0
+        maximum = total = 0
         for use in sorted(self.uses):
             window.append(use)
             total += use.amount
             while window[0].used_ns <= use.used_ns - WINDOW_NS:
                 total -= window.popleft().amount
-            most = max(most, total)
-        return most
+            maximum = max(maximum, total)
+        return maximum
 
     async def run(self, scenario: Callable[[Processes], Awaitable[None]]) -> None:
-        # Addresses of their own: a free port may be another test's a moment later.
+        # The addresses are of this test alone, because another test could take a port that was just free.
         pid = os.getpid()
         await self.links.open(
             [(f"127.{120 + member}.{pid >> 8 & 255}.{pid & 255}", PORT) for member in range(MEMBERS)]
@@ -107,7 +107,7 @@
 
 
 async def lossy_links(processes: Processes) -> None:
-    """A fifth of all datagrams lost, a tenth duplicated, some 150 ms late."""
+    """Lose a fifth of all datagrams, duplicate a tenth, and delay each by up to 150 ms."""
     for link in processes.links.by_pair.values():
         link.loss, link.duplicates, link.delay_range_s = 0.2, 0.1, (0.0, 0.15)
     await asyncio.sleep(4)
@@ -115,7 +115,7 @@
 
 
 async def killed_members(processes: Processes) -> None:
-    """One dies: its leases serve again. Back within 300 ms under its number, it has a share again."""
+    """Kill a member: the others use its leases. Restart it, then another after 300 ms: both get a share."""
     await processes.kill(2)
     await asyncio.sleep(3)
     await processes.wait_for_usage(0.78, by={0, 1})
@@ -128,7 +128,7 @@
 
 
 async def a_paused_member(processes: Processes) -> None:
-    """One is stopped for longer than its lease, and goes on with its reserved share only."""
+    """Stop a member for longer than its lease; it continues with only its reserved share."""
     processes.processes[1].send_signal(signal.SIGSTOP)
     await asyncio.sleep(5)
     await processes.wait_for_usage(0.78, by={0, 2})
@@ -137,7 +137,7 @@
 
 
 async def partitions(processes: Processes) -> None:
-    """Two against one, healed while the one holds leases that are over, then cut one way only."""
+    """Cut one member off until after its leases have ended, then another in its sending direction only."""
     processes.links.set_partition({0})
     await asyncio.sleep(4)
     await processes.wait_for_usage(0.78, by={1, 2})
--- a/tests/budgets/test_shared_limits.py
+++ b/tests/budgets/test_shared_limits.py
@@ -1,6 +1,6 @@
-"""Shared limits on a virtual network that loses, delays and duplicates messages and restarts processes.
+"""Tests shared limits on a virtual network that loses, delays and duplicates messages and restarts processes.
 
-Planted defects show that the checker finds what breaks a limit.
+Injected defects show that the checker detects usage above a limit.
 """
 
 from __future__ import annotations
@@ -29,33 +29,33 @@
 
 
 def max_in_window(seeds: range, **faults: Any) -> int:
-    """The most that was used within a window, over some seeds and 1 to 7 members."""
-    most = 0
+    """Return the maximum usage within a window, over these seeds and 1 to 7 members."""
+    maximum = 0
     for seed in seeds:
         network = VirtualNetwork(seed, 1 + seed % 7, FaultRates(**faults))
         network.run(20)
-        most = max(most, network.checker.max_in_window)
-    return most
+        maximum = max(maximum, network.checker.max_in_window)
+    return maximum
 
 
 def max_in_window_with_uneven_demand(seeds: int) -> int:
-    """The same on a healthy network where one member wants three times its base share."""
-    most = 0
+    """Return the maximum usage on a healthy network where one member demands three times its base share."""
+    maximum = 0
     for seed in range(seeds):
         network = VirtualNetwork(seed, 3, HEALTHY, lambda member: 3.0 if member == 0 else 0.5)
         network.run(12)
-        most = max(most, network.checker.max_in_window)
-    return most
+        maximum = max(maximum, network.checker.max_in_window)
+    return maximum
 
 
 @pytest.mark.parametrize("first", range(0, 60, 10))
 def test_no_window_exceeds_the_limit(first: int) -> None:
-    """A seed that fails runs again by VirtualNetwork(seed, 1 + seed % 7, FaultRates()).run(20)."""
+    """Reproduce a failing seed with VirtualNetwork(seed, 1 + seed % 7, FaultRates()).run(20)."""
     assert 0.9 * FULL_LIMIT < max_in_window(range(first, first + 10)) <= FULL_LIMIT
 
 
 def test_a_restarted_member_of_two_accounts_for_loans_of_its_predecessor() -> None:
-    """Seed 169 of the benchmark: what the process before had lent was used twice."""
+    """Guards against a second use of an amount that the predecessor had lent (the benchmark's seed 169)."""
     assert max_in_window(range(169, 170)) <= FULL_LIMIT
 
 
@@ -69,49 +69,49 @@
     assert max_in_window_with_uneven_demand(6) <= FULL_LIMIT
 
 
-def plant_short_guard_durations(monkeypatch: pytest.MonkeyPatch) -> None:
+def inject_short_guard_durations(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(timing, "guard_duration_us", lambda duration_us: duration_us // 4)
 
 
-def plant_use_right_after_the_start(monkeypatch: pytest.MonkeyPatch) -> None:
+def inject_use_right_after_the_start(monkeypatch: pytest.MonkeyPatch) -> None:
     original = SharedLimits.__init__
 
-    def without_waiting(self: SharedLimits, *arguments: Any) -> None:
+    def init_without_waiting(self: SharedLimits, *arguments: Any) -> None:
         original(self, *arguments)
         self._usable_from_us = self._leasable_from_us = self._voter.votes_from_us = arguments[-1]
 
-    monkeypatch.setattr(SharedLimits, "__init__", without_waiting)
+    monkeypatch.setattr(SharedLimits, "__init__", init_without_waiting)
 
 
-def plant_votes_for_every_candidate(monkeypatch: pytest.MonkeyPatch) -> None:
+def inject_votes_for_every_candidate(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(LeaseVoter, "vote", lambda self, now, owner, candidate: True)
 
 
-def plant_loans_that_are_not_taken_off(monkeypatch: pytest.MonkeyPatch) -> None:
+def inject_loans_that_do_not_reduce_the_share(monkeypatch: pytest.MonkeyPatch) -> None:
     original = SharedLimits._answer_loan_request
 
-    def forgetting(self: SharedLimits, now: int, request: LoanRequest) -> list[OutgoingMessage]:
+    def answer_without_recording(self: SharedLimits, now: int, request: LoanRequest) -> list[OutgoingMessage]:
         answers = original(self, now, request)
         for account in self._accounts.values():
             account.lent = Loans()
         return answers
 
-    monkeypatch.setattr(SharedLimits, "_answer_loan_request", forgetting)
+    monkeypatch.setattr(SharedLimits, "_answer_loan_request", answer_without_recording)
 
 
 @pytest.mark.parametrize(
-    "plant",
+    "inject",
     [
-        plant_short_guard_durations,
-        plant_use_right_after_the_start,
-        plant_votes_for_every_candidate,
-        plant_loans_that_are_not_taken_off,
+        inject_short_guard_durations,
+        inject_use_right_after_the_start,
+        inject_votes_for_every_candidate,
+        inject_loans_that_do_not_reduce_the_share,
     ],
 )
-def test_a_planted_defect_is_found(
-    plant: Callable[[pytest.MonkeyPatch], None], monkeypatch: pytest.MonkeyPatch
+def test_an_injected_defect_is_detected(
+    inject: Callable[[pytest.MonkeyPatch], None], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    plant(monkeypatch)
+    inject(monkeypatch)
     assert max(max_in_window(range(21), kills=0.6), max_in_window_with_uneven_demand(6)) > FULL_LIMIT
 
 
@@ -125,7 +125,7 @@
 
 
 def test_shares_follow_demand() -> None:
-    """One of three wants most: with fixed shares it would have a third."""
+    """One of three members has the highest demand; with fixed shares it could use only a third."""
     network = VirtualNetwork(2, 3, HEALTHY, lambda member: 3.0 if member == 0 else 0.3)
     network.run(10)
     before = network.used_by_member[0]
@@ -154,7 +154,7 @@
 
 
 def exchange_until_leased(first: SharedLimits, second: SharedLimits, now: int) -> int:
-    """Let both ask and answer until they hold their leases; returns the time of the last round."""
+    """Exchange messages until both hold their leases; return the time of the last round."""
     for _ in range(20):
         now += 300_000
         for candidate, voter in ((first, second), (second, first)):
@@ -166,7 +166,7 @@
 
 
 def borrow() -> tuple[SharedLimits, int, LoanGrant]:
-    """A member, the time, and the grant that answers its loan request."""
+    """Return a borrower, the time, and the grant that answers its loan request."""
     borrower, lender = two_of_three()
     now = exchange_until_leased(borrower, lender, 0)
     borrower.try_use(now, 5, FULL_LIMIT)
@@ -183,7 +183,7 @@
 def test_a_member_without_a_majority_has_its_reserved_share_only() -> None:
     first, second = two_of_three()
     now = exchange_until_leased(first, second, 0)
-    assert first.available_share(now) > first.base_share  # and a lease of the third's, which was never heard
+    assert first.available_share(now) > first.base_share  # also leases the share of the third, silent member
     assert first.available_share(now + 3 * SECOND) == first.reserved_share
 
 
--- a/tests/members/test_members.py
+++ b/tests/members/test_members.py
@@ -1,4 +1,4 @@
-"""What members tell each other: the datagrams, and the failure detector."""
+"""Tests the datagrams between members, and the failure detector."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 
 @given(LEASE_MESSAGES | LOAN_MESSAGES)
-def test_a_message_survives_encoding_and_fits_a_datagram(message: Message) -> None:
+def test_a_message_is_decoded_unchanged_and_fits_a_datagram(message: Message) -> None:
     decoded = decode(encode(message))
     assert decoded == message and type(decoded) is type(message)
     assert len(encode(message)) <= MAX_DATAGRAM_BYTES
@@ -61,14 +61,14 @@
         ),
     ],
 )
-def test_the_bytes_of_each_kind_of_message(message: Message, datagram: str) -> None:
+def test_each_kind_of_message_has_its_bytes(message: Message, datagram: str) -> None:
     assert encode(message) == bytes.fromhex(datagram)
 
 
-@pytest.mark.parametrize(("at", "value"), [(0, 0), (1, 2), (2, 9), (2, 0)])
-def test_another_protocol_version_or_kind_is_rejected(at: int, value: int) -> None:
+@pytest.mark.parametrize(("offset", "value"), [(0, 0), (1, 2), (2, 9), (2, 0)])
+def test_another_protocol_version_or_kind_is_rejected(offset: int, value: int) -> None:
     data = bytearray(encode(LoanRequest(1, 2, 3, 0, 0)))
-    data[at] = value
+    data[offset] = value
     with pytest.raises(DatagramError):
         decode(bytes(data))
 
@@ -85,7 +85,7 @@
     assert membership.status_of(9_000_000, 1) == MemberStatus.ALIVE
 
 
-def test_messages_of_earlier_incarnations_and_of_strangers_change_nothing() -> None:
+def test_messages_of_earlier_incarnations_and_of_unknown_members_change_nothing() -> None:
     membership = Membership(0, 7, range(3), 0)
     membership.record_message(0, 1, 51)
     assert not membership.record_message(5_000_000, 1, 50)
--- a/tests/test_any_settings.py
+++ b/tests/test_any_settings.py
@@ -1,4 +1,4 @@
-"""Any valid settings and any order of events: the policy raises nothing."""
+"""Tests that the policy raises no exception for any valid settings and any order of events."""
 
 from __future__ import annotations
 
@@ -32,64 +32,67 @@
 from stepflow.policy import Policy
 from stepflow.settings import merge_settings, parse_node_settings
 
-FIELDS = ("x0", "x1", "utilization", "inflight", "qps", "latency_ms", "queue")
-VALUES = (0.0, 0.2, 4.0, -1.0, float("nan"), float("inf"))
+REPORT_FIELDS = ("x0", "x1", "utilization", "inflight", "qps", "latency_ms", "queue")
+REPORT_VALUES = (0.0, 0.2, 4.0, -1.0, float("nan"), float("inf"))
 
 
 def random_settings(rng: random.Random) -> dict[str, Any]:
-    """Settings at their extremes: nothing, next to nothing, and far more than known sites have."""
+    """Return settings with extreme values: zero, close to zero, and far above those of known sites."""
 
-    def one(*values: Any) -> Any:
+    def one_of(*values: Any) -> Any:
         return rng.choice(values)
 
     classes = [
         {
             "name": f"c{number}",
-            "aim_us": one(0, 50_000),
-            "give_up_us": one(1, 200_000, 60_000_000),
-            "effect": one("repeatable", "by_key", "once"),
-            "key_scope": one("cell", "zone", "all"),
-            "key_ttl_us": one(0, 1, 5_000_000),
-            "credit": one(0.0, 1.0, 1e9),
+            "aim_us": one_of(0, 50_000),
+            "give_up_us": one_of(1, 200_000, 60_000_000),
+            "effect": one_of("repeatable", "by_key", "once"),
+            "key_scope": one_of("cell", "zone", "all"),
+            "key_ttl_us": one_of(0, 1, 5_000_000),
+            "credit": one_of(0.0, 1.0, 1e9),
         }
         for number in range(rng.randrange(5))
     ]
-    tenants = [{"name": f"t{n}", "fraction": one(0.0, 0.5, 1.0)} for n in range(rng.randrange(4))]
+    tenants = [{"name": f"t{n}", "fraction": one_of(0.0, 0.5, 1.0)} for n in range(rng.randrange(4))]
     costs = ("cross_zone", "late_fail", "moves", "peer", "probe", "waste")
     return {
-        "group_size": one(1, 3, 200),
-        "position": one(0, 199),
-        "zone": one(0, 5),
-        "azs": one([], ["a", "b"]),
-        "kinds": one([], ["k", "j"]),
+        "group_size": one_of(1, 3, 200),
+        "position": one_of(0, 199),
+        "zone": one_of(0, 5),
+        "azs": one_of([], ["a", "b"]),
+        "kinds": one_of([], ["k", "j"]),
         "classes": classes,
         "tenants": tenants,
-        "costs": {name: one(0.0, 1e-12, 0.004, 1.0) for name in costs},
+        "costs": {name: one_of(0.0, 1e-12, 0.004, 1.0) for name in costs},
         "policy_limits": {
-            "most_tries": one(1, 6),
-            "probing": one(True, False),
-            "cancel": one(True, False),
-            "retry_after": one(True, False),
-            "max_retry_after_us": one(0, 1, 1_500_000),
+            "most_tries": one_of(1, 6),
+            "probing": one_of(True, False),
+            "cancel": one_of(True, False),
+            "retry_after": one_of(True, False),
+            "max_retry_after_us": one_of(0, 1, 1_500_000),
         },
         "safety": {
-            "ask_within_us": one(0, 1, 8_000_000),
-            "cold_share": one(0.0, 0.13, 1.0),
-            "warm_after_us": one(0, 1, 23_000_000),
-            "drain_grace_us": one(0, 4_000_000),
-            "fall_multiple": one(0.01, 2.5),
-            "overload_for_us": one(0, 1_500_000),
+            "ask_within_us": one_of(0, 1, 8_000_000),
+            "cold_share": one_of(0.0, 0.13, 1.0),
+            "warm_after_us": one_of(0, 1, 23_000_000),
+            "drain_grace_us": one_of(0, 4_000_000),
+            "fall_multiple": one_of(0.01, 2.5),
+            "overload_for_us": one_of(0, 1_500_000),
         },
-        "report": {"fields": rng.sample(FIELDS, rng.randrange(5)), "via": one("none", "probe", "answer")},
-        "domain": {"mode": one("proxy", "pass"), "message_aim_us": [one(0, 50_000.0) for _ in classes]},
-        "discovery": one("pushed", "on_request"),
-        "weights": one("none", "live"),
-        "tick_us": one(1, 50_000),
+        "report": {
+            "fields": rng.sample(REPORT_FIELDS, rng.randrange(5)),
+            "via": one_of("none", "probe", "answer"),
+        },
+        "domain": {"mode": one_of("proxy", "pass"), "message_aim_us": [one_of(0, 50_000.0) for _ in classes]},
+        "discovery": one_of("pushed", "on_request"),
+        "weights": one_of("none", "live"),
+        "tick_us": one_of(1, 50_000),
     }
 
 
 class RandomEvents:
-    """Random events for one policy; those of attempts are of pending ones or of established sessions."""
+    """Sends one policy random events; attempt events refer to pending attempts and established sessions."""
 
     def __init__(self, seed: int) -> None:
         self.rng = rng = random.Random(seed)
@@ -129,8 +132,8 @@
             for _ in range(rng.randrange(8))
         )
 
-    def report(self) -> tuple[float, ...]:
-        return tuple(self.rng.choice(VALUES) for _ in self.settings.load_report_fields)
+    def load_report(self) -> tuple[float, ...]:
+        return tuple(self.rng.choice(REPORT_VALUES) for _ in self.settings.load_report_fields)
 
     def step(self) -> None:
         rng = self.rng
@@ -155,9 +158,11 @@
         expires = self.now + rng.choice([0, 1, 200_000, 2_000_000])
         load = rng.choice([None, 0.0, 1.0, 1e12])
         cls = rng.randrange(len(self.settings.classes))
-        again = rng.random() < 0.3, rng.random() < 0.3
+        retry_and_mid_flow = rng.random() < 0.3, rng.random() < 0.3
         group = rng.getrandbits(3)
-        self.feed(Request(self.request_count, cls, expires, load, rng.randrange(4), 7, group, *again))
+        self.feed(
+            Request(self.request_count, cls, expires, load, rng.randrange(4), 7, group, *retry_and_mid_flow)
+        )
 
     def answer_attempt(self) -> None:
         if not self.pending:
@@ -168,11 +173,13 @@
         if self.rng.random() < 0.5:
             self.feed(SessionEstablished(id, number, endpoint, self.rng.choice([0, 900_000])))
             kind = self.rng.choice(list(SessionReportKind))
-            self.feed(SessionReport(id, number, endpoint, kind, self.rng.choice(VALUES)))
+            self.feed(SessionReport(id, number, endpoint, kind, self.rng.choice(REPORT_VALUES)))
             self.established[id] = number, endpoint
         else:
             result = self.rng.choice(list(AttemptResult))
-            self.feed(AttemptEnded(id, number, endpoint, result, id in self.answered, 1000, self.report()))
+            self.feed(
+                AttemptEnded(id, number, endpoint, result, id in self.answered, 1000, self.load_report())
+            )
 
     def end_session(self) -> None:
         if self.established:
@@ -183,13 +190,13 @@
 
     def end_health_check(self) -> None:
         result = self.rng.choice(list(AttemptResult))
-        self.feed(HealthCheckEnded(f"s{self.rng.randrange(9)}", result, 500, self.report()))
+        self.feed(HealthCheckEnded(f"s{self.rng.randrange(9)}", result, 500, self.load_report()))
 
     def update_list(self) -> None:
         self.feed(EndpointListUpdate(self.rng.choice(list(ListUpdateKind)), self.entries()))
 
     def disconnect_or_reload(self) -> None:
-        """A client disconnects, or the settings are reloaded."""
+        """Disconnect a client, or reload the settings."""
         if self.rng.random() < 0.5:
             self.feed(ClientDisconnected(self.rng.randint(1, max(1, self.request_count))))
         else:
@@ -200,8 +207,8 @@
 
 
 @pytest.mark.parametrize("seed", range(8))
-def test_no_settings_and_no_order_of_events_raise(seed: int) -> None:
-    """An endpoint with a start time in the future once divided by 0 where slow start was off."""
+def test_the_policy_does_not_raise_for_any_settings_and_order_of_events(seed: int) -> None:
+    """Guards against a division by 0: an endpoint started in the future while slow start was off."""
     for number in range(40):
         events = RandomEvents(seed * 1000 + number)
         for _ in range(150):
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -1,4 +1,4 @@
-"""docs/settings.md against the parser: what it calls read is read, and nothing else is."""
+"""Tests that docs/settings.md lists the keys that the parser reads, and of merged settings."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 def rows(title: str) -> list[list[str]]:
-    """The cells of a section's table."""
+    """Return the cells of the table in a section, row by row."""
     section = PAGE.split(f"## {title}\n")[1].split("\n## ")[0]
     lines = [line for line in section.splitlines() if line.startswith("| `")]
     return [[cell.strip() for cell in line.strip("|").split("|")] for line in lines]
@@ -28,21 +28,21 @@
 
 
 def keys_read(monkeypatch: pytest.MonkeyPatch) -> set[str]:
-    """The keys that the parser asks for, of settings that have one class and one tenant."""
-    asked: set[str] = set()
+    """Return the keys that the parser looks up in settings with one class and one tenant."""
+    looked_up: set[str] = set()
 
     class RecordingTexts(dict[str, str]):
         def get(self, key: str, default: object = None) -> object:  # type: ignore[override]
-            asked.add(re.sub(r"\.\d+\.", ".N.", key))
+            looked_up.add(re.sub(r"\.\d+\.", ".N.", key))
             return dict.get(self, key, default)
 
     original = SettingsReader.__init__
 
-    def recording(self: SettingsReader, pairs: Iterable[tuple[str, str]]) -> None:
+    def record_lookups(self: SettingsReader, pairs: Iterable[tuple[str, str]]) -> None:
         original(self, pairs)
         self.texts = RecordingTexts(self.texts)
 
-    monkeypatch.setattr(SettingsReader, "__init__", recording)
+    monkeypatch.setattr(SettingsReader, "__init__", record_lookups)
     parse_node_settings(
         {
             "classes": [{"name": "a"}],
@@ -51,14 +51,14 @@
             "report": {"via": "probe", "fields": ["x0"]},
         }
     )
-    return asked
+    return looked_up
 
 
 def test_the_page_lists_the_keys_that_the_parser_reads(monkeypatch: pytest.MonkeyPatch) -> None:
-    told = keys("Read")
-    assert len(told) == len(set(told))
-    assert set(told) == keys_read(monkeypatch)
-    assert not set(told) & set(keys("Passed over, and why"))
+    listed = keys("Read")
+    assert len(listed) == len(set(listed))
+    assert set(listed) == keys_read(monkeypatch)
+    assert not set(listed) & set(keys("Passed over, and why"))
 
 
 def test_each_test_that_the_pages_name_exists() -> None:
@@ -72,11 +72,11 @@
 
 
 def test_a_tenant_keeps_its_number_when_the_settings_change() -> None:
-    def told(*tenants: tuple[str, float]) -> Settings:
+    def settings_with(*tenants: tuple[str, float]) -> Settings:
         return Settings(tenants=tuple(Tenant(name, share) for name, share in tenants))
 
-    after = merge_settings(told(("a", 0.6), ("b", 0.4)), told(("b", 0.7), ("c", 0.3)))
-    assert [(t.name, t.share) for t in after.tenants] == [("a", 0.0), ("b", 0.7), ("c", 0.3)]
+    merged = merge_settings(settings_with(("a", 0.6), ("b", 0.4)), settings_with(("b", 0.7), ("c", 0.3)))
+    assert [(t.name, t.share) for t in merged.tenants] == [("a", 0.0), ("b", 0.7), ("c", 0.3)]
 
 
 def test_polling_the_endpoint_list_does_not_change_at_a_reload() -> None:
--- a/tests/test_settings_forms.py
+++ b/tests/test_settings_forms.py
@@ -1,4 +1,4 @@
-"""The two forms of the settings."""
+"""The simulator's text and a node's JSON as formats of the same settings."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from tests.node_kit import SETTINGS
 
 
-def test_both_forms_of_the_settings_say_the_same() -> None:
+def test_text_and_json_are_parsed_to_the_same_settings() -> None:
     text = (
         "group_size=1\ndiscovery=on_request\nazs=a\nkinds=k\nclasses.count=1\nclasses.0.name=view\n"
         "classes.0.aim_us=300000\nclasses.0.give_up_us=1200000\nclasses.0.effect=repeatable\n"
@@ -16,6 +16,6 @@
         "policy_limits.most_tries=6\npolicy_limits.probing=true\npolicy_limits.cancel=true\n"
         "report.fields=x0,x1,utilization\nreport.via=probe\n"
     )
-    told = parse_node_settings(SETTINGS)
-    assert told.policy == parse_settings(text)
-    assert told.connect_timeout == timedelta(milliseconds=200)
+    node_settings = parse_node_settings(SETTINGS)
+    assert node_settings.policy == parse_settings(text)
+    assert node_settings.connect_timeout == timedelta(milliseconds=200)
