--- a/stepflow/budgets/attempt_throttle.py
+++ b/stepflow/budgets/attempt_throttle.py
@@ -39,7 +39,7 @@
         self.attempts = max(0.0, self.attempts - 1)
 
     def revoke_established(self) -> None:
-        """Subtract an established session that its endpoint dropped at once."""
+        """Subtract an established session that its endpoint dropped right afterwards."""
         self.established = max(0.0, self.established - 1)
 
     def is_closed(self) -> bool:
--- a/stepflow/budgets/shared_limits.py
+++ b/stepflow/budgets/shared_limits.py
@@ -37,7 +37,7 @@
 )
 
 RESERVED_DIVISOR = 4  # base share / reserved share
-LOAN_INCREMENT_DIVISOR = 4  # base share / minimum amount that a loan request asks for
+LOAN_INCREMENT_DIVISOR = 4  # base share / minimum additional amount that a loan request asks for
 LENT_IDLE_DIVISOR = 2  # idle amount / maximum amount that one grant adds
 MAX_LIMITS = 256  # accounts held at a time
 MIN_MEMBERS_FOR_LEASES = 3  # with two, one member alone is no majority
--- a/stepflow/budgets/slow_start.py
+++ b/stepflow/budgets/slow_start.py
@@ -49,6 +49,6 @@
         sessions_when_full = own.open_sessions / divisor / max(fleet.mean_load, MIN_MEAN_LOAD)
         if fleet.warm_endpoints < min_warm_endpoints and self._sessions_when_full:
             sessions_when_full = self._sessions_when_full
-        # A node without sessions has learned nothing yet and starts at the rate of its requests.
+        # A node that has no sessions yet has nothing to learn from: it starts at the rate of its requests.
         rate = sessions_when_full / max(1.0, rules.slow_start_us / SECOND_US) or own.request_rate() / divisor
         return rate * SAFETY_SHARE * rules.overload_multiple
--- a/stepflow/interface/events.py
+++ b/stepflow/interface/events.py
@@ -147,8 +147,7 @@
     """An attempt has ended; `result` is an AttemptResult.
 
     `is_final` is true if the request needs no further answer. `load_report` holds the values of the
-    endpoint's load report in the order of the settings' `load_report_fields`, if the endpoint
-    sent one.
+    endpoint's load report, if it sent one, in the order of the settings' `load_report_fields`.
     """
 
     request_id: int
@@ -173,9 +172,9 @@
 
 
 class HealthCheckEnded(NamedTuple):
-    """A health check that StartHealthCheck asked for has ended; `result` is an AttemptResult.
+    """A health check that StartHealthCheck asked for has ended.
 
-    `load_report` is as in AttemptEnded.
+    `result` is an AttemptResult. `load_report` has the same form as that of AttemptEnded.
     """
 
     endpoint: EndpointId
