--- a/stepflow/node/core/__init__.py
+++ b/stepflow/node/core/__init__.py
@@ -1,8 +1,8 @@
 """The node's core: connects the policy with clients, upstream connections and discovery.
 
-`interfaces` has the protocols of the core's neighbours, `requests` the table of requests and their answers,
-`attempts` the life of attempts, `event_queue` the policy's input, `action_handlers` its output; `core` is
-what others call.
+`core` is the entry point for the rest of the node. `interfaces` defines the protocols of the components that
+the core calls, `requests` the request table and the answers, `attempts` the life cycle of attempts,
+`event_queue` the policy's input and `action_handlers` its output.
 """
 
 from stepflow.node.core.core import Core
--- a/stepflow/node/core/action_handlers.py
+++ b/stepflow/node/core/action_handlers.py
@@ -33,7 +33,7 @@
 class ActionHandlers:
     """One handler for each type of action.
 
-    An action may concern a request that is over by the time it is carried out: it has no effect then.
+    An action for a request that has been released in the meantime has no effect.
     """
 
     def __init__(
@@ -66,11 +66,11 @@
         )
 
     def connect(self, upstream: Upstream, discovery: Discovery) -> None:
-        """Carry out actions by means of these; once, before the first event."""
+        """Set the components that carry out actions. Call once, before the first event."""
         self._upstream, self._discovery = upstream, discovery
 
     def migrate_session(self, action: MigrateSession) -> None:
-        """Send an established session to another endpoint."""
+        """Migrate an established session to another endpoint."""
         context = self._requests.get(action.request_id)
         if context is not None and context.established:
             self._counters.moved += 1
--- a/stepflow/node/core/attempts.py
+++ b/stepflow/node/core/attempts.py
@@ -1,8 +1,8 @@
-"""Starts attempts, and takes in how they end.
+"""Starts attempts and handles their results.
 
-The policy decides about each attempt, with one exception: a client that returns to the endpoint of its
-previous session has made the choice itself. The policy learns of such a request only once its session is
-established, and the attempts until then are repeated here.
+The policy decides on each attempt, with one exception: a client that returns to the endpoint of its previous
+session has chosen the endpoint itself. The policy receives such a request only once its session is
+established; until then, this module retries the failed attempts.
 """
 
 from __future__ import annotations
@@ -19,12 +19,12 @@
 
 log = get_logger()
 
-RETRY_PREVIOUS_AFTER = timedelta(milliseconds=250)  # until the endpoint of a previous session is tried again
+RETRY_PREVIOUS_AFTER = timedelta(milliseconds=250)  # before a retry at the endpoint of a previous session
 RETRIED_RESULTS = frozenset({AttemptResult.CONNECT_FAILED, AttemptResult.FULL})
 
 
 class AttemptRunner:
-    """Runs the attempts of all requests, at most one of each at a time."""
+    """Runs the attempts of all requests, at most one at a time for each request."""
 
     def __init__(self, clock: Clock, timers: Timers, requests: RequestTable, events: EventQueue) -> None:
         self._clock, self._timers = clock, timers
@@ -32,11 +32,14 @@
         self._upstream: Upstream
 
     def connect(self, upstream: Upstream) -> None:
-        """Send attempts through this upstream; once, before the first."""
+        """Set the upstream that starts attempts. Call once, before the first attempt."""
         self._upstream = upstream
 
     def start(self, context: RequestContext, endpoint: str, timeout_us: int = 0) -> None:
-        """Start an attempt; it may take the time-out (0: none), and never longer than its client waits."""
+        """Start an attempt.
+
+        Its timeout is `timeout_us` (0: none), and at most the time until the request's deadline.
+        """
         if context.attempt is not None:
             log.error("a second attempt while one is out", request=context.id)
             return
@@ -56,7 +59,10 @@
             self.ended(context, AttemptResult.CONNECT_FAILED)
 
     def established(self, context: RequestContext, attempt: Attempt) -> None:
-        """An endpoint took the session; an attempt that is no longer wanted is abandoned."""
+        """Handle an attempt whose endpoint accepted the session; abandon it if it is obsolete.
+
+        An attempt is obsolete if the request has been answered or has another attempt.
+        """
         if context.attempt is not attempt or context.answered:
             attempt.abandon()
             return
@@ -77,12 +83,12 @@
         report: tuple[float, ...] = (),
         answer: bytes = b"",
     ) -> None:
-        """An attempt is over and its socket is closed, before its session was established or after."""
+        """Handle an attempt that ended and closed its socket, before or after it established its session."""
         context.attempt = None
         self._requests.log.attempt_ended(context, result)
         if result == AttemptResult.OK and not context.answered:
             self._requests.complete(context, answer)
-        if context.previous_endpoint and not context.established:  # the policy doesn't know of the request
+        if context.previous_endpoint and not context.established:  # the policy doesn't know the request
             if not context.answered and not self._retry_previous(context, result):
                 self._requests.fail(context)
         else:
@@ -103,13 +109,13 @@
         )
 
     def _elapsed_us(self, context: RequestContext) -> int:
-        """Microseconds since the latest attempt was started."""
+        """Return the microseconds since the latest attempt was started."""
         return micros(self._clock.now() - context.attempt_started)
 
     def _retry_previous(self, context: RequestContext, result: AttemptResult) -> bool:
-        """Schedule a further attempt at the endpoint of the previous session; False where there is none.
+        """Schedule a retry at the endpoint of the previous session; return False if no retry is allowed.
 
-        After a start all clients return at once, and an endpoint may not get round to each of them in time.
+        After a node's start, all its clients return at once, and an endpoint may fail to serve some in time.
         """
         if result not in RETRIED_RESULTS or self._requests.shutting_down:
             return False
--- a/stepflow/node/core/core.py
+++ b/stepflow/node/core/core.py
@@ -1,9 +1,8 @@
 """The core's interface for the rest of the node.
 
-`Core` takes in what clients, attempts, health checks and discovery bring, and turns it into the policy's
-events. It owns the requests (`RequestTable`), their attempts (`AttemptRunner`) and the policy's input
-(`EventQueue`); the policy's actions are carried out by `ActionHandlers`. All of it runs in the reactor's
-thread.
+`Core` receives calls from clients, attempts, health checks and discovery, and turns them into events for the
+policy. It owns the requests (`RequestTable`), their attempts (`AttemptRunner`) and the policy's input
+(`EventQueue`); `ActionHandlers` carries out the policy's actions. All methods run in the reactor's thread.
 """
 
 from __future__ import annotations
@@ -39,7 +38,7 @@
 
 
 class Core:
-    """Feeds the policy and carries out what it decides."""
+    """Passes events to the policy and carries out the resulting actions."""
 
     def __init__(
         self, policy: Policy, settings: Settings, clock: Clock, timers: Timers, counters: Counters, slots: int
@@ -53,59 +52,59 @@
         self.update_settings(settings)
 
     def start(self, upstream: Upstream, discovery: Discovery, known: tuple[Endpoint, ...]) -> None:
-        """Start the policy with the endpoint list that this node last had."""
+        """Start the policy with the last known endpoint list."""
         self._attempts.connect(upstream)
         self._actions.connect(upstream, discovery)
         self._events.post(Started())
         self.endpoint_list_updated(ListUpdateKind.CACHED, known)
 
     def update_settings(self, settings: Settings) -> None:
-        """Take settings, at the start or later; open requests keep their class and limit of attempts."""
+        """Apply settings, at the start or at a reload; open requests keep their class and attempt limit."""
         self._settings = settings
         self._requests.update_settings(settings)
         self._policy.update_settings(settings)
 
     def record_events(self, recorder: EventRecorder | None) -> None:
-        """Have each event and its actions recorded from now on; None ends that."""
+        """Pass each event and its actions to `recorder` from now on; None stops the recording."""
         self._events.recorder = recorder
 
-    # What the node shows of itself.
+    # State for logs, metrics, recordings and the hand-over.
 
     def class_name(self, class_index: int) -> str:
-        """The name of a request class."""
+        """Return the name of a request class."""
         return self._settings.classes[class_index].name
 
     def tenant_name(self, tenant: int) -> str:
-        """The name of a tenant; empty for one that the settings don't name."""
+        """Return the name of a tenant, or an empty string if the settings don't name it."""
         return self._settings.tenants[tenant].name if tenant < len(self._settings.tenants) else ""
 
     @property
     def open_requests(self) -> int:
-        """The number of requests that are not over."""
+        """The number of requests that have not been released."""
         return len(self._requests)
 
     def established_sessions(self) -> list[RequestContext]:
-        """The contexts of all established sessions."""
+        """Return the contexts of all established sessions."""
         return [context for context in self._requests if context.established]
 
     def sessions(self) -> Iterator[tuple[Request, str, float | None]]:
-        """The request, the endpoint and the load of each established session."""
+        """Yield the request, the endpoint and the load of each established session."""
         for context in self.established_sessions():
             yield context.request, context.endpoint, self.session_load(context)
 
     def session_load(self, context: RequestContext) -> float | None:
-        """The load that the policy counts a session as; None if the policy doesn't know it."""
+        """Return the load that the policy assigns to a session, or None if it doesn't know the session."""
         state = self._policy.requests.get(context.id)
         return None if state is None else state.load
 
     def endpoints(self) -> list[Endpoint]:
-        """The endpoint list as the policy holds it."""
+        """Return the endpoint list as the policy holds it."""
         return [
             Endpoint(s.id, s.zone, s.kind, s.cell, s.availability, s.size, s.started_us)
             for s in self._policy.model.endpoints.values()
         ]
 
-    # From clients.
+    # Calls from clients.
 
     def accept(
         self,
@@ -114,13 +113,13 @@
         previous_endpoint: str = "",
         client_request_id: str = "",
     ) -> RequestContext | None:
-        """Take a request, which is owed one answer from now on; None when it can't be taken.
+        """Accept a request, which gets exactly one answer from now on; return None if it is rejected.
 
-        A client that names the endpoint of its previous session goes back there, and the policy learns of it
-        once the session is established.
+        A request with a `previous_endpoint` goes to that endpoint, and the policy receives it only once its
+        session is established.
         """
         if self._requests.shutting_down:  # a session established now would be cut off at the exit
-            self.reject_unaccepted(request, client_request_id, "the node leaves")
+            self.reject_unaccepted(request, client_request_id, "node shutting down")
             return None
         context = RequestContext(
             request,
@@ -143,11 +142,11 @@
         return context
 
     def reject_unaccepted(self, request: Request, client_request_id: str, reason: str) -> None:
-        """Count a request that is rejected without being accepted; its answer is the caller's."""
+        """Count a request that is rejected without being accepted; the caller sends the answer."""
         self._requests.reject_unaccepted(request, client_request_id, reason)
 
     def adopt_session(self, request: Request, downstream: Downstream, endpoint: str) -> RequestContext | None:
-        """Take over a session that the predecessor established; None when it can't be taken."""
+        """Adopt a session that the predecessor established; return None if that isn't possible."""
         if self._requests.shutting_down:
             return None
         context = RequestContext(
@@ -165,7 +164,10 @@
         return context
 
     def client_disconnected(self, context: RequestContext) -> None:
-        """The client disconnected before its answer: an attempt that goes on would only waste work."""
+        """Release a request whose client disconnected before its answer, and abandon its attempt.
+
+        Continuing the attempt would only waste work.
+        """
         if context.answered:
             return
         self._requests.mark_disconnected(context)
@@ -175,10 +177,10 @@
             context.attempt.abandon()
         self._requests.release(context)
 
-    # From attempts and from established sessions.
+    # Calls from attempts and established sessions.
 
     def may_send_attempt(self, context: RequestContext) -> bool:
-        """Whether an attempt whose connection has come up may still send its line."""
+        """Return whether an attempt may still send its OPEN line, now that its connection is established."""
         context.downstream.check_disconnected()
         if context.answered:
             return False
@@ -186,11 +188,11 @@
         return bool(context.previous_endpoint) or self._policy.may_send_attempt(now_us, context.id)
 
     def attempt_sent(self, context: RequestContext) -> None:
-        """The last byte of an attempt's line was sent."""
+        """Count an attempt whose OPEN line was sent completely."""
         self._requests.count_attempt(context)
 
     def attempt_established(self, context: RequestContext, attempt: Attempt) -> None:
-        """An endpoint took the session."""
+        """Handle an attempt whose endpoint accepted the session."""
         self._attempts.established(context, attempt)
 
     def attempt_ended(
@@ -200,25 +202,25 @@
         report: tuple[float, ...] = (),
         answer: bytes = b"",
     ) -> None:
-        """An attempt is over and its socket is closed, before its session was established or after."""
+        """Handle an attempt that ended and closed its socket, before or after it established its session."""
         self._attempts.ended(context, result, report, answer)
 
     def session_report(self, context: RequestContext, kind: SessionReportKind, value: float) -> None:
-        """An endpoint sent a figure of an established session."""
+        """Post the load or the delay that an endpoint reported for an established session."""
         self._events.post(SessionReport(context.id, context.attempts - 1, context.endpoint, kind, value))
 
-    # From health checks and from discovery.
+    # Calls from health checks and discovery.
 
     def health_check_ended(
         self, endpoint: str, result: AttemptResult, latency: timedelta, report: tuple[float, ...] = ()
     ) -> None:
-        """A health check ended, with the endpoint's load report if it succeeded."""
+        """Post the result of a health check, with the endpoint's load report if the check succeeded."""
         if result != AttemptResult.OK:
             self._counters.probes_failed += 1
         self._events.post(HealthCheckEnded(endpoint, result, micros(latency), report))
 
     def endpoint_list_updated(self, kind: ListUpdateKind, endpoints: tuple[Endpoint, ...]) -> None:
-        """Discovery brought a list or a change of it, or (`FAILED`) nothing."""
+        """Post a list update from discovery; `FAILED` reports a call that brought no list."""
         if kind != ListUpdateKind.FAILED:
             now_us = micros(self._clock.now())
             endpoints = self._start_times.localize(now_us, kind != ListUpdateKind.DELTA, endpoints)
@@ -227,9 +229,9 @@
     # Shutdown.
 
     def reject_pending(self) -> None:
-        """Reject everything that is not answered, now and from now on: another node can take it at once.
+        """Reject all unanswered requests and all later ones, so that clients retry at another node at once.
 
-        A request that may have run and must not run twice can go to no other node: it waits for its endpoint.
+        A request that may have run and must not run twice isn't rejected: it waits for its endpoint.
         """
         self._requests.shutting_down = True
         for context in self._requests:
@@ -239,7 +241,7 @@
                     context.attempt.abandon()
 
     def answer_pending(self) -> None:
-        """Answer everything: there is no time left."""
+        """Reject or fail all unanswered requests, at the end of the time for a graceful shutdown."""
         self.reject_pending()
         for context in self._requests:
             if not context.answered:
@@ -248,6 +250,6 @@
                     context.attempt.abandon()
 
     def migrate(self, context: RequestContext) -> None:
-        """Send an established session to another endpoint; one that is over meanwhile is passed over."""
+        """Migrate an established session to another endpoint; do nothing if the session has ended."""
         if self._requests.get(context.id) is context:
             self._actions.migrate_session(MigrateSession(context.id))
--- a/stepflow/node/core/event_queue.py
+++ b/stepflow/node/core/event_queue.py
@@ -1,4 +1,4 @@
-"""Feeds the policy: one event at a time, and the actions of each before the next."""
+"""Passes events to the policy one at a time, and carries out the actions of each before the next."""
 
 from __future__ import annotations
 
@@ -14,17 +14,17 @@
 log = get_logger()
 
 EventRecorder = Callable[[int, Event, list[Action]], None]
-"""Takes the time in microseconds of the node's clock, an event and the actions that it led to."""
+"""Called with the node's time in microseconds, an event and the resulting actions."""
 
 ActionHandler = Callable[..., None]
 """Carries out an action of one type."""
 
 
 class EventQueue:
-    """Owns the policy's input: the events that wait, and the handlers of the actions that come out.
+    """Owns the queued events and the handlers of the policy's actions.
 
-    Carrying out an action may bring about a further event. That one waits until all actions of the event at
-    hand are done: the policy is never entered from within a decision.
+    Carrying out an action may post a further event. That event stays queued until all actions of the current
+    event have been carried out, so the policy is never called re-entrantly.
     """
 
     def __init__(self, policy: Policy, clock: Clock, counters: Counters) -> None:
@@ -35,11 +35,11 @@
         self.recorder: EventRecorder | None = None
 
     def register(self, handlers: Mapping[type, ActionHandler]) -> None:
-        """Have actions of these types carried out by these handlers; each type needs one."""
+        """Register the handler of each action type; every type needs a handler."""
         self._handlers.update(handlers)
 
     def post(self, event: Event) -> None:
-        """Hand an event to the policy, now or once the actions of the event at hand are done."""
+        """Pass an event to the policy, now or once the actions of the current event have been carried out."""
         self._events.append(event)
         if self._is_handling:
             return
@@ -55,7 +55,7 @@
         try:
             actions = self._policy.handle(now_us, event)
         except Exception:
-            # An error in the policy must not end the node, and the request at hand still gets its answer.
+            # An exception in the policy must not stop the node, and the request still needs an answer.
             self._counters.faults += 1
             log.exception("the decision module failed", on=repr(event))
             actions = _fail_request_of(event)
@@ -66,6 +66,6 @@
 
 
 def _fail_request_of(event: Event) -> list[Action]:
-    """The action that fails the request which an event is about, if it is about one."""
+    """Return the action that fails an event's request, or no action if the event has no request."""
     request_id = event.id if isinstance(event, Request) else getattr(event, "request_id", None)
     return [FailRequest(request_id)] if isinstance(request_id, int) else []
--- a/stepflow/node/core/interfaces.py
+++ b/stepflow/node/core/interfaces.py
@@ -1,7 +1,7 @@
-"""What the core talks to: the protocols of its neighbours, and the state that it keeps for each request.
+"""The protocols of the components that the core calls, and the state of each request.
 
-The core knows no line protocol. A `Downstream` is whatever speaks with a client, and an `Upstream` whatever
-reaches the endpoints, so that a second kind of either goes through the same decisions.
+The core doesn't depend on the line protocol. A `Downstream` talks to a client, an `Upstream` to the
+endpoints; another implementation of either is subject to the same decisions.
 """
 
 from __future__ import annotations
@@ -17,27 +17,27 @@
 class Downstream(Protocol):
     """The client's side of one request.
 
-    The core calls one of `session_established`, `reject`, `fail` and `complete`, and none for a client that
-    has disconnected.
+    The core calls exactly one of `session_established`, `reject`, `fail` and `complete`, or none of them if
+    the client has disconnected.
     """
 
     def check_disconnected(self) -> None:
-        """Call `Core.client_disconnected` now if the client has disconnected, unread so far."""
+        """Call `Core.client_disconnected` now if the client has disconnected, even if data is unread."""
 
     def session_established(self, attempt: Attempt) -> None:
-        """Join the client with the attempt, which is up."""
+        """Connect the client with the attempt, whose session is established."""
 
     def reject(self, retry_after: timedelta) -> None:
-        """Answer that the request had no effect and may be repeated, after `retry_after`."""
+        """Answer that the request had no effect and may be retried after `retry_after`."""
 
     def fail(self) -> None:
         """Answer that the request failed and may have taken effect."""
 
     def complete(self, answer: bytes) -> None:
-        """Pass on the answer of an endpoint that served the request to its end without a session."""
+        """Pass on the answer of an endpoint that completed the request without a session."""
 
     def migrate(self) -> None:
-        """Tell the client of an established session to come again, and end both sides.
+        """Tell the client of an established session to reconnect, and close both connections.
 
         `Core.attempt_ended` follows.
         """
@@ -47,17 +47,17 @@
     """An attempt that has been started and has not ended."""
 
     def abandon(self) -> None:
-        """Close its socket; `Core.attempt_ended` follows once it is closed."""
+        """Close the attempt's socket; `Core.attempt_ended` follows once it is closed."""
 
 
 class Upstream(Protocol):
-    """The way to the endpoints."""
+    """The connections to the endpoints."""
 
     def start_attempt(self, context: RequestContext, endpoint: str, timeout: timedelta) -> Attempt | None:
-        """Start an attempt that may take so long; None where the endpoint has no address."""
+        """Start an attempt with this timeout; return None if the endpoint has no address."""
 
     def start_health_check(self, endpoint: str) -> None:
-        """Ask an endpoint for its load report; `Core.health_check_ended` follows."""
+        """Request an endpoint's load report; `Core.health_check_ended` follows."""
 
     def close_idle(self, endpoint: str) -> None:
         """Close the idle connections to an endpoint."""
@@ -66,30 +66,30 @@
 class Discovery(Protocol):
     """The source of the endpoint list; `Core.endpoint_list_updated` follows each answer and each failure."""
 
-    def watch(self, on: bool) -> None:
-        """Begin to watch the list, or end that."""
+    def watch(self, enabled: bool) -> None:
+        """Start or stop watching the list."""
 
     def fetch(self) -> None:
-        """Ask for the complete list once."""
+        """Request the complete list once."""
 
 
 @dataclass(slots=True, eq=False)
 class RequestContext:
-    """One request, from its arrival until its client has its answer and no attempt is out."""
+    """The state of one request, from its arrival until it is answered and its last attempt has ended."""
 
     request: Request
     downstream: Downstream
-    previous_endpoint: str = ""  # the endpoint of its session before this node's start, as its client says
+    previous_endpoint: str = ""  # of the client's session before this node's start, as the client names it
     client_request_id: str = ""
-    attempt: Attempt | None = None  # the one that is out
+    attempt: Attempt | None = None  # the attempt that has not ended
     attempts: int = 0  # started so far
     endpoint: str = ""  # of the latest attempt
     attempt_started: timedelta = ZERO  # on the node's clock
     established: bool = False
     answered: bool = False
-    max_attempts: int = 1  # by the settings in force when it was accepted
+    max_attempts: int = 1  # by the settings in force when the request was accepted
 
     @property
     def id(self) -> int:
-        """The id in the request table, by which the policy knows it too."""
+        """The id in the request table, which the policy uses too."""
         return self.request.id
--- a/stepflow/node/core/requests.py
+++ b/stepflow/node/core/requests.py
@@ -1,7 +1,7 @@
-"""The table of requests, and the answers that clients get.
+"""The table of open requests, and the answers to clients.
 
-`RequestTable` owns the contexts of all requests that are not over. It is the one place that answers a request
-and the one that frees its slot, and so the one that counts answers.
+`RequestTable` owns the contexts of all open requests. A request is answered, its answer counted and its slot
+freed only here.
 """
 
 from __future__ import annotations
@@ -18,32 +18,35 @@
 
 
 class RequestTable:
-    """All requests that are not over, by id; bounded in number."""
+    """All open requests by id, up to a maximum number.
+
+    A request is open until it is answered and its last attempt has ended.
+    """
 
     def __init__(self, clock: Clock, counters: Counters, slots: int) -> None:
         self._counters = counters
         self._contexts: SlotTable[RequestContext] = SlotTable(slots)
         self._class_counts: list[ClassCounts] = []
         self.log = RequestLog(clock, counters)
-        self.shutting_down = False  # requests are neither accepted nor retried any more
+        self.shutting_down = False  # requests are no longer accepted or retried
 
     def update_settings(self, settings: Settings) -> None:
-        """Count by the classes of these settings from now on."""
+        """Count requests by the classes of these settings from now on."""
         self._class_counts = [self._counters.of(request_class.name) for request_class in settings.classes]
 
     def __len__(self) -> int:
         return len(self._contexts)
 
     def __iter__(self) -> Iterator[RequestContext]:
-        """The contexts held now; the table may change meanwhile."""
+        """Iterate over the contexts held now; the table may change during the iteration."""
         return iter(self._contexts)
 
     def get(self, request_id: int) -> RequestContext | None:
-        """The context of a request, or None once it is over."""
+        """Return the context of a request, or None once the request is released."""
         return self._contexts.get(request_id)
 
     def add(self, context: RequestContext) -> bool:
-        """Take a request in and give it its id; False where the table is full."""
+        """Add a request and set its id; return False if the table is full."""
         request_id = self._contexts.add(context)
         if request_id is None:
             return False
@@ -51,41 +54,44 @@
         return True
 
     def release(self, context: RequestContext) -> None:
-        """Free the slot of a request that is over: answered, with no attempt out."""
+        """Free the slot of a request if it is answered and its last attempt has ended."""
         if context.answered and context.attempt is None:
             self._contexts.remove(context.id)
 
     def count_attempt(self, context: RequestContext) -> None:
-        """Count an attempt whose line was sent completely."""
+        """Count an attempt whose OPEN line was sent completely."""
         self._counters.attempts += 1
         self._class_counts[context.request.class_index].attempts += 1
 
     def reject_unaccepted(self, request: Request, client_request_id: str, reason: str) -> None:
-        """Count a request that is rejected without being accepted; its answer is the caller's."""
+        """Count a request that is rejected without being accepted; the caller sends the answer."""
         self.log.not_accepted(client_request_id, reason)
         self._count_rejected(request)
 
     def mark_established(self, context: RequestContext) -> None:
-        """Note that the session of a request is established, which is its answer; joining is the caller's."""
+        """Record that the request's session is established, which is its answer.
+
+        The caller connects the client with the attempt.
+        """
         context.established = context.answered = True
         self._count_served(context)
-        self.log.answered(context, "UP", "the peer's answer")
+        self.log.answered(context, "UP", "endpoint answer")
 
     def mark_disconnected(self, context: RequestContext) -> None:
-        """Note that the client disconnected before its answer: none is owed any more."""
+        """Record that the client disconnected before its answer; the request needs none any more."""
         context.answered = True
         self._counters.left += 1
-        self.log.answered(context, "none", "the client left")
+        self.log.answered(context, "none", "client disconnected")
 
     def complete(self, context: RequestContext, answer: bytes) -> None:
-        """Answer a request that its endpoint served without a session."""
+        """Answer a request that its endpoint completed without a session."""
         context.answered = True
         self._count_served(context)
-        self.log.answered(context, "BYE", "the peer's answer")
+        self.log.answered(context, "BYE", "endpoint answer")
         context.downstream.complete(answer)
 
     def reject(self, context: RequestContext, retry_after: timedelta) -> None:
-        """Answer a request that had no effect, unless it has an answer."""
+        """Answer a request that had no effect, unless it is answered already."""
         if context.answered:
             return
         context.answered = True
@@ -95,7 +101,7 @@
         self.release(context)
 
     def fail(self, context: RequestContext) -> None:
-        """Answer a request whose effect is unknown, unless it has an answer."""
+        """Answer a request whose effect is unknown, unless it is answered already."""
         if context.answered:
             return
         context.answered = True
@@ -106,8 +112,8 @@
         self.release(context)
 
     def _decided_by(self) -> str:
-        """What decided an answer that no endpoint gave, for the log."""
-        return "the node leaves" if self.shutting_down else "the module"
+        """Return the log's reason for an answer that came from no endpoint."""
+        return "node shutting down" if self.shutting_down else "policy decision"
 
     def _count_rejected(self, request: Request) -> None:
         self._counters.rejected += 1
--- a/tests/node/test_request_log.py
+++ b/tests/node/test_request_log.py
@@ -1,4 +1,4 @@
-"""The log of single requests, by the ids that their clients gave."""
+"""The request log: the steps of each request by its client's request id."""
 
 from __future__ import annotations
 
@@ -8,8 +8,8 @@
 from tests.node_kit import Node, Peer, opening
 
 
-def steps(seen: str, request: str) -> list[str]:
-    """The events of one request, in order."""
+def events_of(seen: str, request: str) -> list[str]:
+    """The log events of one request, in order."""
     lines = [line for line in seen.splitlines() if f"request={request}" in line]
     return [found[1] for line in lines if (found := re.search(r'event="([^"]*)"', line))]
 
@@ -18,7 +18,7 @@
     with Node(Peer("s-1")) as node:
         assert node.client(opening(7)).read() == "UP r1"
         node.wait_counted("served", 1)
-        assert steps(node.seen, f"{7:016x}") == []
+        assert events_of(node.seen, f"{7:016x}") == []
 
 
 def test_a_rejected_request_is_logged_with_its_attempts_and_the_reason(tmp_path: Path) -> None:
@@ -29,13 +29,14 @@
     with node:
         assert node.client(opening(7, d=400)).read().startswith("BUSY")
         node.wait_counted("rejected", 1)
-        events = steps(node.seen, f"{7:016x}")
+        events = events_of(node.seen, f"{7:016x}")
         closed = [event for event in events if event == "connection closed"]
         events = [event for event in events if event != "connection closed"]
         assert events[0] == "request taken" and events[-1] == "request answered"
         attempts = events.count("attempt begun")
-        assert attempts <= len(closed) <= attempts + 1  # each attempt's, and the client's once it has read
+        # One for each attempt, and one for the client once it has read its answer.
+        assert attempts <= len(closed) <= attempts + 1
         assert attempts >= 2 and events.count("attempt ended") == attempts
         assert re.search(r'event="attempt ended" .*result=full', node.seen)
-        assert re.search(r'event="request answered" .*answer=BUSY why="the module"', node.seen)
+        assert re.search(r'event="request answered" .*answer=BUSY why="policy decision"', node.seen)
         node.wait_counted("retries", attempts - 1)
