--- a/stepflow/node/upstreams/attempt.py
+++ b/stepflow/node/upstreams/attempt.py
@@ -1,8 +1,8 @@
 """An attempt: one request at one endpoint, on a TCP connection of its own.
 
-The attempt connects, writes the opening line of its request and reads the endpoint's answer. After UP, the
-connection belongs to a session, and its bytes go to the relay. Nothing is raised: each end is an
-`AttemptResult`. Source: PROTOCOL.
+The attempt connects, writes the request's OPEN line and reads the endpoint's answer. After UP, the connection
+belongs to a session, and its bytes go to the relay. No method raises: every outcome is an `AttemptResult`.
+Source: PROTOCOL.
 """
 
 from __future__ import annotations
@@ -35,18 +35,18 @@
 
 
 class LineDownstream(Protocol):
-    """A downstream whose requests begin with a line, as this protocol's do."""
+    """A downstream whose requests begin with a line, as in this protocol."""
 
     def opening_line(self, timeout: timedelta) -> bytes:
-        """The first line for an attempt that may take so long."""
+        """Return the OPEN line for an attempt with this timeout."""
 
 
 class UpstreamAttempt(LineProtocol):
     """One attempt, and the upstream side of the session that it establishes (`core.Attempt`).
 
-    It owns its socket. `Core.attempt_ended` is called once, and not before the socket is closed, so that the
-    next attempt can't begin sooner; only a relay may end it while the socket still lingers (`detach`).
-    `closed` is called once, when the socket is.
+    The attempt owns its socket. It calls `Core.attempt_ended` once and only after the socket is closed, so
+    that the next attempt can't start earlier. Only a relay may report the end while the socket still lingers
+    (`detach`). `closed` is called once, when the socket is closed.
     """
 
     def __init__(
@@ -59,60 +59,61 @@
         super().__init__()
         self._services, self._context, self._on_closed = services, context, closed
         self._expires_at = services.clock.now() + timeout
-        self._result: AttemptResult | None = None  # of the end to come, once it is decided
+        self._result: AttemptResult | None = None  # set when the result is known, before the socket is closed
         self._load_report: tuple[float, ...] = ()
         self._answer = b""
         self._connected = self._closed = False
-        self._line_written = self._line_sent = False  # given to the transport; its last byte went out
+        # The OPEN line was passed to the transport; its last byte was written to the socket.
+        self._line_written = self._line_sent = False
         self._detached = False
         self._relay: Relay | None = None
-        self.up_line = b""  # the endpoint's UP, as it came
+        self.up_line = b""  # the endpoint's UP line as received
         self._bytes_after_up = b""
         connect_timeout = min(timeout, services.settings.connect_timeout)
         self._timer = services.timers.after(connect_timeout, self._connect_timed_out)
 
     @property
     def request_id(self) -> str:
-        """The id that the client gave."""
+        """The client's request id."""
         return self._context.client_request_id
 
     # Before UP.
 
     def dial(self, address: Address) -> None:
-        """Begin the connection."""
+        """Start to connect."""
         self._dialer = Dialer(self, self._connect_failed)
         self._dialer.dial(self._services.reactor, address)
 
     def skip_opening(self) -> None:
-        """Treat the request as sent and answered, for a session that another process has established."""
+        """Treat the request as sent and answered, for a session that another process established."""
         self._timer.cancel()
         self._line_written = self._line_sent = True
         self.setRawMode()
 
     def abandon(self) -> None:
-        """Close the socket, unless the attempt's end is decided already."""
+        """Close the socket, unless the attempt already has a result."""
         self._give_up(AttemptResult.CANCELLED)
 
     def connectionMade(self) -> None:
-        """Begin to send the opening line, if the policy still allows it."""
+        """Start to send the OPEN line, if the policy still allows it."""
         super().connectionMade()
         self._connected = True
         if self._line_sent:
             return
         self._timer.cancel()
-        # Connecting took its time: what was allowed when this was decided may not be any more.
+        # Connecting took time: the policy may no longer allow the attempt that it started.
         if not self._services.core.may_send_attempt(self._context):
             self._give_up(AttemptResult.NOT_SENT)
             return
         self._timer = self._services.timers.at(self._expires_at, self._timed_out)
-        # As a pull producer, it is asked for more once the line's last byte was written: from then
-        # on the request may have run.
+        # The transport asks a pull producer for more data once the line's last byte was written: from then on
+        # the request may have run.
         self.wire.registerProducer(self, False)
-        # Now, not in the next turn: the client may leave in between, and a turn of many events takes long.
+        # Write now: before the reactor's next turn, which many events can delay, the client may disconnect.
         flush(self.wire)
 
     def resumeProducing(self) -> None:
-        """Write the line at the transport's first call; at the second, its last byte has gone out."""
+        """Write the OPEN line at the transport's first call; the second call shows that it was sent."""
         if self._line_written:
             self.wire.unregisterProducer()
             self._mark_sent()
@@ -124,15 +125,15 @@
             self.wire.write(downstream.opening_line(self._expires_at - self._services.clock.now()))
 
     def stopProducing(self) -> None:
-        """Do nothing: the connection broke before the line was written, and `connectionLost` follows."""
+        """Do nothing: the connection was lost before the line was sent, and `connectionLost` follows."""
 
     def lineReceived(self, line: memoryview) -> None:
-        """Take the endpoint's answer."""
+        """Handle the endpoint's answer."""
         if self._result is not None:
             return
         word, _, rest = bytes(line).partition(b" ")
         if word == b"LOAD":
-            return  # has no meaning before UP
+            return  # LOAD has no meaning before UP
         if self._line_written:
             self._mark_sent()
         if word == b"UP":
@@ -141,7 +142,7 @@
             self._bytes_after_up = self.setRawMode()
             self._services.core.attempt_established(self._context, self)
             return
-        self._result = _RESULT_OF_ANSWER.get(word, AttemptResult.ERROR)  # any other line is an error too
+        self._result = _RESULT_OF_ANSWER.get(word, AttemptResult.ERROR)  # an unknown word is an error
         self._answer = bytes(line) + b"\r\n"
         if rest:
             self._load_report = parse_load_report(rest, self._services.settings.policy.load_report_fields)
@@ -154,13 +155,13 @@
     # After UP.
 
     def attach_relay(self, relay: Relay) -> None:
-        """Pass all that comes from now on to the relay, and what came behind UP in the same buffer."""
+        """Pass the bytes that followed UP in its buffer, and all bytes received from now on, to the relay."""
         self._relay = relay
         if self._bytes_after_up:
             relay.data_from_upstream(self._bytes_after_up)
 
     def detach(self) -> None:
-        """Report the attempt's end now: its relay has ended, and only the socket is still to be closed."""
+        """Report the attempt's end now: its relay has ended, and only the socket remains to be closed."""
         if self._relay is not None and not self._detached:
             self._detached = True
             self._services.core.attempt_ended(self._context, self._relay.result)
@@ -171,14 +172,14 @@
             self._relay.data_from_upstream(data)
 
     def input_ended(self) -> bool:
-        """Pass the endpoint's FIN on to its session, which then ends this connection."""
+        """Report the endpoint's FIN to the relay, which then ends this connection."""
         if self._relay is None:
             return False
         self._relay.upstream_ended()
         return True
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:
-        """Report the attempt's end, unless `detach` did."""
+        """Report the attempt's end, unless `detach` already did."""
         self._timer.cancel()
         answered = bool(self.up_line or self._answer)
         how = error_name(self.transport) or type(reason.value).__name__
@@ -187,7 +188,7 @@
         result = self._result
         if self._relay is not None:
             result = self._relay.upstream_lost(was_reset(reason), network_failed(self.transport))
-            self._relay = None  # the relay holds this attempt: a reference cycle
+            self._relay = None  # break the reference cycle: the relay holds this attempt
         elif result is None:
             result = AttemptResult.RESET if self._line_sent else AttemptResult.CONNECT_FAILED
         if not self._detached:
@@ -201,7 +202,7 @@
         self._timer.cancel()
         self._mark_closed()
         result = AttemptResult.CONNECT_FAILED if self._result is None else self._result
-        # Dialling may fail before it returns: the core must know of the attempt first.
+        # `dial` may fail before it returns, and so before the core has stored the attempt.
         self._services.reactor.callLater(0, self._services.core.attempt_ended, self._context, result)
 
     def _mark_closed(self) -> None:
@@ -209,7 +210,7 @@
         self._on_closed()
 
     def _mark_sent(self) -> None:
-        """Note that the line went out; an answer may be read before the transport tells so."""
+        """Record that the line was sent; an answer may arrive before the transport reports that."""
         if not self._line_sent:
             self._line_sent = True
             self._services.core.attempt_sent(self._context)
@@ -218,7 +219,7 @@
         self._give_up(AttemptResult.TIMEOUT)
 
     def _give_up(self, result: AttemptResult) -> None:
-        """Close the socket, unless something has decided the end already."""
+        """Close the socket with this result, unless the attempt already has one."""
         if self._closed or self._result is not None:
             return
         self._result = result
--- a/stepflow/node/upstreams/dialer.py
+++ b/stepflow/node/upstreams/dialer.py
@@ -1,4 +1,4 @@
-"""Making one outgoing connection, with retries where only this machine has failed."""
+"""Opens one outgoing connection, and retries if the connect failed on this machine."""
 
 from __future__ import annotations
 
@@ -15,18 +15,19 @@
 
 
 def _ignore_failure() -> None:
-    """Do nothing: a connection that is adopted can't fail to come up."""
+    """Do nothing: an adopted connection is already established and can't fail to connect."""
 
 
 class Dialer(ClientFactory):
-    """Connects one protocol that exists already. For an adopted connection it is only the factory.
+    """Connects one existing protocol. For an adopted connection it is only the factory.
 
-    While a transient error of this machine prevents the connection (`LOCAL_CONNECT_ERRORS`), it dials again
-    after `CONNECT_RETRY_DELAY`. It has no deadline: the owner sets one, and calls `cancel` then.
+    If a transient error of this machine prevents the connection (`LOCAL_CONNECT_ERRORS`), the dialer retries
+    after `CONNECT_RETRY_DELAY`. It has no deadline: the owner sets one and calls `cancel` when it expires.
 
-    `failed` is called once: when the endpoint can't be reached, or `cancel` was called before the connection
-    came up. The protocol and the connector are kept only until then: the protocol's transport holds the
-    connector, and that its factory, which would be a reference cycle.
+    `failed` is called once: when the endpoint can't be reached, or when `cancel` is called before the
+    connection is established. The dialer drops the protocol and the connector once the connect has succeeded
+    or failed, to avoid a reference cycle: the protocol's transport holds the connector, which holds its
+    factory.
     """
 
     noisy = False
@@ -38,12 +39,12 @@
         self._retry_call: DelayedCall | None = None
 
     def dial(self, reactor: Reactor, address: Address) -> None:
-        """Begin to connect. `failed` may be called before this returns."""
+        """Start to connect. `failed` may be called before this returns."""
         self._reactor = reactor
         self._connector = connect(reactor, address, self)
 
     def cancel(self) -> None:
-        """Give up a connection that has not come up; `failed` is called before this returns."""
+        """Cancel a connect that has not succeeded; `failed` is called before this returns."""
         if self._retry_call is not None:
             self._retry_call.cancel()
             self._fail()
@@ -51,12 +52,12 @@
             self._connector.stopConnecting()
 
     def buildProtocol(self, addr: IAddress | None) -> Protocol | None:
-        """Hand out the protocol: the connection is up."""
+        """Return the protocol: the connection is established."""
         protocol, self._protocol, self._failed, self._connector = self._protocol, None, None, None
         return protocol
 
     def clientConnectionFailed(self, connector: Connector, reason: Failure) -> None:
-        """Dial again after an error of this machine; else report the failure."""
+        """Retry after an error of this machine; report any other failure."""
         if self._connector is not None and errno_of(reason.value) in LOCAL_CONNECT_ERRORS:
             self._retry_call = self._reactor.callLater(CONNECT_RETRY_DELAY.total_seconds(), self._retry_dial)
         else:
--- a/stepflow/node/upstreams/health_check.py
+++ b/stepflow/node/upstreams/health_check.py
@@ -1,6 +1,6 @@
-"""Health checks: STATS and its answer, on one kept connection to each endpoint.
+"""Health checks: STATS and its answer, on one persistent connection to each endpoint.
 
-Each check ends once, with an `AttemptResult` and the time that it took, by `Core.health_check_ended`.
+Each check calls `Core.health_check_ended` once, with an `AttemptResult` and the check's latency.
 Source: PROTOCOL.
 """
 
@@ -21,15 +21,15 @@
 from stepflow.node.upstreams.load_report import parse_load_report
 from stepflow.node.upstreams.services import UpstreamServices
 
-HEALTH_CHECK_TIMEOUT = timedelta(milliseconds=250)  # the connection included, where there is none yet
+HEALTH_CHECK_TIMEOUT = timedelta(milliseconds=250)  # includes the connect of a new connection
 _REQUEST = b"STATS\r\n"
 
 
 class HealthCheckConnection(LineProtocol):
     """A connection to an endpoint for its health checks, one at a time.
 
-    It is dialled at once, and closes when no check has come for the settings' `idle_close`, or a check fails.
-    `closed` is called once, when the connection is to be used no more.
+    It connects at once, and closes when there was no check for the settings' `idle_close`, or when a check
+    fails. `closed` is called once, when the connection can no longer be used.
     """
 
     def __init__(
@@ -42,7 +42,7 @@
         super().__init__()
         self._services, self._on_closed = services, closed
         self.endpoint_id, self.address = endpoint_id, address
-        self.busy = False  # a check is under way
+        self.busy = False  # a check is in progress
         self._connected = self._closed = False
         self._started_at = services.clock.now()
         self._timer: Timer | None = None
@@ -50,14 +50,14 @@
         self._dialer.dial(services.reactor, address)
 
     def start_check(self) -> None:
-        """Ask for a load report; to be called only while no check is under way."""
+        """Request a load report. Call only while no check is in progress."""
         self.busy, self._started_at = True, self._services.clock.now()
         self._set_timer(HEALTH_CHECK_TIMEOUT, self._timed_out)
         if self._connected:
             self.wire.write(_REQUEST)
 
     def close(self, result: AttemptResult = AttemptResult.CANCELLED) -> None:
-        """Close the socket; a check that is under way ends with this result."""
+        """Close the socket; a check in progress ends with this result."""
         if self._closed:
             return
         self._mark_closed(result)
@@ -69,17 +69,17 @@
             self._dialer.cancel()
 
     def connectionMade(self) -> None:
-        """Send the check that has waited for the connection."""
+        """Send the check that was waiting for the connection."""
         super().connectionMade()
         self._connected = True
         if self.busy:
             self.wire.write(_REQUEST)
 
     def lineReceived(self, line: memoryview) -> None:
-        """Take the answer of a check."""
+        """Handle the answer to a check."""
         word, _, rest = bytes(line).partition(b" ")
         if not self.busy:
-            self.close()  # an answer that nothing was asked for: the stream is out of step
+            self.close()  # unsolicited line: later answers could no longer be matched to their checks
         elif word == b"PONG":
             fields = self._services.settings.policy.load_report_fields
             self._end_check(AttemptResult.OK, parse_load_report(rest, fields))
@@ -93,7 +93,7 @@
         self.close(AttemptResult.ERROR)
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:
-        """End the check that was under way."""
+        """End the check in progress."""
         self._cancel_timer()
         self._mark_closed(AttemptResult.RESET)
 
@@ -101,7 +101,7 @@
         self.close(AttemptResult.TIMEOUT if self._connected else AttemptResult.CONNECT_FAILED)
 
     def _connect_failed(self) -> None:
-        # Dialling may fail before the constructor has returned: the pool must know of the connection first.
+        # `dial` may fail before the constructor returns, and so before the pool has stored the connection.
         self._services.reactor.callLater(0, self._mark_closed, AttemptResult.CONNECT_FAILED)
 
     def _mark_closed(self, result: AttemptResult) -> None:
@@ -112,7 +112,7 @@
         self._end_check(result)
 
     def _end_check(self, result: AttemptResult, load_report: tuple[float, ...] = ()) -> None:
-        """The one place that ends a check."""
+        """End the check in progress, if any. All other methods end a check through this one."""
         if self.busy:
             self.busy = False
             latency = self._services.clock.now() - self._started_at
--- a/stepflow/node/upstreams/liveness.py
+++ b/stepflow/node/upstreams/liveness.py
@@ -1,8 +1,8 @@
-"""Liveness of each endpoint: the latency of its echoes, and whether any come at all.
+"""Liveness of each endpoint: the latency of its echoes, and whether it sends any.
 
-An endpoint that hangs sends no FIN, and one session alone shows little, for a client sends a line every 2 s
-only. All sessions at an endpoint together show within a second that nothing comes back. Only echoes count: an
-endpoint that hangs may go on reporting loads.
+An endpoint that hangs sends no FIN, and a single session shows it late, since a client sends a line only
+every 2 s. All sessions at the endpoint together show within a second that there are no echoes. Only echoes
+count: an endpoint that hangs may still report loads.
 """
 
 from __future__ import annotations
@@ -21,14 +21,14 @@
 
 log = get_logger()
 
-DELAY_REPORT_INTERVAL = timedelta(seconds=1)  # between two reports of slow messages at one endpoint
-STALL_TIMEOUT = timedelta(seconds=2)  # an endpoint without an echo on any session for so long has stalled
+DELAY_REPORT_INTERVAL = timedelta(seconds=1)  # between two delay reports for one endpoint
+STALL_TIMEOUT = timedelta(seconds=2)  # an endpoint without an echo on any session for this time has stalled
 _MILLISECOND = timedelta(milliseconds=1)
 
 
 @dataclass(frozen=True, slots=True)
 class LivenessServices:
-    """The parts of the node that liveness needs. It owns none of them."""
+    """The parts of the node that the liveness monitor uses. It owns none of them."""
 
     clock: Clock
     core: Core
@@ -37,20 +37,20 @@
 
 
 class MonitoredSession(Protocol):
-    """A session, as its endpoint's liveness sees it."""
+    """The part of a session that its endpoint's liveness uses."""
 
     @property
     def context(self) -> RequestContext:
-        """The request that has established it."""
+        """The request that established the session."""
 
     def upstream_stalled(self) -> None:
-        """End this session: its endpoint echoes on none."""
+        """End this session: its endpoint has stalled."""
 
 
 class EndpointLiveness:
-    """What all sessions at one endpoint show together.
+    """Echo latency and stall detection over all sessions at one endpoint.
 
-    It lives while there are any: `emptied` is called when the last one has left.
+    An instance exists while the endpoint has sessions; `on_empty` is called when the last one is removed.
     """
 
     def __init__(
@@ -58,52 +58,52 @@
         services: LivenessServices,
         endpoint_id: str,
         latency_threshold: timedelta,
-        emptied: Callable[[], None],
+        on_empty: Callable[[], None],
     ) -> None:
-        self._endpoint_id, self._emptied = endpoint_id, emptied
+        self._endpoint_id, self._on_empty = endpoint_id, on_empty
         self._clock, self._core, self._timers = services.clock, services.core, services.timers
         self._classifier = services.classifier
-        self.latency_threshold = latency_threshold  # messages that take longer are reported
+        self.latency_threshold = latency_threshold  # a mean echo latency above this is reported
         self._sessions: dict[MonitoredSession, None] = {}
-        # The latencies of echoes in the interval that has begun then; whether the one before was too slow.
+        # The start of the current interval, the echoes in it, and whether the interval before was too slow.
         self._interval_began = services.clock.now()
         self._latency_sum, self._echoes, self._was_slow = ZERO, 0, False
-        # The first line without an echo since the last echo: when it went out, and on which session.
+        # The first line sent since the last echo, which has no echo yet: its time and its session.
         self._waiting_since: timedelta | None = None
         self._waiting_session: MonitoredSession | None = None
         self._timer: Timer | None = None
 
     def add(self, session: MonitoredSession) -> None:
-        """Count a session in."""
+        """Add a session."""
         self._sessions[session] = None
 
     def remove(self, session: MonitoredSession) -> None:
-        """Count a session out that has ended; it may be told again."""
+        """Remove a session that has ended; a second call for the same session is allowed."""
         self._sessions.pop(session, None)
-        if session is self._waiting_session:  # its line will have no echo, whoever has closed it
+        if session is self._waiting_session:  # its line gets no echo, whichever side closed the session
             self._waiting_since = self._waiting_session = None
         if not self._sessions:
             if self._timer is not None:
                 self._timer.cancel()
-            self._emptied()
+            self._on_empty()
 
     def load_received(self, session: MonitoredSession, value: float) -> None:
-        """Pass on what the endpoint has sent to a session as `LOAD X`."""
+        """Report the value that the endpoint sent to a session as `LOAD X`."""
         kind = self._classifier.classify(self._endpoint_id, self._clock.now(), value)
         self._core.session_report(session.context, kind, value)
 
     def line_sent(self, session: MonitoredSession, now: timedelta) -> None:
-        """Note that a client's line went to the endpoint."""
+        """Record that a client's line was sent to the endpoint."""
         if self._waiting_since is None:
             self._waiting_since, self._waiting_session = now, session
             if self._timer is None:
                 self._timer = self._timers.at(now + DELAY_REPORT_INTERVAL, self._check_stall)
 
     def echo_received(self, session: MonitoredSession, latency: timedelta) -> None:
-        """Note that a line has come back after so long.
+        """Record the latency of an echo.
 
-        As in the simulator, one session a second reports the mean latency while that is over the threshold,
-        and once more when it no longer is.
+        As in the simulator, one session reports the mean latency once a second while the mean is above the
+        threshold, and once more when it has fallen below.
         """
         self._waiting_since = self._waiting_session = None
         now = self._clock.now()
@@ -120,7 +120,7 @@
         self._core.session_report(session.context, SessionReportKind.DELAY, latency / _MILLISECOND)
 
     def _check_stall(self) -> None:
-        """Report a line that has waited for its echo for an interval; end all sessions after the time-out."""
+        """Report a line without an echo after `DELAY_REPORT_INTERVAL`; end all sessions at the timeout."""
         self._timer = None
         if self._waiting_since is None:
             return
@@ -129,7 +129,8 @@
             self._end_sessions()
             return
         next_check = DELAY_REPORT_INTERVAL
-        if waited >= DELAY_REPORT_INTERVAL:  # early: the policy checks the endpoint, and sends less there
+        # Reported before the stall timeout, so that the policy checks the endpoint and sends it less.
+        if waited >= DELAY_REPORT_INTERVAL:
             self._was_slow = True
             self._report_delay(next(iter(self._sessions)), waited)
             next_check = STALL_TIMEOUT
@@ -143,28 +144,28 @@
 
 
 class LivenessMonitor:
-    """The liveness of all endpoints at which there are sessions, by endpoint id."""
+    """The liveness of all endpoints that have sessions, by endpoint id."""
 
     def __init__(self, services: LivenessServices, latency_threshold: timedelta) -> None:
         self._services, self._latency_threshold = services, latency_threshold
         self._endpoints: dict[str, EndpointLiveness] = {}
 
     def update_latency_threshold(self, latency_threshold: timedelta) -> None:
-        """Report messages that take longer than this, from now on."""
+        """Use this threshold for the echo latency of all endpoints from now on."""
         self._latency_threshold = latency_threshold
         for liveness in self._endpoints.values():
             liveness.latency_threshold = latency_threshold
 
     def add(self, session: MonitoredSession) -> EndpointLiveness:
-        """Count a session in with the others at its endpoint; returns what they share."""
+        """Add a session; return the liveness of its endpoint, which all sessions there share."""
         endpoint_id = session.context.endpoint
         liveness = self._endpoints.get(endpoint_id)
         if liveness is None:
 
-            def emptied() -> None:
+            def on_empty() -> None:
                 self._endpoints.pop(endpoint_id, None)
 
-            liveness = EndpointLiveness(self._services, endpoint_id, self._latency_threshold, emptied)
+            liveness = EndpointLiveness(self._services, endpoint_id, self._latency_threshold, on_empty)
             self._endpoints[endpoint_id] = liveness
         liveness.add(session)
         return liveness
--- a/stepflow/node/upstreams/load_report.py
+++ b/stepflow/node/upstreams/load_report.py
@@ -1,6 +1,6 @@
-"""The parser of load reports, which endpoints send behind the word of an answer: `PONG queue=3,util=0.25`.
+"""The parser of load reports, which follow the first word of an endpoint's answer: `PONG queue=3,util=0.25`.
 
-Source: PROTOCOL. Some fields have two names there; the settings use the short one.
+Source: PROTOCOL, which gives some fields two names; the settings use the short one.
 """
 
 from __future__ import annotations
@@ -25,8 +25,8 @@
         fields: The names that the settings ask for, in their order.
 
     Returns:
-        One finite number for each of the fields. The empty tuple where any of them is missing or is no finite
-        number: the policy takes a report whole or not at all.
+        A finite number for each of the fields, or an empty tuple if any of them is missing or not a finite
+        number: the policy uses no partial reports.
     """
     values: dict[str, float] = {}
     try:
--- a/stepflow/node/upstreams/pool.py
+++ b/stepflow/node/upstreams/pool.py
@@ -1,7 +1,7 @@
-"""The node's connections to endpoints: starts attempts, and keeps one connection to each for health checks.
+"""The node's connections to endpoints: starts attempts, and keeps one health-check connection to each.
 
-The pool owns the health-check connections, by endpoint id. It owns no attempt: it only counts them, since
-their sockets are counted against the limit of descriptors.
+The pool owns the health-check connections, by endpoint id. It doesn't own attempts, but counts them, since
+their sockets count towards the limit of descriptors.
 """
 
 from __future__ import annotations
@@ -21,34 +21,34 @@
 from stepflow.settings import NodeSettings
 
 
-class AddressBook(Protocol):
-    """Where the endpoints are."""
+class EndpointAddresses(Protocol):
+    """Looks up the addresses of endpoints."""
 
     def address_of(self, endpoint_id: str) -> Address | None:
-        """The address of an endpoint; None for one that is not on the list."""
+        """Return the address of an endpoint, or None if the endpoint isn't listed."""
 
 
 class UpstreamConnections:
     """Carries out the core's actions toward endpoints (`core.Upstream`)."""
 
-    def __init__(self, services: UpstreamServices, addresses: AddressBook) -> None:
+    def __init__(self, services: UpstreamServices, addresses: EndpointAddresses) -> None:
         self._services, self._addresses = services, addresses
         self._health_checks: dict[str, HealthCheckConnection] = {}
         self.attempts = 0  # sockets of attempts and sessions, from the first SYN until they are closed
 
     @property
     def health_check_connections(self) -> int:
-        """How many sockets health checks hold."""
+        """The number of open health-check connections."""
         return len(self._health_checks)
 
     def update_settings(self, settings: NodeSettings) -> None:
-        """Take settings that a reload has brought; connections use them from their next step on."""
+        """Apply the settings of a reload; open connections use them from their next event on."""
         self._services.settings = settings
 
     def start_attempt(
         self, context: RequestContext, endpoint_id: str, timeout: timedelta
     ) -> UpstreamAttempt | None:
-        """Begin an attempt that may take so long; None where the endpoint has no address."""
+        """Start an attempt with this timeout; return None if the endpoint has no address."""
         address = self._addresses.address_of(endpoint_id)
         if address is None:
             return None
@@ -57,14 +57,14 @@
         return attempt
 
     def adopt_session(self, context: RequestContext, sock: socket.socket) -> UpstreamAttempt:
-        """Make the attempt of a session that was established by the process before this one."""
+        """Return a new attempt for a session that the predecessor established, on its socket."""
         attempt = self._new_attempt(context, timedelta(0))
         attempt.skip_opening()
         adopt(self._services.reactor, sock, Dialer(attempt))
         return attempt
 
     def start_health_check(self, endpoint_id: str) -> None:
-        """Ask an endpoint for its load report; `Core.health_check_ended` follows."""
+        """Request an endpoint's load report; `Core.health_check_ended` follows."""
         address = self._addresses.address_of(endpoint_id)
         if address is None:
             self._services.core.health_check_ended(endpoint_id, AttemptResult.CONNECT_FAILED, timedelta(0))
@@ -77,18 +77,18 @@
                 self._services, endpoint_id, address, self._health_check_closed
             )
             self._health_checks[endpoint_id] = connection
-        if not connection.busy:  # else the answer to the check that is under way serves this one too
+        if not connection.busy:  # else the answer to the check in progress also answers this one
             self._services.counters.probes += 1
             connection.start_check()
 
     def close_idle(self, endpoint_id: str) -> None:
-        """Close the health-check connection of an endpoint, unless a check is under way on it."""
+        """Close the health-check connection of an endpoint, unless a check is in progress on it."""
         connection = self._health_checks.get(endpoint_id)
         if connection is not None and not connection.busy:
             connection.close()
 
     def close(self) -> None:
-        """Close all health-check connections; attempts are ended by the core."""
+        """Close all health-check connections; the core ends the attempts."""
         for connection in tuple(self._health_checks.values()):
             connection.close()
 
@@ -100,5 +100,5 @@
         self.attempts -= 1
 
     def _health_check_closed(self, connection: HealthCheckConnection) -> None:
-        if self._health_checks.get(connection.endpoint_id) is connection:  # else it was replaced by another
+        if self._health_checks.get(connection.endpoint_id) is connection:  # else already replaced
             del self._health_checks[connection.endpoint_id]
--- a/stepflow/node/upstreams/services.py
+++ b/stepflow/node/upstreams/services.py
@@ -1,4 +1,4 @@
-"""What connections to endpoints share."""
+"""The parts of the node that all connections to endpoints use."""
 
 from __future__ import annotations
 
@@ -15,9 +15,9 @@
 
 @dataclass(slots=True)
 class UpstreamServices:
-    """The parts of the node that attempts and health checks need. It owns none of them.
+    """The parts of the node that attempts and health checks use. It owns none of them.
 
-    A reload replaces `settings`, so connections read it anew each time.
+    A reload replaces `settings`, so connections must not keep a reference to the old value.
     """
 
     reactor: Reactor
--- a/tests/node/upstreams/test_endpoint_liveness.py
+++ b/tests/node/upstreams/test_endpoint_liveness.py
@@ -1,4 +1,4 @@
-"""What the sessions at one endpoint show together: slow echoes are reported, missing ones end them all."""
+"""Liveness over all sessions at one endpoint: slow echoes are reported, missing echoes end all sessions."""
 
 from __future__ import annotations
 
@@ -66,40 +66,39 @@
     def echo(self, latency: timedelta) -> None:
         self.liveness[0].echo_received(self.sessions[0], latency)
 
-    def echoes(self, seconds: float, latency: timedelta) -> None:
-        """An echo of this latency each 100 ms, for so long."""
+    def receive_echoes(self, seconds: float, latency: timedelta) -> None:
+        """Receive an echo of this latency every 100 ms for this many seconds."""
         for _ in range(round(seconds * 10)):
             self.reactor.advance(0.1)
             self.echo(latency)
 
 
-def test_slow_echoes_are_reported_once_a_second_and_once_more_when_they_are_fast() -> None:
+def test_slow_echoes_are_reported_once_a_second_and_once_more_when_fast_again() -> None:
     bench = Bench()
-    bench.echoes(1.05, FAST)
+    bench.receive_echoes(1.05, FAST)
     assert bench.reports == []
-    bench.echoes(2.05, SLOW)
+    bench.receive_echoes(2.05, SLOW)
     assert [kind for kind, _ in bench.reports] == [SessionReportKind.DELAY] * 2
-    bench.echoes(3.05, FAST)
+    bench.receive_echoes(3.05, FAST)
     values = [value for _, value in bench.reports]
-    assert (
-        len(values) == 3 and values[0] > 16 and values[1] > 16 > values[2]
-    )  # the last tells that it is over
+    # The last report shows that the echoes are fast again.
+    assert len(values) == 3 and values[0] > 16 and values[1] > 16 > values[2]
 
 
-def test_a_raised_threshold_holds_for_sessions_that_are_there() -> None:
+def test_a_raised_threshold_applies_to_existing_sessions() -> None:
     bench = Bench()
     bench.monitor.update_latency_threshold(2 * SLOW)
-    bench.echoes(3, SLOW)
+    bench.receive_echoes(3, SLOW)
     assert bench.reports == []
 
 
-@pytest.mark.parametrize(("echo_after_s", "reported", "ended"), [(0.5, 0, 0), (1.5, 1, 0), (9.0, 1, 1)])
-def test_a_line_without_an_echo_is_reported_after_1_s_and_ends_all_sessions_after_2(
-    echo_after_s: float, reported: int, ended: int
+@pytest.mark.parametrize(("first_echo_s", "reported", "ended"), [(0.5, 0, 0), (1.5, 1, 0), (9.0, 1, 1)])
+def test_a_line_without_an_echo_is_reported_after_1_s_and_ends_all_sessions_after_2_s(
+    first_echo_s: float, reported: int, ended: int
 ) -> None:
     bench = Bench()
     bench.send_line()
-    for _ in range(round(echo_after_s * 10)):
+    for _ in range(round(first_echo_s * 10)):
         bench.reactor.advance(0.1)
     bench.echo(FAST)
     bench.reactor.advance(5)
@@ -108,7 +107,7 @@
     assert [session.ended for session in bench.sessions] == [ended, ended]
 
 
-def test_an_endpoint_without_sessions_is_forgotten_with_its_timer() -> None:
+def test_removing_the_last_session_drops_the_endpoint_and_cancels_its_timer() -> None:
     bench = Bench()
     bench.send_line()
     for session, liveness in zip(bench.sessions, bench.liveness, strict=True):
--- a/tests/node/upstreams/test_liveness.py
+++ b/tests/node/upstreams/test_liveness.py
@@ -1,4 +1,4 @@
-"""The latency of echoes, over all sessions of an endpoint."""
+"""Stall detection at an endpoint that closes one of its sessions."""
 
 from __future__ import annotations
 
@@ -16,31 +16,34 @@
 from stepflow.node.runtime.transports import Reactor
 from stepflow.node.upstreams.liveness import LivenessMonitor, LivenessServices
 from tests.node.runtime.virtual_clock import HandClock
-from tests.node.upstreams.test_session_reports import reader
+from tests.node.upstreams.test_session_reports import make_classifier
 
 
-class Session:
-    """A standing connection, as its endpoint's liveness sees it."""
+class FakeSession:
+    """A session that counts how often it was ended as stalled."""
 
     def __init__(self) -> None:
         self.context = RequestContext(Request(1, 0, 0), cast(Downstream, None), endpoint="s-1")
-        self.hung = 0
+        self.stalls = 0
 
     def upstream_stalled(self) -> None:
-        self.hung += 1
+        self.stalls += 1
 
 
 @pytest.mark.parametrize("closed", [False, True])
-def test_a_line_whose_connection_is_closed_waits_for_no_echo(closed: bool) -> None:
-    """A peer closes on a bad client's line; its other, quiet clients were sent away as from a hung one."""
+def test_no_echo_is_expected_for_a_line_of_a_closed_session(closed: bool) -> None:
+    """An endpoint may close a session on a bad line without an echo.
+
+    That line was taken for a stall of the endpoint, and the endpoint's other, idle sessions were ended.
+    """
     reactor = TwistedClock()
     clock = HandClock(reactor)
-    notes: list[object] = []
-    core = cast(Core, SimpleNamespace(session_report=lambda *told: notes.append(told)))
+    reports: list[object] = []
+    core = cast(Core, SimpleNamespace(session_report=lambda *report: reports.append(report)))
     timers = Timers(clock, cast(Reactor, reactor), Counters())
-    services = LivenessServices(clock, core, timers, reader())
+    services = LivenessServices(clock, core, timers, make_classifier())
     monitor = LivenessMonitor(services, timedelta(milliseconds=16))
-    bad, quiet = Session(), Session()
+    bad, quiet = FakeSession(), FakeSession()
     liveness = monitor.add(bad)
     assert monitor.add(quiet) is liveness
     liveness.line_sent(bad, clock.now())
@@ -48,4 +51,4 @@
         liveness.remove(bad)
     reactor.advance(1.1)
     reactor.advance(1.1)
-    assert quiet.hung == len(notes) == (0 if closed else 1)
+    assert quiet.stalls == len(reports) == (0 if closed else 1)
--- a/tests/node/upstreams/test_load_report.py
+++ b/tests/node/upstreams/test_load_report.py
@@ -1,4 +1,4 @@
-"""The load report of an endpoint."""
+"""The parser of load reports."""
 
 from __future__ import annotations
 
@@ -17,5 +17,5 @@
         (b"\xff=1", ()),
     ],
 )
-def test_a_load_report_is_whole_or_dropped(text: bytes, values: tuple[float, ...]) -> None:
+def test_a_load_report_is_parsed_whole_or_dropped(text: bytes, values: tuple[float, ...]) -> None:
     assert parse_load_report(text, ("x0", "util")) == values
