--- a/stepflow/node/discovery.py
+++ b/stepflow/node/discovery.py
@@ -1,7 +1,8 @@
-"""Discovery: the calls that keep the endpoint list up to date, asked for by the policy or pushed by an agent.
+"""Discovery: the calls that keep the endpoint list up to date, by polls of the policy or a watch of an agent.
 
-It owns the calls and their retries, while the policy decides when to poll (docs/discovery.md). A call that
-fails is logged and counted; where it is the policy's affair, it is told as an update that brought no list.
+This module owns the calls and their retries; the policy decides when to poll (docs/discovery.md). A failed
+call is logged and counted. The policy gets a list update of kind `FAILED`, unless this module retries the
+call or the policy's next poll is scheduled already.
 """
 
 from __future__ import annotations
@@ -26,26 +27,26 @@
 
 ANSWER_TIMEOUT = timedelta(microseconds=ANSWER_TIMEOUT_US)
 CONNECT_TIMEOUT = timedelta(seconds=1)
-# After a change of the address the first failures are tried again soon, and are not the policy's affair:
-# its waits, which grow while discovery is out of reach, were for the old address.
+# After a change of the address, this module retries the first failures soon and doesn't report them to the
+# policy: the policy's backoff, which grows while discovery is unreachable, applies to the old address.
 ADDRESS_CHANGE_RETRY_DELAY = timedelta(milliseconds=250)
 ADDRESS_CHANGE_RETRY_SPAN = timedelta(seconds=2)
-# An agent on the node's own machine answers at once and at no cost, or has nothing to say.
+# An agent on the node's own machine answers at once and at no cost, or has no list to send.
 AGENT_ANSWER_TIMEOUT = timedelta(seconds=1)
-AGENT_MIN_RETRY_DELAY = timedelta(milliseconds=100)  # doubled at each failure
+AGENT_MIN_RETRY_DELAY = timedelta(milliseconds=100)  # doubled after each failure
 AGENT_MAX_RETRY_DELAY = timedelta(seconds=1)
-AGENT_FIRST_ANSWER_TIMEOUT = timedelta(milliseconds=500)  # the most that a start waits for the agent's list
+AGENT_FIRST_ANSWER_TIMEOUT = timedelta(milliseconds=500)  # limit on a start's wait for the agent's list
 LIST_PATH = "/v1/servers"
 
 
 class DiscoveryClient:
-    """Calls discovery when the policy asks, and tells the core what comes (`core.Discovery`).
+    """Calls discovery for the policy and passes the list updates to the core (`core.Discovery`).
 
-    Where lists are pushed, the policy doesn't poll: an agent on this machine holds what was sent, and all of
-    that counts as known. There the watch is this client's own affair (`keep_watch`): the policy gets lists,
-    as on the simulator's wire, and neither asks for them nor is told that a call failed.
+    If lists are pushed, the policy doesn't poll: an agent on this machine holds the pushed list, and all of
+    it counts as known. This client then keeps the watch itself (`keep_watch`): the policy gets lists, as on
+    the simulator's wire, and neither requests them nor is notified of failed calls.
 
-    `connect` begins a connection to an address, for a factory, which may take so many seconds to come up.
+    `connect` starts a connection to an address, for a factory and with a timeout in seconds.
     """
 
     def __init__(
@@ -62,65 +63,66 @@
         self._watch_wanted = False  # by the policy
         self._watch: DiscoveryCall | None = None
         self._fetches: dict[DiscoveryCall, None] = {}
-        # A change of the address has begun the watch, while the policy waits to poll again.
-        self._watch_is_early = False
+        # The watch was started by a change of the address, before the policy's next poll.
+        self._watch_started_early = False
         self._retry_timer: Timer | None = None
-        self._retries_left = 0  # failures of the watch that are not the policy's affair
-        self._agent_keeps = False  # the watch is kept here, whatever the policy wants
+        self._retries_left = 0  # failures of the watch to retry here instead of reporting them to the policy
+        self._keeps_agent_watch = False  # the watch is kept open, whatever the policy requests
         self._agent_retry_delay = AGENT_MIN_RETRY_DELAY
-        self._first_answered: Callable[[], None] | None = None  # until a kept watch has its first answer
+        self._first_answered: Callable[[], None] | None = None  # until the agent's first answer
 
     def keep_watch(self, first_answered: Callable[[], None]) -> None:
-        """Begin a watch of the agent, and begin it again whenever it ends.
+        """Start a watch of the agent, and restart it whenever it ends.
 
-        `first_answered` follows its first answer, or `AGENT_FIRST_ANSWER_TIMEOUT`. What the agent holds
-        counts as known from this process's first moment: no request may go to an endpoint before.
+        `first_answered` is called after the first answer, or after `AGENT_FIRST_ANSWER_TIMEOUT`. The agent's
+        list counts as known from the start of this process: no request may go to an endpoint before
+        `first_answered` is called.
         """
-        self._agent_keeps = self._watch_wanted = True
+        self._keeps_agent_watch = self._watch_wanted = True
         self._first_answered = first_answered
-        self._timers.after(AGENT_FIRST_ANSWER_TIMEOUT, self._tell_first_answer)
+        self._timers.after(AGENT_FIRST_ANSWER_TIMEOUT, self._report_first_answer)
         self._replace_watch()
 
-    def watch(self, on: bool) -> None:
-        """Ask for updates from the version that is held, in place of a watch that is open; or end it."""
-        is_early, self._watch_is_early = self._watch_is_early, False
+    def watch(self, enabled: bool) -> None:
+        """Start a watch from the revision held, replacing an open watch; or stop watching."""
+        started_early, self._watch_started_early = self._watch_started_early, False
         is_open = self._watch is not None or self._retry_timer is not None
-        if on and is_early and self._watch_wanted and is_open:
-            return  # the answer to the call that the change of the address has begun serves this one too
-        self._watch_wanted, self._retries_left = on, 0
+        if enabled and started_early and self._watch_wanted and is_open:
+            return  # the watch that the change of the address started also serves this poll
+        self._watch_wanted, self._retries_left = enabled, 0
         self._replace_watch()
 
     def fetch(self) -> None:
-        """Ask for the whole list once."""
+        """Request the complete list once."""
         call = self._new_call(LIST_PATH)
         self._fetches[call] = None
         call.begin()
 
     def change_address(self, address: Address) -> None:
-        """Go on at another address in one step: from the version held, and without telling of a failure."""
+        """Replace all calls by calls to another address, from the revision held, and report no failure."""
         self._address, self._agent_retry_delay = address, AGENT_MIN_RETRY_DELAY
-        # A policy that was told of a failure polls again in its own time: that may be too late.
+        # After a failure that was reported to it, the policy polls after its backoff, which may be too late.
         is_open = self._watch is not None or self._retry_timer is not None
-        self._watch_is_early = self._watch_wanted and not is_open
+        self._watch_started_early = self._watch_wanted and not is_open
         self._retries_left = ADDRESS_CHANGE_RETRY_SPAN // ADDRESS_CHANGE_RETRY_DELAY
         self._replace_watch()
-        for call in self._take_fetches():
+        for call in self._pop_fetches():
             call.close("replaced")
             self.fetch()
 
     def close(self) -> None:
-        """End all calls."""
-        self._agent_keeps, self._first_answered = False, None
+        """Close all calls."""
+        self._keeps_agent_watch, self._first_answered = False, None
         self.watch(False)
-        for call in self._take_fetches():
+        for call in self._pop_fetches():
             call.close("closed")
 
-    def _take_fetches(self) -> dict[DiscoveryCall, None]:
-        """Forget all fetches, so that their end is told to nobody."""
+    def _pop_fetches(self) -> dict[DiscoveryCall, None]:
+        """Remove and return all fetches, so that their end isn't reported."""
         fetches, self._fetches = self._fetches, {}
         return fetches
 
-    def _tell_first_answer(self) -> None:
+    def _report_first_answer(self) -> None:
         first_answered, self._first_answered = self._first_answered, None
         if first_answered is not None:
             first_answered()
@@ -133,7 +135,7 @@
         if self._watch_wanted:
             self._watch = self._new_call(f"{LIST_PATH}?watch=1&from={self._group.revision}")
             self._watch.begin()
-        if old is not None:  # it is no longer known here, so its end is told to nobody
+        if old is not None:  # no longer `self._watch`, so its end isn't reported
             old.close("replaced")
 
     def _new_call(self, path: str) -> DiscoveryCall:
@@ -144,13 +146,13 @@
             lambda call: self._connect(address, SingleCallFactory(call), timeout),
             request,
             self._timers,
-            AGENT_ANSWER_TIMEOUT if self._agent_keeps else ANSWER_TIMEOUT,
+            AGENT_ANSWER_TIMEOUT if self._keeps_agent_watch else ANSWER_TIMEOUT,
             self._value_received,
             self._call_ended,
         )
 
     def _value_received(self, call: DiscoveryCall, message: object) -> None:
-        """Take a list, or a change of it, and tell the core."""
+        """Apply a list or a change to the list, and pass it to the core."""
         try:
             is_full, endpoints = self._group.apply(message, is_first_of_call=not call.answered)
         except EndpointListError as error:
@@ -159,31 +161,31 @@
         call.answered = True
         self._counters.lists += 1
         if call is self._watch:
-            self._retries_left = 0  # the new address serves: what fails from now on is the policy's affair
+            self._retries_left = 0  # the new address answers: later failures are reported to the policy
             self._agent_retry_delay = AGENT_MIN_RETRY_DELAY
         self._core.endpoint_list_updated(ListUpdateKind.FULL if is_full else ListUpdateKind.DELTA, endpoints)
         if call is self._watch:
-            self._tell_first_answer()
+            self._report_first_answer()
 
     def _call_ended(self, call: DiscoveryCall, reason: str) -> None:
         is_watch, is_fetch = call is self._watch, self._fetches.pop(call, call) is None
         if not is_watch and (call.answered or not is_fetch):
-            return  # a whole list that came, or a call that was replaced
+            return  # a fetch that brought its list, or a call that was replaced
         self._counters.lists_failed += 1
         log.info("discovery call ended", why=reason)
         if is_watch:
             self._watch = None
             if self._retry_watch():
                 return
-            is_early, self._watch_is_early = self._watch_is_early, False
-            if is_early:
-                return  # the policy waits to poll again as it is
-        # Never from within the policy's own call: it is told of the failure as of any other event.
+            started_early, self._watch_started_early = self._watch_started_early, False
+            if started_early:
+                return  # the policy's next poll is already scheduled
+        # The core queues the event if the call failed while an action of the policy is carried out.
         self._core.endpoint_list_updated(ListUpdateKind.FAILED, ())
 
     def _retry_watch(self) -> bool:
-        """Begin the watch again after a while, if its failure is not the policy's affair."""
-        if self._agent_keeps:
+        """Schedule a retry of the watch; return False if the failure is to be reported to the policy."""
+        if self._keeps_agent_watch:
             delay = self._agent_retry_delay
             self._agent_retry_delay = min(2 * delay, AGENT_MAX_RETRY_DELAY)
         elif self._retries_left > 0:
--- a/stepflow/node/discovery_call.py
+++ b/stepflow/node/discovery_call.py
@@ -1,8 +1,8 @@
-"""One HTTP call of discovery, from its connection to the end of its answer.
+"""One HTTP call to discovery, from its connect to the end of its answer.
 
-h11 holds HTTP/1.1 to its form (RFC 9112); the body goes through a stream of JSON values. A call either
-watches the list, and then its answer has no end, or fetches it once. Errors are not raised: each end is a
-short text for the log, given to `ended` once.
+h11 parses HTTP/1.1 strictly (RFC 9112), and `JsonStream` parses the body. A call either watches the list, and
+its answer has no end, or fetches the list once. Errors are not raised: `ended` is called once, with a short
+reason for the log.
 """
 
 from __future__ import annotations
@@ -21,20 +21,19 @@
 from stepflow.upstream import JsonStream, JsonStreamError
 from stepflow.upstream.poll_schedule import WATCH_SILENCE_LIMIT_US
 
-IDLE_TIMEOUT = timedelta(
-    microseconds=WATCH_SILENCE_LIMIT_US
-)  # between two pieces of an answer that has begun
+# Between two parts of the body, once its first value has begun.
+IDLE_TIMEOUT = timedelta(microseconds=WATCH_SILENCE_LIMIT_US)
 
 
 class DiscoveryCall(Protocol):
-    """One call. It owns its socket, and closes it at whatever ends the call.
+    """One call. It owns its socket and closes it when the call ends.
 
     Args of the constructor:
-        connect: Begins the connection of the call that it is given.
-        request: Sent whole once the connection is up; it has no body.
-        answer_timeout: From the call's begin to its first value.
-        received: Takes each JSON value of the answer. It sets `answered`, or closes the call.
-        ended: Told once that the call has ended, and why.
+        connect: Starts the connection of the given call.
+        request: The request, without a body; sent once the connection is established.
+        answer_timeout: The time from the start of the call until its first value begins.
+        received: Called with each JSON value of the answer. It sets `answered` or closes the call.
+        ended: Called once, when the call has ended, with the reason.
     """
 
     def __init__(
@@ -50,16 +49,16 @@
         self._timers, self._answer_timeout = timers, answer_timeout
         self._received, self._ended = received, ended
         self._http, self._body = h11.Connection(our_role=h11.CLIENT), JsonStream()
-        self.answered = False  # a list has come
+        self.answered = False  # a list was received
         self._closed = self._connect_failed = False
 
     def begin(self) -> None:
-        """Connect; the owner must know of the call first, for it may fail at once."""
+        """Start to connect. The owner must have stored the call, since it may end before this returns."""
         self._timer: Timer = self._timers.after(self._answer_timeout, self._timed_out)
         self._connector = self._connect(self)
 
     def close(self, reason: str) -> None:
-        """The one place that ends a call."""
+        """End the call, unless it has ended. All other methods end a call through this one."""
         if self._closed:
             return
         self._closed = True
@@ -80,25 +79,25 @@
             wire.write(self._http.send(event) or b"")
 
     def dataReceived(self, data: bytes) -> None:
-        """Take a piece of the answer, or its end."""
+        """Parse a part of the answer; empty data marks its end."""
         if self._closed:
             return
         self._http.receive_data(data)
         try:
             self._read_events()
         except h11.RemoteProtocolError as error:
-            self.close(f"no HTTP: {error}")
+            self.close(f"invalid HTTP: {error}")
         except JsonStreamError as error:
-            self.close(f"bad list: {error}")
+            self.close(f"invalid JSON: {error}")
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:
-        """End the call, and before it an answer that ends with its connection."""
+        """End the call; an answer without a length ends with its connection."""
         if not self._closed:
-            self.dataReceived(b"")  # to h11 the end, which is also that of a body of no told length
+            self.dataReceived(b"")  # reports the end of the stream to h11, which ends a body without a length
         self.close("ended")
 
     def connection_failed(self, reason: Failure) -> None:
-        """End the call: no connection has come up."""
+        """End the call: the connect failed."""
         self._connect_failed = True
         self.close(str(reason.value) or type(reason.value).__name__)
 
@@ -107,7 +106,7 @@
         return cast("Transport | None", self.transport)
 
     def _read_events(self) -> None:
-        """Go through what h11 has made of the bytes so far."""
+        """Handle the events that h11 has parsed from the bytes received so far."""
         while not self._closed:
             event = self._http.next_event()
             if isinstance(event, h11.Response):
@@ -116,12 +115,15 @@
             elif isinstance(event, h11.Data):
                 self._read_body(bytes(event.data))
             elif isinstance(event, h11.EndOfMessage):
-                self.close("ended amid a list" if self._body.has_partial_value else "ended")
+                self.close("ended within a JSON value" if self._body.has_partial_value else "ended")
             elif not isinstance(event, h11.InformationalResponse):
-                return  # no more so far, or nothing that counts
+                return  # NEED_DATA, or another event that needs no handling
 
     def _read_body(self, data: bytes) -> None:
-        """Take a piece of the body; each is a sign of life, also an empty line, once a list has come."""
+        """Parse a part of the body.
+
+        Once the first value has begun, each part restarts the idle timeout, even an empty line.
+        """
         for value in self._body.feed(data):
             self._received(self, value)
             if self._closed:
@@ -135,7 +137,7 @@
 
 
 class SingleCallFactory(ClientFactory):
-    """Makes the one connection of a call."""
+    """The factory for the one connection of a call."""
 
     noisy = False
 
@@ -143,7 +145,7 @@
         self._call = call
 
     def buildProtocol(self, addr: object) -> DiscoveryCall:
-        """Hand out the call: the connection is up."""
+        """Return the call: the connection is established."""
         return self._call
 
     def clientConnectionFailed(self, connector: object, reason: Failure) -> None:
--- a/stepflow/upstream/__init__.py
+++ b/stepflow/upstream/__init__.py
@@ -1,6 +1,6 @@
-"""What discovery tells: its stream of JSON values, the endpoint list, and when to ask for it.
+"""The data of discovery: its stream of JSON values, the endpoint list, and the schedule of polls.
 
-Pure: no sockets, no clock.
+This package does no I/O and reads no clock.
 """
 
 from stepflow.upstream.endpoint_group import EndpointGroup
--- a/stepflow/upstream/endpoint_group.py
+++ b/stepflow/upstream/endpoint_group.py
@@ -1,7 +1,8 @@
 """The endpoint list as discovery last reported it: each endpoint's address and entry, and a revision.
 
-A message of discovery is an object: `targets` holds entries, `all` whether they are the complete list or
-changes to it, and `rev` its revision. Capacities are relative to 1, `boot_ms` is Unix time in milliseconds.
+A message from discovery is a JSON object: `targets` holds entries, `all` says whether they are the complete
+list or changes to it, and `rev` is the list's revision. Capacities are relative to 1; `boot_ms` is Unix time
+in milliseconds.
 """
 
 from __future__ import annotations
@@ -23,7 +24,7 @@
 
 
 class AppliedUpdate(NamedTuple):
-    """What a message has changed."""
+    """The changes that a message made."""
 
     is_full_list: bool
     endpoints: tuple[Endpoint, ...]  # the message's entries
@@ -41,8 +42,8 @@
 class EndpointGroup:
     """The endpoint list as discovery last reported it.
 
-    It owns the numbers of zones and of kinds of machine: those named in the settings come first, and others
-    are numbered as they appear.
+    It owns the numbers of zones and of machine kinds: those named in the settings come first, and others are
+    numbered in the order in which they appear.
     """
 
     def __init__(self, zones: Sequence[str], kinds: Sequence[str]) -> None:
@@ -52,31 +53,31 @@
         self._kind_numbers = {name: number for number, name in enumerate(kinds)}
 
     def __len__(self) -> int:
-        """Return how many endpoints are listed."""
+        """Return the number of listed endpoints."""
         return len(self._entries)
 
     def address_of(self, name: str) -> Address | None:
-        """Return an endpoint's address; None where it is not listed."""
+        """Return an endpoint's address, or None if the endpoint isn't listed."""
         entry = self._entries.get(name)
         return entry.address if entry is not None else None
 
     def to_message(self) -> dict[str, Any]:
-        """Return the complete list in discovery's form."""
+        """Return the complete list as a message in discovery's format."""
         targets = [entry.raw for entry in self._entries.values()]
         return {"rev": self.revision, "all": True, "targets": targets}
 
     def apply(self, message: object, is_first_of_call: bool = True) -> AppliedUpdate:
-        """Take over a message, all of it or nothing.
+        """Apply a message, completely or not at all.
 
-        A message with a lower revision than the list's comes late, from a call that a newer one has replaced,
-        and changes nothing. But a complete list that is the first message of a call counts in any case:
+        A message with a lower revision than the list's arrived late, from a call that was replaced by a newer
+        one, and is ignored. A complete list that is the first message of a call is applied in any case:
         discovery may have restarted its revisions.
 
         Raises:
             EndpointListError: The message or one of its entries is malformed.
         """
         if not isinstance(message, dict) or not isinstance(message.get("targets"), list):
-            raise EndpointListError("not an object with targets")
+            raise EndpointListError("expected an object with an array named targets")
         revision = self._read_revision(message)
         entries = [self._read_entry(raw) for raw in message["targets"]]
         is_full_list = message.get("all") is True
@@ -99,16 +100,16 @@
     def _read_revision(self, message: dict[str, Any]) -> int:
         revision = message.get("rev", self.revision)
         if not isinstance(revision, int) or isinstance(revision, bool) or revision < 0:
-            raise EndpointListError(f"rev {revision!r} is not a number")
+            raise EndpointListError(f"rev: found {revision!r}, expected an integer of at least 0")
         return revision
 
     def _read_entry(self, raw: object) -> _Entry:
         if not isinstance(raw, dict) or not isinstance(raw.get("uid"), str):
-            raise EndpointListError("an entry without uid")
+            raise EndpointListError("expected each entry to be an object with a string named uid")
         name = raw["uid"]
         availability = _AVAILABILITY_OF_STATE.get(str(raw.get("state")))
         if availability is None:
-            raise EndpointListError(f"{name}: state {raw.get('state')!r}")
+            raise EndpointListError(f"{name}: unknown state {raw.get('state')!r}")
         is_gone = availability == Availability.GONE
         try:
             address = _NO_ADDRESS if is_gone else Address.parse(raw.get("endpoint"))
@@ -118,7 +119,7 @@
         except (TypeError, ValueError, OverflowError) as error:
             raise EndpointListError(f"{name}: {error}") from None
         if not math.isfinite(capacity):
-            raise EndpointListError(f"{name}: capacity_hint {capacity}")
+            raise EndpointListError(f"{name}: capacity_hint: expected a finite number, found {capacity}")
         zone = _number_of(str(raw.get("az")), self._zone_numbers)
         kind = _number_of(str(raw.get("model")), self._kind_numbers)
         endpoint = Endpoint(name, zone, kind, cell, availability, capacity, started_ms * 1000)
@@ -126,5 +127,5 @@
 
 
 def _number_of(name: str, numbers: dict[str, int]) -> int:
-    """Return a name's number; a new name gets the next one."""
+    """Return a name's number; a new name gets the next free number."""
     return numbers.setdefault(name, len(numbers))
--- a/stepflow/upstream/errors.py
+++ b/stepflow/upstream/errors.py
@@ -2,12 +2,12 @@
 
 
 class DiscoveryDataError(ValueError):
-    """The base of what is wrong with data of discovery; its text goes to the log."""
+    """Base class of errors in data from discovery. The message is logged."""
 
 
 class JsonStreamError(DiscoveryDataError):
-    """A value of the stream that can't be read; nothing after it can be either."""
+    """A malformed or overlong value in the stream; the rest of the stream can't be parsed."""
 
 
 class EndpointListError(DiscoveryDataError):
-    """A message that is no endpoint list, or has a bad entry; nothing of it was applied."""
+    """A malformed endpoint list, or one with a malformed entry; no part of it was applied."""
--- a/stepflow/upstream/poll_schedule.py
+++ b/stepflow/upstream/poll_schedule.py
@@ -1,9 +1,9 @@
-"""When to fetch the endpoint list again after a call has failed. Pure: times in, delays out, in microseconds.
+"""The delays between calls to discovery after a failed call, in microseconds. No I/O; callers pass the time.
 
-The list may be 6 s old at most, counted from when discovery could have told it (PROTOCOL, "Figures"). These 6
-s have to hold either a call that nobody answers, given up after `ANSWER_TIMEOUT_US`, or the longest delay
-between two calls; and then the wait for this node's turn at a discovery that serves all nodes one after
-another. So no delay is longer than a call's timeout, and the time that the failed call took counts towards
+The list may be at most 6 s old, counted from when discovery could have sent it (PROTOCOL, "Figures"). Within
+these 6 s, there must be time for either a call without an answer, which times out after `ANSWER_TIMEOUT_US`,
+or the longest delay between two calls, and then for the queue of a discovery that serves all nodes one after
+another. So no delay is longer than the timeout of a call, and the duration of the failed call counts towards
 the delay.
 """
 
@@ -11,19 +11,20 @@
 
 import random
 
-ANSWER_TIMEOUT_US = 3_000_000  # long enough for a node's turn
-WATCH_SILENCE_LIMIT_US = 2_750_000  # a watch that is silent for longer is broken: a line comes every 2 s
-FIRST_POLL_SPREAD_US = 2_500_000  # the first calls of all nodes are spread over this
-MIN_RETRY_DELAY_US = 500_000  # doubled with each failure
+ANSWER_TIMEOUT_US = 3_000_000  # long enough for a node's wait in discovery's queue
+WATCH_SILENCE_LIMIT_US = 2_750_000  # a watch that is silent for longer is broken: it gets a line every 2 s
+FIRST_POLL_SPREAD_US = 2_500_000  # the first calls of all nodes are spread over this time
+MIN_RETRY_DELAY_US = 500_000  # doubled after each failure
 MAX_RETRY_DELAY_US = 2_500_000
-OVERDUE_SPREAD_US = 300_000  # all nodes lose a watch at once: even an overdue call is delayed within this
+# Even overdue calls are delayed by a random time up to this: all nodes may lose their watches at once.
+OVERDUE_SPREAD_US = 300_000
 
-_MAX_DOUBLINGS = 8  # far more than the limit above allows
-_MIN_JITTER = 0.5  # a delay is drawn from this share of it to the whole
+_MAX_DOUBLINGS = 8  # more than enough to reach MAX_RETRY_DELAY_US
+_MIN_JITTER = 0.5  # a delay is drawn from between this share of its limit and the limit
 
 
 class PollSchedule:
-    """One node's calls: exponential backoff with jitter, started anew by each list."""
+    """One node's calls: exponential backoff with jitter, reset by each list."""
 
     def __init__(self, rng: random.Random) -> None:
         self._rng = rng
@@ -35,15 +36,18 @@
         return self._rng.randrange(1, FIRST_POLL_SPREAD_US)
 
     def poll_started(self, now: int) -> None:
-        """Note that a call begins."""
+        """Record that a call starts."""
         self._poll_started_us = now
 
     def poll_succeeded(self) -> None:
-        """Note that a list has come."""
+        """Record that a list was received."""
         self._failures = 0
 
     def retry_delay(self, now: int, within_us: int) -> int:
-        """Return the delay before the next call after a failed one; two calls fit into `within_us`."""
+        """Return the delay before the next call after a failed one.
+
+        The backoff is limited to half of `within_us`, so that two calls fit into that time.
+        """
         backoff_us = MIN_RETRY_DELAY_US << min(self._failures, _MAX_DOUBLINGS)
         limit_us = min(backoff_us, MAX_RETRY_DELAY_US, max(1, within_us // 2))
         self._failures += 1
--- a/stepflow/upstream/start_times.py
+++ b/stepflow/upstream/start_times.py
@@ -1,10 +1,10 @@
-"""When endpoints started, on this process's own clock. Pure: times in, times out, all in microseconds.
+"""The start times of endpoints on this process's clock, in microseconds. No I/O; callers pass the time.
 
-Discovery tells Unix times of another machine's clock, and this machine's wall clock may have been stepped
-before the process began. What the process can trust is when a message reported a start: that is never before
-the start, and a healthy discovery reports it soon. So the smallest delay from any start to the message about
-it shows how far the two clocks are apart: this one is behind where the delay is below zero, and ahead by what
-exceeds the usual delay.
+Discovery reports start times as Unix times of another machine's clock, and this machine's wall clock may have
+been stepped before the process started. The arrival of the message that reports a start is reliable: it is
+never before the start, and with a healthy discovery soon after it. So the smallest delay from a start to its
+message shows the offset of the two clocks: this machine's clock is behind if the delay is negative, and ahead
+by the part of the delay that exceeds the usual one.
 """
 
 from __future__ import annotations
@@ -14,8 +14,8 @@
 
 from stepflow.interface import Endpoint, EndpointId
 
-MAX_FIRST_LIST_AGE_US = 600_000_000  # in a first list, a start that seems longer ago is a clock's error
-USUAL_DELAY_US = 3_000_000  # from a start to the message about it, where nothing is wrong
+MAX_FIRST_LIST_AGE_US = 600_000_000  # a larger age in the first list is attributed to a wrong clock
+USUAL_DELAY_US = 3_000_000  # from a start to its message, if nothing is wrong
 
 
 class _KnownStart(NamedTuple):
@@ -27,17 +27,18 @@
 
 
 class StartTimes:
-    """Converts start times to this process's clock; a start that is reported again gets the same time."""
+    """Converts start times to this process's clock; a start that is reported again keeps its local time."""
 
     def __init__(self) -> None:
         self._known_starts: dict[EndpointId, _KnownStart] = {}
-        self._min_delay_us: int | None = None  # from a start to its message, on the two clocks
+        # From a start, on discovery's clock, to its message, on this process's clock.
+        self._min_delay_us: int | None = None
         self._had_list = False
 
     def localize(self, now: int, is_full_list: bool, endpoints: Iterable[Endpoint]) -> tuple[Endpoint, ...]:
         """Return a message's endpoints with their start times on this process's clock."""
         entries = tuple(endpoints)
-        if self._had_list:  # nobody knows when the starts of a first list were first reported
+        if self._had_list:  # the starts in the first list may have been reported long ago
             self._learn_delay(now, entries)
         localized = tuple(entry._replace(started_us=self._local_start(now, entry)) for entry in entries)
         if is_full_list:
@@ -61,7 +62,7 @@
             self._min_delay_us = min(delays)
 
     def _local_start(self, now: int, entry: Endpoint) -> int:
-        """Return when an endpoint started, no later than now; 0 where that was long ago."""
+        """Return the local start time of an endpoint, at most `now`; 0 if it started long ago."""
         if entry.started_us <= 0:
             return 0
         if not self._is_new_start(entry):
@@ -71,7 +72,7 @@
         return local_us
 
     def _age_us(self, delay_us: int) -> int:
-        """Return how long ago a start was, by the delay that the two clocks show."""
+        """Return the age of a start, from the apparent delay between the two clocks."""
         if self._min_delay_us is not None:
             clock_offset_us = min(self._min_delay_us, max(0, self._min_delay_us - USUAL_DELAY_US))
             return delay_us - clock_offset_us
