--- a/tests/node/test_discovery_freshness.py
+++ b/tests/node/test_discovery_freshness.py
@@ -1,4 +1,4 @@
-"""The list is never older than 6 s while discovery can be reached: discovery clients on a virtual clock."""
+"""The endpoint list is never older than 6 s while discovery is reachable: many clients on a virtual clock."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
 
 
 class ServerTransport:
-    """The transport of one call, with the discovery server at its other end."""
+    """The transport of one call, whose other end is the discovery server."""
 
     def __init__(self, server: DiscoveryServer, protocol: Any) -> None:
         self.server, self.protocol, self.open, self.alive = server, protocol, True, False
@@ -66,7 +66,7 @@
 
 
 class DiscoveryServer:
-    """Serves calls one after another while it is up; else it refuses them, hangs, or can't be reached."""
+    """Serves calls one after another while it is up; otherwise it refuses them, hangs or is unreachable."""
 
     SERVICE_TIME_S, MAX_QUEUE_TIME_S = 0.01, 3.0
 
@@ -123,7 +123,7 @@
                 transport.send(b"\n")
 
     def set_state(self, state: str) -> None:
-        """Change the state. Refusing, it ends the watches; else all that is open stays silent."""
+        """Change the state: "refuses" closes open watches and calls; other outages leave them silent."""
         self.state, transports, self.transports = state, self.transports, []
         calls, self.queue = self.queue, deque()
         if state != "up":
@@ -133,7 +133,7 @@
                     transport.loseConnection()
 
     def silence_watches(self) -> None:
-        """Send nothing more on the open watches, while new calls are served."""
+        """Send nothing more on the open watches; new calls are still served."""
         for transport in self.transports:
             transport.alive = False
 
@@ -150,8 +150,8 @@
         return timedelta(seconds=1000 + self._clock.seconds())
 
 
-class Nodes:
-    """Discovery clients of many nodes, and how long each has been without a watch that it could have had."""
+class NodeClients:
+    """The discovery clients of many nodes, and for how long each has had no watch while the server was up."""
 
     def __init__(self, count: int, seed: int, state: str = "up") -> None:
         self.clock = VirtualClock()
@@ -160,7 +160,7 @@
         self.clients, self.stale_s = [], [0.0] * count
         self.worst_stale_s = 0.0
         time = VirtualNodeClock(self.clock)
-        reactor = cast(Reactor, self.clock)  # of which only timers are used
+        reactor = cast(Reactor, self.clock)  # only its timers are used
         for number in range(count):
             timers = Timers(time, reactor, Counters())
             settings = plain_settings(polls_endpoint_list=True)
@@ -190,9 +190,9 @@
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
 @pytest.mark.parametrize("state", ["refuses", "hangs", "unreached"])
-def test_the_list_is_fresh_within_6_s_of_an_outage_s_end(state: str, seed: int) -> None:
-    """Waits that grew to 0.75 of the settings' time, behind calls of 4 s: 6 to over 9 s went by."""
-    nodes = Nodes(NODES, seed)
+def test_the_list_is_fresh_within_6_s_after_an_outage_ends(state: str, seed: int) -> None:
+    """With delays of up to 0.75 of the settings' time, after calls of 4 s, it took 6 s to over 9 s."""
+    nodes = NodeClients(NODES, seed)
     nodes.run(6)
     nodes.server.set_state(state)
     nodes.run(14 + random.Random(seed).random())
@@ -202,8 +202,8 @@
 
 
 @pytest.mark.parametrize("state", ["refuses", "hangs", "unreached"])
-def test_the_list_is_fresh_in_time_for_nodes_that_start_in_an_outage(state: str) -> None:
-    nodes = Nodes(NODES, 4, state)
+def test_the_list_is_fresh_within_6_s_for_nodes_that_start_during_an_outage(state: str) -> None:
+    nodes = NodeClients(NODES, 4, state)
     nodes.run(2.2)
     nodes.server.set_state("up")
     nodes.run(9)
@@ -211,16 +211,16 @@
 
 
 @pytest.mark.parametrize("fault", ["silence_watches", "reset_watches"])
-def test_watches_that_all_end_at_once_are_opened_again_in_time(fault: str) -> None:
-    nodes = Nodes(NODES, 5)
+def test_watches_that_all_end_at_once_are_reopened_within_6_s(fault: str) -> None:
+    nodes = NodeClients(NODES, 5)
     nodes.run(6.7)
     getattr(nodes.server, fault)()
     nodes.run(9)
     assert 0 < nodes.worst_stale_s < 6 - MARGIN_S
 
 
-def test_the_list_is_fresh_in_time_after_a_change_of_address_in_an_outage() -> None:
-    nodes = Nodes(20, 6, "refuses")
+def test_the_list_is_fresh_within_2_s_after_a_change_of_address_in_an_outage() -> None:
+    nodes = NodeClients(20, 6, "refuses")
     nodes.run(20)
     nodes.server.set_state("up")
     for client in nodes.clients:
@@ -230,10 +230,10 @@
 
 
 @pytest.mark.parametrize("seed", range(6))
-def test_the_list_is_fresh_in_time_after_outages_of_any_kind_in_any_order(seed: int) -> None:
-    """Outages of all kinds and lengths one after another; watches fall silent or are reset in between."""
+def test_the_list_is_fresh_within_6_s_after_outages_of_any_kind_in_any_order(seed: int) -> None:
+    """Outages of all kinds and of random lengths, and watches that fall silent or are reset in between."""
     rng = random.Random(seed)
-    nodes = Nodes(40, seed)
+    nodes = NodeClients(40, seed)
     for _ in range(8):
         nodes.run(rng.uniform(0.2, 9))
         fault = rng.choice(["refuses", "hangs", "unreached", "silence_watches", "reset_watches"])
--- a/tests/node/test_node_endpoint_list.py
+++ b/tests/node/test_node_endpoint_list.py
@@ -1,4 +1,4 @@
-"""What a real node makes of the endpoint list that discovery sends, over loopback."""
+"""How a real node applies the endpoint list from discovery, over loopback."""
 
 from __future__ import annotations
 
@@ -9,14 +9,14 @@
     with Node(first := Peer("s-1"), second := Peer("s-2"), discovery=(discovery := Discovery())) as node:
         assert discovery.calls.get(timeout=PATIENCE) == "/v1/servers?watch=1&from=1"
         discovery.tell(first.entry("Terminating"))
-        discovery.tell({"uid": "s-9", "state": "Nonsense"})  # ends the watch: the next one is from rev 2
+        discovery.tell({"uid": "s-9", "state": "Nonsense"})  # ends the watch; the next starts from rev 2
         assert discovery.calls.get(timeout=PATIENCE) == "/v1/servers?watch=1&from=2"
         for number in range(6):
             assert node.client(opening(number)).read() == "UP r1"
         assert first.lines.empty() and second.lines.qsize() == 6
 
 
-def test_silent_watch_is_renewed_from_the_version_held() -> None:
+def test_silent_watch_is_restarted_from_the_revision_held() -> None:
     discovery = Discovery('{"rev":7,"all":false,"targets":[]}')
     with Node(Peer("s-1"), discovery=discovery) as node:
         calls = [discovery.calls.get(timeout=PATIENCE) for _ in range(2)]
--- a/tests/node/test_node_group.py
+++ b/tests/node/test_node_group.py
@@ -1,6 +1,6 @@
-"""A group of real nodes under load, through restarts and faults: whatever happens, the rules are kept.
+"""A group of real nodes under load, during restarts and faults.
 
-No client goes unanswered, no session is cut or served twice, and no draining server gets a request.
+Every request is answered, no session is cut or served twice, and no draining endpoint gets a request.
 """
 
 from __future__ import annotations
@@ -23,24 +23,24 @@
 
 NODES, CLIENTS, SERVERS = 4, 24, 5
 PORT = 7070
-DRAIN_GRACE_S = 0.55  # from the update that a server drains on; 50 ms of it are the protocol's
+DRAIN_GRACE_S = 0.55  # from the update that reports an endpoint as draining; 50 ms of it are the protocol's
 
 
 class NodeGroup:
-    """Nodes at fixed addresses, and their map servers, which share one ledger of what they have served."""
+    """Nodes at fixed addresses, and their endpoints, which record all requests in one shared ledger."""
 
     def __init__(self, folder: Path) -> None:
         self.folder, self.ledger = folder, Ledger()
         self.servers = [LedgerServer(f"s-{n}", "k", ledger=self.ledger) for n in range(SERVERS)]
         self.fleet = Fleet(list(self.servers))
-        # Addresses of their own: a free port of the shared one may be another test's a moment later.
+        # Addresses used by this test only: a free port of a shared address may be taken by another test.
         pid = os.getpid()
         self.addresses = [(f"127.{100 + n}.{pid >> 8 & 255}.{pid & 255}", PORT) for n in range(NODES)]
         self.nodes: list[asyncio.subprocess.Process] = []
         self._logs: list[asyncio.Task[bytes]] = []
 
     async def start(self, number: int, fleet: Fleet | None = None) -> None:
-        """Start a node, or start it again, at a discovery of its own if need be."""
+        """Start or restart a node, with the discovery of `fleet` if given."""
         path = self.configure(number, fleet or self.fleet)
         process, _ = await start_node(path, {"TMPDIR": str(path.parent), "STEPFLOW_CONF": os.devnull})
         self.nodes[number : number + 1] = [process]
@@ -48,7 +48,7 @@
         self._logs.append(asyncio.create_task(process.stderr.read()))
 
     def configure(self, number: int, fleet: Fleet) -> Path:
-        """Write a node's configuration, with this fleet's discovery."""
+        """Write a node's configuration, with the discovery of `fleet`."""
         path = self.folder / f"n{number}" / "config.json"
         path.parent.mkdir(exist_ok=True)
         settings = {**SETTINGS, "group_size": NODES, "position": number}
@@ -66,12 +66,12 @@
         return path
 
     async def stop(self, number: int, how: signal.Signals) -> int:
-        """Signal a node and wait for its exit."""
+        """Send a signal to a node and wait for its exit; return its exit code."""
         self.nodes[number].send_signal(how)
         return await asyncio.wait_for(self.nodes[number].wait(), PATIENCE)
 
     async def run(self, scenario: Callable[[NodeGroup, Crowd], Awaitable[None]]) -> None:
-        """Start everything, have the crowd served, run the scenario, stop everything, and check the rules."""
+        """Start the nodes and the clients, run the scenario, stop everything, and check the results."""
         await self.fleet.begin()
         for number in range(NODES):
             await self.start(number)
@@ -95,7 +95,10 @@
 
 
 async def rolling_restart(group: NodeGroup, crowd: Crowd) -> None:
-    """All nodes are restarted under load, two at a time: each migrates or answers what it has, and exits."""
+    """All nodes are restarted under load, two at a time.
+
+    Each node migrates its sessions, answers its requests and exits.
+    """
     for pair in ((0, 1), (2, 3)):
         assert await asyncio.gather(*(group.stop(n, signal.SIGTERM) for n in pair)) == [0, 0]
         await asyncio.gather(*(group.start(n) for n in pair))
@@ -104,14 +107,14 @@
 
 
 async def nodes_killed(group: NodeGroup, crowd: Crowd) -> None:
-    """Three of four are killed at once: their clients come again, and no request runs twice."""
+    """Three of four nodes are killed at once: their clients reconnect, and no request runs twice."""
     crowd.killed = set(group.addresses[:3])
     await asyncio.gather(*(group.stop(n, signal.SIGKILL) for n in range(3)))
     await asyncio.gather(*(group.start(n) for n in range(3)))
 
 
 async def discovery_address_changes(group: NodeGroup, crowd: Crowd) -> None:
-    """SIGHUP brings a new address of discovery, which is slow and has an update: a server drains."""
+    """SIGHUP changes the address of discovery; the new one is slow and reports that an endpoint drains."""
     other = Fleet(list(group.servers), rev=5, late_s=0.3)
     group.servers[0].state = "Terminating"
     await other.begin(serve=False)
@@ -120,14 +123,14 @@
         node.send_signal(signal.SIGHUP)
     await other.told(NODES)
     group.ledger.shut["s-0"] = time.monotonic()
-    for moved in range(2):  # all sessions are migrated, twice: none comes to the draining server
-        assert await group.stop(moved, signal.SIGTERM) == 0
-        await group.start(moved, other)
+    for restarted in range(2):  # each exit migrates the node's sessions: none goes to the draining endpoint
+        assert await group.stop(restarted, signal.SIGTERM) == 0
+        await group.start(restarted, other)
     other.close()
 
 
 async def discovery_refuses(group: NodeGroup, crowd: Crowd) -> None:
-    """Discovery rejects calls and answers late while nodes come back: they serve by the list they had."""
+    """Discovery refuses calls and answers late while nodes restart: they use their last known list."""
     group.fleet.refuse, group.fleet.late_s = 6, 0.5
     group.fleet.drop()
     await nodes_killed(group, crowd)
@@ -139,7 +142,7 @@
 
 
 async def connections_reset(group: NodeGroup, crowd: Crowd) -> None:
-    """A server resets connections under their requests: those are tried elsewhere, one at a time."""
+    """An endpoint resets connections after OPEN: requests are retried elsewhere, one attempt at a time."""
     before = group.ledger.opened["s-2"]
     group.servers[2].reset = lambda: True
     assert await group.stop(0, signal.SIGTERM) == 0
@@ -156,5 +159,7 @@
     "scenario",
     [rolling_restart, nodes_killed, discovery_address_changes, discovery_refuses, connections_reset],
 )
-def test_the_rules_are_kept(scenario: Callable[[NodeGroup, Crowd], Awaitable[None]], tmp_path: Path) -> None:
+def test_no_request_or_session_is_lost_duplicated_or_sent_to_a_draining_endpoint(
+    scenario: Callable[[NodeGroup, Crowd], Awaitable[None]], tmp_path: Path
+) -> None:
     asyncio.run(NodeGroup(tmp_path).run(scenario))
--- a/tests/node/test_pushed_discovery.py
+++ b/tests/node/test_pushed_discovery.py
@@ -1,4 +1,4 @@
-"""Pushed discovery: the list that the agent on the node's machine holds, over sockets."""
+"""Pushed discovery: a node that watches the agent on its machine, over loopback sockets."""
 
 from __future__ import annotations
 
@@ -12,77 +12,79 @@
 
 from tests.node_kit import PATIENCE, Discovery, Node, Peer, opening
 
-REQUEST_NUMBERS = count(1000)  # for requests that only have to differ
+REQUEST_NUMBERS = count(1000)  # for requests that only need different numbers
 
 
 def pushed(config: dict[str, Any]) -> None:
     config["settings"]["discovery"] = "pushed"
 
 
-def message(rev: int, whole: bool, *entries: dict[str, Any], indent: int | None = None) -> str:
-    return json.dumps({"rev": rev, "all": whole, "targets": entries}, indent=indent)
+def message(rev: int, is_full: bool, *entries: dict[str, Any], indent: int | None = None) -> str:
+    return json.dumps({"rev": rev, "all": is_full, "targets": entries}, indent=indent)
 
 
-def test_what_the_agent_holds_counts_before_the_first_request() -> None:
-    """The list that the node last had names a server that drains; its agent knows."""
-    one, two = Peer("s-1"), Peer("s-2")
-    agent = Discovery(first=message(9, False, one.entry("Terminating")))
-    with Node(one, two, discovery=agent, change=pushed) as node:
+def test_the_agents_list_is_applied_before_the_first_request() -> None:
+    """The node's last known list shows an endpoint as ready that the agent's list shows as draining."""
+    first_peer, second_peer = Peer("s-1"), Peer("s-2")
+    agent = Discovery(first=message(9, False, first_peer.entry("Terminating")))
+    with Node(first_peer, second_peer, discovery=agent, change=pushed) as node:
         assert agent.calls.get(timeout=PATIENCE) == "/v1/servers?watch=1&from=1"
         for number in range(1, 13):
             assert node.client(opening(number)).read() == "UP r1"
-    assert one.lines.empty() and two.lines.qsize() == 12
+    assert first_peer.lines.empty() and second_peer.lines.qsize() == 12
 
 
-def test_a_silent_agent_keeps_no_node_from_serving_and_is_asked_until_it_speaks() -> None:
-    one, two = Peer("s-1"), Peer("s-2")
-    agent = Discovery(first=message(9, False, one.entry("Terminating")), refuse=6)
-    with Node(one, two, discovery=agent, change=pushed) as node:
-        assert node.client(opening()).read() == "UP r1"  # by the list that it had
+def test_a_node_serves_while_its_agent_refuses_calls_and_retries_until_it_answers() -> None:
+    first_peer, second_peer = Peer("s-1"), Peer("s-2")
+    agent = Discovery(first=message(9, False, first_peer.entry("Terminating")), refuse=6)
+    with Node(first_peer, second_peer, discovery=agent, change=pushed) as node:
+        assert node.client(opening()).read() == "UP r1"  # by the last known list
         agent.calls.get(timeout=PATIENCE)
         deadline = time.monotonic() + PATIENCE
         while "map_servers_excluded:1|g" not in node.ops("/v1/metrics")[1] and time.monotonic() < deadline:
-            pass  # until the update was read
-        assert served_by(node, two, 10)
+            pass  # until the node has applied the update
+        assert all_sessions_go_to(node, second_peer, 10)
 
 
 @pytest.mark.parametrize("fault", ["", "{", '{"rev":"x","all":true,"targets":[]}', "null"])
-def test_a_watch_of_the_agent_that_breaks_is_begun_again(fault: str) -> None:
-    """An empty text stands for a connection that is cut."""
-    one, two = Peer("s-1"), Peer("s-2")
+def test_a_watch_of_the_agent_that_fails_is_restarted(fault: str) -> None:
+    """An empty text stands for a closed connection."""
+    first_peer, second_peer = Peer("s-1"), Peer("s-2")
     agent = Discovery()
-    with Node(one, two, discovery=agent, change=pushed) as node:
+    with Node(first_peer, second_peer, discovery=agent, change=pushed) as node:
         assert agent.calls.get(timeout=PATIENCE).endswith("from=1")
-        agent.first = message(3, False, one.entry("Terminating"))
+        agent.first = message(3, False, first_peer.entry("Terminating"))
         agent.told.put(fault or Discovery.END)
         if fault == "{":
             agent.told.put("]")
         assert agent.calls.get(timeout=PATIENCE).endswith("from=1")
         node.wait_log("discovery call ended")
-        wait_until_served_by(node, two, 8)
+        wait_until_sessions_go_to(node, second_peer, 8)
 
 
-def served_by(node: Node, peer: Peer, sessions: int) -> bool:
-    """Whether all of so many new sessions are established at this map server."""
+def all_sessions_go_to(node: Node, peer: Peer, sessions: int) -> bool:
+    """Return whether this number of new sessions are all established at this endpoint."""
     before = peer.lines.qsize()
     for _ in range(sessions):
         assert node.client(opening(next(REQUEST_NUMBERS))).read() == "UP r1"
     return peer.lines.qsize() - before == sessions
 
 
-def wait_until_served_by(node: Node, peer: Peer, sessions: int) -> None:
-    """Open so many sessions again and again, until all of them come to this map server."""
+def wait_until_sessions_go_to(node: Node, peer: Peer, sessions: int) -> None:
+    """Open this number of sessions repeatedly, until all of them are established at this endpoint."""
     deadline = time.monotonic() + PATIENCE
-    while not served_by(node, peer, sessions) and time.monotonic() < deadline:
+    while not all_sessions_go_to(node, peer, sessions) and time.monotonic() < deadline:
         pass
     assert time.monotonic() < deadline
 
 
 @pytest.mark.parametrize("pieces", [1, 7, 300])
 @pytest.mark.parametrize("change", [lambda config: None, pushed])
-def test_a_list_may_come_indented_and_in_pieces(pieces: int, change: Callable[[Any], None]) -> None:
-    one, two = Peer("s-1"), Peer("s-2")
-    agent = Discovery(first=message(9, True, two.entry(), indent=4), pieces=pieces)
-    with Node(one, discovery=agent, change=change) as node:
+def test_an_indented_list_in_pieces_of_any_size_is_applied(
+    pieces: int, change: Callable[[Any], None]
+) -> None:
+    first_peer, second_peer = Peer("s-1"), Peer("s-2")
+    agent = Discovery(first=message(9, True, second_peer.entry(), indent=4), pieces=pieces)
+    with Node(first_peer, discovery=agent, change=change) as node:
         agent.calls.get(timeout=PATIENCE)
-        wait_until_served_by(node, two, 4)
+        wait_until_sessions_go_to(node, second_peer, 4)
--- a/tests/node/test_scarce_watches.py
+++ b/tests/node/test_scarce_watches.py
@@ -1,8 +1,8 @@
-"""Connections that the process can't watch for a moment, since epoll_ctl(2) fails for want of memory.
+"""Connections that the process can't watch for a moment, because epoll_ctl(2) fails for lack of memory.
 
-Seen: clients reset or left without an answer, sessions cut off, ends that were passed on late or as a reset.
-Whatever starts or stops to read or write had the error raised in its midst, and broke off there: accepting, a
-connect that came up, a timer's call. What proved it: tracebacks of each of these that end in epoll's register
+The failure: clients were reset or got no answer, sessions were cut off, and ends were passed on late or as a
+reset. The error was raised in the code that started or stopped reading or writing (an accept, an established
+connect, a timer's call), and aborted it. Evidence: tracebacks of each of these that end in epoll's register
 or modify.
 """
 
@@ -21,7 +21,7 @@
 REQUESTS = 20
 
 
-def test_requests_are_answered_though_connections_cannot_be_watched_at_first(machine: Machine) -> None:
+def test_requests_are_answered_while_watching_connections_may_fail(machine: Machine) -> None:
     with on(machine, Node(Peer("s-1"), Peer("s-2"))) as node:
         machine.fail(Call.WATCH, SCARCE_SHARE, [errno.ENOMEM])
         for number in range(REQUESTS):
@@ -37,7 +37,7 @@
 
 @pytest.mark.parametrize("reset", [False, True])
 @pytest.mark.parametrize("by_client", [False, True])
-def test_ends_are_passed_on_though_connections_cannot_be_watched(
+def test_ends_are_passed_on_in_time_while_watching_connections_may_fail(
     machine: Machine, by_client: bool, reset: bool
 ) -> None:
     with on(machine, Node(peer := SilentPeer())) as node:
--- a/tests/upstream/test_json_stream.py
+++ b/tests/upstream/test_json_stream.py
@@ -1,4 +1,4 @@
-"""JSON values off a stream, however it is cut."""
+"""The incremental parser of JSON values, with any chunk sizes."""
 
 from __future__ import annotations
 
@@ -25,14 +25,14 @@
     st.lists(st.integers(1, 40)),
 )
 def test_values_are_complete_whatever_the_white_space_and_chunks(
-    values: list[object], indent: int | None, between: str, cuts: list[int]
+    values: list[object], indent: int | None, separator: str, chunk_sizes: list[int]
 ) -> None:
-    text = between.join([json.dumps(value, indent=indent) for value in values] + [""]).encode()
+    text = separator.join([json.dumps(value, indent=indent) for value in values] + [""]).encode()
     stream = JsonStream()
     found: list[object] = []
-    for cut in cuts:
-        found += stream.feed(text[:cut])
-        text = text[cut:]
+    for size in chunk_sizes:
+        found += stream.feed(text[:size])
+        text = text[size:]
     found += stream.feed(text)
     assert found == values and not stream.has_partial_value
 
@@ -53,9 +53,9 @@
 
 
 def test_a_large_value_in_small_chunks_is_scanned_once() -> None:
-    """Scanned anew with each chunk, 4 MB in chunks of 1,400 bytes take minutes."""
+    """If each chunk caused a scan of the whole buffer, 4 MB in chunks of 1,400 bytes would take minutes."""
     text = json.dumps(["x" * 100] * 30_000).encode()
-    stream, begun, found = JsonStream(), time.process_time(), 0
+    stream, started, found = JsonStream(), time.process_time(), 0
     for at in range(0, len(text), 1400):
         found += len(list(stream.feed(text[at : at + 1400])))
-    assert found == 1 and time.process_time() - begun < 5
+    assert found == 1 and time.process_time() - started < 5
