--- a/stepflow/node/core/attempts.py
+++ b/stepflow/node/core/attempts.py
@@ -83,7 +83,7 @@
         report: tuple[float, ...] = (),
         answer: bytes = b"",
     ) -> None:
-        """Handle an attempt that ended and closed its socket, before or after it established its session."""
+        """Handle the end of an attempt, before or after its session was established; its socket is closed."""
         context.attempt = None
         self._requests.log.attempt_ended(context, result)
         if result == AttemptResult.OK and not context.answered:
--- a/stepflow/node/core/core.py
+++ b/stepflow/node/core/core.py
@@ -146,7 +146,7 @@
         self._requests.reject_unaccepted(request, client_request_id, reason)
 
     def adopt_session(self, request: Request, downstream: Downstream, endpoint: str) -> RequestContext | None:
-        """Adopt a session that the predecessor established; return None if that isn't possible."""
+        """Adopt a session of the predecessor; return None during a shutdown or without a free slot."""
         if self._requests.shutting_down:
             return None
         context = RequestContext(
@@ -202,7 +202,7 @@
         report: tuple[float, ...] = (),
         answer: bytes = b"",
     ) -> None:
-        """Handle an attempt that ended and closed its socket, before or after it established its session."""
+        """Handle the end of an attempt, before or after its session was established; its socket is closed."""
         self._attempts.ended(context, result, report, answer)
 
     def session_report(self, context: RequestContext, kind: SessionReportKind, value: float) -> None:
@@ -241,7 +241,7 @@
                     context.attempt.abandon()
 
     def answer_pending(self) -> None:
-        """Reject or fail all unanswered requests, at the end of the time for a graceful shutdown."""
+        """Reject or fail all unanswered requests, when no time is left to wait for their endpoints."""
         self.reject_pending()
         for context in self._requests:
             if not context.answered:
--- a/stepflow/node/upstreams/health_check.py
+++ b/stepflow/node/upstreams/health_check.py
@@ -28,8 +28,8 @@
 class HealthCheckConnection(LineProtocol):
     """A connection to an endpoint for its health checks, one at a time.
 
-    It connects at once, and closes when there was no check for the settings' `idle_close`, or when a check
-    fails. `closed` is called once, when the connection can no longer be used.
+    It connects at once, and closes when a check fails or after the settings' `idle_close` without a check.
+    `closed` is called once, when the connection can no longer be used.
     """
 
     def __init__(
--- a/tests/node/test_discovery_freshness.py
+++ b/tests/node/test_discovery_freshness.py
@@ -81,7 +81,7 @@
         connector = Connector()
         if self.state == "refuses":
             self._later(0.001, connector, lambda: self._connect_failed(connector, factory, REFUSED))
-        elif self.state == "unreached":
+        elif self.state == "unreachable":
             self._later(timeout, connector, lambda: self._connect_failed(connector, factory, TIMED_OUT))
         else:
             self._later(0.001, connector, lambda: self._connected(factory))
@@ -189,7 +189,7 @@
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
-@pytest.mark.parametrize("state", ["refuses", "hangs", "unreached"])
+@pytest.mark.parametrize("state", ["refuses", "hangs", "unreachable"])
 def test_the_list_is_fresh_within_6_s_after_an_outage_ends(state: str, seed: int) -> None:
     """With delays of up to 0.75 of the settings' time, after calls of 4 s, it took 6 s to over 9 s."""
     nodes = NodeClients(NODES, seed)
@@ -201,7 +201,7 @@
     assert 0 < nodes.worst_stale_s < 6 - MARGIN_S
 
 
-@pytest.mark.parametrize("state", ["refuses", "hangs", "unreached"])
+@pytest.mark.parametrize("state", ["refuses", "hangs", "unreachable"])
 def test_the_list_is_fresh_within_6_s_for_nodes_that_start_during_an_outage(state: str) -> None:
     nodes = NodeClients(NODES, 4, state)
     nodes.run(2.2)
@@ -236,7 +236,7 @@
     nodes = NodeClients(40, seed)
     for _ in range(8):
         nodes.run(rng.uniform(0.2, 9))
-        fault = rng.choice(["refuses", "hangs", "unreached", "silence_watches", "reset_watches"])
+        fault = rng.choice(["refuses", "hangs", "unreachable", "silence_watches", "reset_watches"])
         if fault in ("silence_watches", "reset_watches"):
             getattr(nodes.server, fault)()
         else:
--- a/tests/node/test_scarce_watches.py
+++ b/tests/node/test_scarce_watches.py
@@ -17,13 +17,13 @@
 from tests.node.session_kit import LAST, SilentPeer, end_of, read_to_end, session
 from tests.node_kit import Node, Peer, opening
 
-SCARCE_SHARE = 0.3
+FAILURE_SHARE = 0.3
 REQUESTS = 20
 
 
 def test_requests_are_answered_while_watching_connections_may_fail(machine: Machine) -> None:
     with on(machine, Node(Peer("s-1"), Peer("s-2"))) as node:
-        machine.fail(Call.WATCH, SCARCE_SHARE, [errno.ENOMEM])
+        machine.fail(Call.WATCH, FAILURE_SHARE, [errno.ENOMEM])
         for number in range(REQUESTS):
             client = node.client(opening(number, d=5000))
             assert client.read() == "UP r1"
@@ -42,7 +42,7 @@
 ) -> None:
     with on(machine, Node(peer := SilentPeer())) as node:
         sessions = [session(node, peer, number) for number in range(REQUESTS)]
-        machine.fail(Call.WATCH, SCARCE_SHARE, [errno.ENOMEM])
+        machine.fail(Call.WATCH, FAILURE_SHARE, [errno.ENOMEM])
         for client, endpoint in sessions:
             writer, reader = (client, endpoint) if by_client else (endpoint, client)
             writer.send(*LAST)
--- a/tests/node/upstreams/test_endpoint_liveness.py
+++ b/tests/node/upstreams/test_endpoint_liveness.py
@@ -43,7 +43,7 @@
         self.ended += 1
 
 
-class Bench:
+class LivenessHarness:
     """A liveness monitor on a virtual clock, with two sessions at one endpoint."""
 
     def __init__(self) -> None:
@@ -74,44 +74,44 @@
 
 
 def test_slow_echoes_are_reported_once_a_second_and_once_more_when_fast_again() -> None:
-    bench = Bench()
-    bench.receive_echoes(1.05, FAST)
-    assert bench.reports == []
-    bench.receive_echoes(2.05, SLOW)
-    assert [kind for kind, _ in bench.reports] == [SessionReportKind.DELAY] * 2
-    bench.receive_echoes(3.05, FAST)
-    values = [value for _, value in bench.reports]
+    harness = LivenessHarness()
+    harness.receive_echoes(1.05, FAST)
+    assert harness.reports == []
+    harness.receive_echoes(2.05, SLOW)
+    assert [kind for kind, _ in harness.reports] == [SessionReportKind.DELAY] * 2
+    harness.receive_echoes(3.05, FAST)
+    values = [value for _, value in harness.reports]
     # The last report shows that the echoes are fast again.
     assert len(values) == 3 and values[0] > 16 and values[1] > 16 > values[2]
 
 
 def test_a_raised_threshold_applies_to_existing_sessions() -> None:
-    bench = Bench()
-    bench.monitor.update_latency_threshold(2 * SLOW)
-    bench.receive_echoes(3, SLOW)
-    assert bench.reports == []
+    harness = LivenessHarness()
+    harness.monitor.update_latency_threshold(2 * SLOW)
+    harness.receive_echoes(3, SLOW)
+    assert harness.reports == []
 
 
 @pytest.mark.parametrize(("first_echo_s", "reported", "ended"), [(0.5, 0, 0), (1.5, 1, 0), (9.0, 1, 1)])
 def test_a_line_without_an_echo_is_reported_after_1_s_and_ends_all_sessions_after_2_s(
     first_echo_s: float, reported: int, ended: int
 ) -> None:
-    bench = Bench()
-    bench.send_line()
+    harness = LivenessHarness()
+    harness.send_line()
     for _ in range(round(first_echo_s * 10)):
-        bench.reactor.advance(0.1)
-    bench.echo(FAST)
-    bench.reactor.advance(5)
-    waits = [value for kind, value in bench.reports if kind is SessionReportKind.DELAY and value >= 1000]
+        harness.reactor.advance(0.1)
+    harness.echo(FAST)
+    harness.reactor.advance(5)
+    waits = [value for kind, value in harness.reports if kind is SessionReportKind.DELAY and value >= 1000]
     assert len(waits) == reported
-    assert [session.ended for session in bench.sessions] == [ended, ended]
+    assert [session.ended for session in harness.sessions] == [ended, ended]
 
 
 def test_removing_the_last_session_drops_the_endpoint_and_cancels_its_timer() -> None:
-    bench = Bench()
-    bench.send_line()
-    for session, liveness in zip(bench.sessions, bench.liveness, strict=True):
+    harness = LivenessHarness()
+    harness.send_line()
+    for session, liveness in zip(harness.sessions, harness.liveness, strict=True):
         liveness.remove(session)
-    bench.reactor.advance(5)
-    assert bench.reports == [] and [session.ended for session in bench.sessions] == [0, 0]
-    assert bench.monitor.add(FakeSession(3)) is not bench.liveness[0]
+    harness.reactor.advance(5)
+    assert harness.reports == [] and [session.ended for session in harness.sessions] == [0, 0]
+    assert harness.monitor.add(FakeSession(3)) is not harness.liveness[0]
--- a/tests/node/upstreams/test_liveness.py
+++ b/tests/node/upstreams/test_liveness.py
@@ -43,12 +43,12 @@
     timers = Timers(clock, cast(Reactor, reactor), Counters())
     services = LivenessServices(clock, core, timers, make_classifier())
     monitor = LivenessMonitor(services, timedelta(milliseconds=16))
-    bad, quiet = FakeSession(), FakeSession()
+    bad, idle = FakeSession(), FakeSession()
     liveness = monitor.add(bad)
-    assert monitor.add(quiet) is liveness
+    assert monitor.add(idle) is liveness
     liveness.line_sent(bad, clock.now())
     if closed:
         liveness.remove(bad)
     reactor.advance(1.1)
     reactor.advance(1.1)
-    assert quiet.stalls == len(reports) == (0 if closed else 1)
+    assert idle.stalls == len(reports) == (0 if closed else 1)
