--- a/tests/node/test_scarce_watches.py
+++ b/tests/node/test_scarce_watches.py
@@ -1,8 +1,8 @@
-"""Connections that the process can't watch for a moment, since epoll_ctl(2) fails for want of memory.
+"""Connections that the process can't watch for a moment, because epoll_ctl(2) fails for lack of memory.
 
-Seen: clients reset or left without an answer, sessions cut off, ends that were passed on late or as a reset.
-Whatever starts or stops to read or write had the error raised in its midst, and broke off there: accepting, a
-connect that came up, a timer's call. What proved it: tracebacks of each of these that end in epoll's register
+The failure: clients were reset or got no answer, sessions were cut off, and ends were passed on late or as a
+reset. The error was raised in the code that started or stopped reading or writing (an accept, an established
+connect, a timer's call), and aborted it. Evidence: tracebacks of each of these that end in epoll's register
 or modify.
 """
 
@@ -17,13 +17,13 @@
 from tests.node.session_kit import LAST, SilentPeer, end_of, read_to_end, session
 from tests.node_kit import Node, Peer, opening
 
-SCARCE_SHARE = 0.3
+FAILURE_SHARE = 0.3
 REQUESTS = 20
 
 
-def test_requests_are_answered_though_connections_cannot_be_watched_at_first(machine: Machine) -> None:
+def test_requests_are_answered_while_watching_connections_may_fail(machine: Machine) -> None:
     with on(machine, Node(Peer("s-1"), Peer("s-2"))) as node:
-        machine.fail(Call.WATCH, SCARCE_SHARE, [errno.ENOMEM])
+        machine.fail(Call.WATCH, FAILURE_SHARE, [errno.ENOMEM])
         for number in range(REQUESTS):
             client = node.client(opening(number, d=5000))
             assert client.read() == "UP r1"
@@ -37,12 +37,12 @@
 
 @pytest.mark.parametrize("reset", [False, True])
 @pytest.mark.parametrize("by_client", [False, True])
-def test_ends_are_passed_on_though_connections_cannot_be_watched(
+def test_ends_are_passed_on_in_time_while_watching_connections_may_fail(
     machine: Machine, by_client: bool, reset: bool
 ) -> None:
     with on(machine, Node(peer := SilentPeer())) as node:
         sessions = [session(node, peer, number) for number in range(REQUESTS)]
-        machine.fail(Call.WATCH, SCARCE_SHARE, [errno.ENOMEM])
+        machine.fail(Call.WATCH, FAILURE_SHARE, [errno.ENOMEM])
         for client, endpoint in sessions:
             writer, reader = (client, endpoint) if by_client else (endpoint, client)
             writer.send(*LAST)
--- a/tests/node/upstreams/test_endpoint_liveness.py
+++ b/tests/node/upstreams/test_endpoint_liveness.py
@@ -1,4 +1,4 @@
-"""What the sessions at one endpoint show together: slow echoes are reported, missing ones end them all."""
+"""Liveness over all sessions at one endpoint: slow echoes are reported, missing echoes end all sessions."""
 
 from __future__ import annotations
 
@@ -43,7 +43,7 @@
         self.ended += 1
 
 
-class Bench:
+class LivenessHarness:
     """A liveness monitor on a virtual clock, with two sessions at one endpoint."""
 
     def __init__(self) -> None:
@@ -66,53 +66,52 @@
     def echo(self, latency: timedelta) -> None:
         self.liveness[0].echo_received(self.sessions[0], latency)
 
-    def echoes(self, seconds: float, latency: timedelta) -> None:
-        """An echo of this latency each 100 ms, for so long."""
+    def receive_echoes(self, seconds: float, latency: timedelta) -> None:
+        """Receive an echo of this latency every 100 ms for this many seconds."""
         for _ in range(round(seconds * 10)):
             self.reactor.advance(0.1)
             self.echo(latency)
 
 
-def test_slow_echoes_are_reported_once_a_second_and_once_more_when_they_are_fast() -> None:
-    bench = Bench()
-    bench.echoes(1.05, FAST)
-    assert bench.reports == []
-    bench.echoes(2.05, SLOW)
-    assert [kind for kind, _ in bench.reports] == [SessionReportKind.DELAY] * 2
-    bench.echoes(3.05, FAST)
-    values = [value for _, value in bench.reports]
-    assert (
-        len(values) == 3 and values[0] > 16 and values[1] > 16 > values[2]
-    )  # the last tells that it is over
+def test_slow_echoes_are_reported_once_a_second_and_once_more_when_fast_again() -> None:
+    harness = LivenessHarness()
+    harness.receive_echoes(1.05, FAST)
+    assert harness.reports == []
+    harness.receive_echoes(2.05, SLOW)
+    assert [kind for kind, _ in harness.reports] == [SessionReportKind.DELAY] * 2
+    harness.receive_echoes(3.05, FAST)
+    values = [value for _, value in harness.reports]
+    # The last report shows that the echoes are fast again.
+    assert len(values) == 3 and values[0] > 16 and values[1] > 16 > values[2]
 
 
-def test_a_raised_threshold_holds_for_sessions_that_are_there() -> None:
-    bench = Bench()
-    bench.monitor.update_latency_threshold(2 * SLOW)
-    bench.echoes(3, SLOW)
-    assert bench.reports == []
+def test_a_raised_threshold_applies_to_existing_sessions() -> None:
+    harness = LivenessHarness()
+    harness.monitor.update_latency_threshold(2 * SLOW)
+    harness.receive_echoes(3, SLOW)
+    assert harness.reports == []
 
 
-@pytest.mark.parametrize(("echo_after_s", "reported", "ended"), [(0.5, 0, 0), (1.5, 1, 0), (9.0, 1, 1)])
-def test_a_line_without_an_echo_is_reported_after_1_s_and_ends_all_sessions_after_2(
-    echo_after_s: float, reported: int, ended: int
+@pytest.mark.parametrize(("first_echo_s", "reported", "ended"), [(0.5, 0, 0), (1.5, 1, 0), (9.0, 1, 1)])
+def test_a_line_without_an_echo_is_reported_after_1_s_and_ends_all_sessions_after_2_s(
+    first_echo_s: float, reported: int, ended: int
 ) -> None:
-    bench = Bench()
-    bench.send_line()
-    for _ in range(round(echo_after_s * 10)):
-        bench.reactor.advance(0.1)
-    bench.echo(FAST)
-    bench.reactor.advance(5)
-    waits = [value for kind, value in bench.reports if kind is SessionReportKind.DELAY and value >= 1000]
+    harness = LivenessHarness()
+    harness.send_line()
+    for _ in range(round(first_echo_s * 10)):
+        harness.reactor.advance(0.1)
+    harness.echo(FAST)
+    harness.reactor.advance(5)
+    waits = [value for kind, value in harness.reports if kind is SessionReportKind.DELAY and value >= 1000]
     assert len(waits) == reported
-    assert [session.ended for session in bench.sessions] == [ended, ended]
+    assert [session.ended for session in harness.sessions] == [ended, ended]
 
 
-def test_an_endpoint_without_sessions_is_forgotten_with_its_timer() -> None:
-    bench = Bench()
-    bench.send_line()
-    for session, liveness in zip(bench.sessions, bench.liveness, strict=True):
+def test_removing_the_last_session_drops_the_endpoint_and_cancels_its_timer() -> None:
+    harness = LivenessHarness()
+    harness.send_line()
+    for session, liveness in zip(harness.sessions, harness.liveness, strict=True):
         liveness.remove(session)
-    bench.reactor.advance(5)
-    assert bench.reports == [] and [session.ended for session in bench.sessions] == [0, 0]
-    assert bench.monitor.add(FakeSession(3)) is not bench.liveness[0]
+    harness.reactor.advance(5)
+    assert harness.reports == [] and [session.ended for session in harness.sessions] == [0, 0]
+    assert harness.monitor.add(FakeSession(3)) is not harness.liveness[0]
