--- a/stepflow/node/relay/__init__.py
+++ b/stepflow/node/relay/__init__.py
@@ -1,8 +1,8 @@
-"""The relay of established sessions: bytes both ways, and ends that come behind them.
+"""The relay of established sessions: forwards bytes in both directions, then the end of the connection.
 
-`relay` joins the two connections of a session, `closing` ends one connection in order, `client_stall` finds
-clients that read nothing, `pending_echoes` times the lines that wait for their echo, and `backpressure` stops
-one side while the other is full.
+`relay` joins the two connections of a session. `closing` ends one connection after its data is delivered.
+`client_stall` detects clients that stop reading. `pending_echoes` times lines that have no echo yet.
+`backpressure` pauses reading from one side while the other side's buffer is full.
 """
 
 from stepflow.node.relay.relay import ECHO_TIMEOUT, Relay, RelayServices, TransferState
--- a/stepflow/node/relay/backpressure.py
+++ b/stepflow/node/relay/backpressure.py
@@ -1,4 +1,4 @@
-"""Backpressure between the two sides of a relay, by Twisted's producers."""
+"""Backpressure between the two sides of a relay, through Twisted's producer interface."""
 
 from __future__ import annotations
 
@@ -8,23 +8,25 @@
 
 
 class Backpressure:
-    """Stops reading from one side while the other, whose producer this is, can't take more.
+    """Pauses reading from `source` while the other side's write buffer is full.
 
-    A transport as the other's producer would be closed with it, before the relay knows how it ended.
+    Register it as a streaming producer on the other side's transport. `on_change` is called with True when
+    reading is paused and with False when it resumes. The source transport itself is not registered: Twisted
+    closes a producer along with its consumer, before the relay knows how the consumer's connection ended.
     """
 
-    def __init__(self, source: Transport, changed: Callable[[bool], None] = lambda paused: None) -> None:
-        self._source, self._changed = source, changed
+    def __init__(self, source: Transport, on_change: Callable[[bool], None] = lambda paused: None) -> None:
+        self._source, self._on_change = source, on_change
 
     def pauseProducing(self) -> None:
-        """Stop reading: the other side is full."""
+        """Pause reading: the other side's buffer is full."""
         self._source.pauseProducing()
-        self._changed(True)
+        self._on_change(True)
 
     def resumeProducing(self) -> None:
-        """Read on: the other side has taken all."""
+        """Resume reading: the other side's buffer is empty."""
         self._source.resumeProducing()
-        self._changed(False)
+        self._on_change(False)
 
     def stopProducing(self) -> None:
-        """Do nothing: the other side is closed, and the relay ends this one."""
+        """Do nothing: the other side is closed, and the relay closes the source."""
--- a/stepflow/node/relay/client_stall.py
+++ b/stepflow/node/relay/client_stall.py
@@ -1,7 +1,8 @@
-"""Finds clients that read nothing of what waits for them.
+"""Detects clients that have stopped reading while data for them is buffered.
 
-Such a client stops its endpoint by backpressure, and would hold both connections for good. It is owed an end
-within 3 s, and within a second once its endpoint has ended (PROTOCOL); one that reads slowly is left alone.
+Backpressure from such a client pauses its endpoint, and both connections would stay open forever. PROTOCOL
+requires its connection to end within 3 s, and within 1 s once its endpoint has ended. A client that reads
+slowly is not closed.
 """
 
 from __future__ import annotations
@@ -17,15 +18,15 @@
 
 CLIENT_STALL_TIMEOUT = timedelta(milliseconds=2500)
 CLIENT_STALL_CHECK_INTERVAL = timedelta(milliseconds=100)
-# The end is seen up to one interval late.
+# The endpoint's end is detected up to one check interval late.
 STALL_TIMEOUT_AFTER_END = LINGER_TIMEOUT - CLIENT_STALL_CHECK_INTERVAL
 
 
 class ClientStallWatch:
-    """Watches one client while its unread bytes hold its endpoint up.
+    """Watches one client while its full buffer keeps its endpoint paused.
 
-    `stalled` is called once, with whether the endpoint has ended meanwhile: while it is held up that is not
-    read.
+    `on_stalled` is called once, with whether the endpoint has ended in the meantime: the relay does not read
+    that end itself while reading from the endpoint is paused.
     """
 
     def __init__(
@@ -34,46 +35,46 @@
         endpoint: Transport,
         clock: Clock,
         timers: Timers,
-        stalled: Callable[[bool], None],
+        on_stalled: Callable[[bool], None],
     ) -> None:
         self._client, self._endpoint = client, endpoint
         self._clock, self._timers = clock, timers
-        self._stalled: Callable[[bool], None] | None = stalled
+        self._on_stalled: Callable[[bool], None] | None = on_stalled
         self._timer: Timer | None = None
-        self._ended_since: timedelta | None = None  # when the endpoint's end was seen
+        self._ended_since: timedelta | None = None  # when the endpoint's end was detected
 
-    def full_changed(self, full: bool) -> None:
-        """Watch from when the client's buffer is full until it has been sent."""
+    def buffer_full_changed(self, full: bool) -> None:
+        """Start watching when the client's buffer is full; stop when it has been sent."""
         self._cancel()
-        if full and self._stalled is not None:
+        if full and self._on_stalled is not None:
             self._check_later(unsent_bytes(self._client), self._clock.now())
 
     def stop(self) -> None:
-        """Watch no more, and let go of whom this was for: it holds this watch."""
+        """Stop watching, and drop the callback: its owner refers to this watch, a reference cycle."""
         self._cancel()
-        self._stalled = None
+        self._on_stalled = None
 
     def _cancel(self) -> None:
         if self._timer is not None:
             self._timer.cancel()
 
-    def _check_later(self, waiting: int, since: timedelta) -> None:
-        self._timer = self._timers.after(CLIENT_STALL_CHECK_INTERVAL, partial(self._check, waiting, since))
+    def _check_later(self, unsent: int, since: timedelta) -> None:
+        self._timer = self._timers.after(CLIENT_STALL_CHECK_INTERVAL, partial(self._check, unsent, since))
 
-    def _check(self, waiting: int, since: timedelta) -> None:
-        """Tell of a client for which as many bytes have waited since then: it reads none of them."""
-        still_waiting, now = unsent_bytes(self._client), self._clock.now()
+    def _check(self, unsent: int, since: timedelta) -> None:
+        """Report the client if its `unsent` bytes have not decreased from `since` until its timeout."""
+        still_unsent, now = unsent_bytes(self._client), self._clock.now()
         if self._ended_since is None and has_ended(self._endpoint):
             self._ended_since = now
-        if still_waiting < waiting:
-            self._check_later(still_waiting, now)
+        if still_unsent < unsent:
+            self._check_later(still_unsent, now)
         elif not self._is_overdue(since, now):
-            self._check_later(still_waiting, since)
-        elif self._stalled is not None:
-            self._stalled(self._ended_since is not None)
+            self._check_later(still_unsent, since)
+        elif self._on_stalled is not None:
+            self._on_stalled(self._ended_since is not None)
 
     def _is_overdue(self, since: timedelta, now: timedelta) -> bool:
-        """Whether a client that has read nothing since then is to be ended now."""
+        """Whether a client that has read nothing since `since` has exceeded its timeout."""
         if now - since >= CLIENT_STALL_TIMEOUT:
             return True
         return (
--- a/stepflow/node/relay/closing.py
+++ b/stepflow/node/relay/closing.py
@@ -1,8 +1,8 @@
-"""Ends one connection of a session: a FIN or a reset, behind everything that was written to it.
+"""Ends one connection of a session, by a FIN or a reset, after everything written to it was delivered.
 
-What one side wrote before its end is owed to the other side before that end is. So an end waits until the
-bytes ahead of it are delivered, for `LINGER_TIMEOUT` at the most. Nothing is raised. Source: PROTOCOL,
-"Figures".
+Data that one side wrote before it ended its connection has to reach the other side before that end does. So
+an end waits for the bytes before it, for at most `LINGER_TIMEOUT`. Nothing here raises an exception. Source:
+PROTOCOL, "Figures".
 """
 
 from __future__ import annotations
@@ -23,18 +23,18 @@
     unsent_bytes,
 )
 
-# A connection whose other side has ended is owed its own end within a second.
+# Once one side of a session has ended, the other side's connection must end within 1 s.
 LINGER_TIMEOUT = timedelta(milliseconds=800)
 DELIVERY_CHECK_INTERVAL = timedelta(milliseconds=10)
-# From when the other side's kernel has all until the reset: many clients are told of a reset before they have
-# taken what came ahead of it.
+# Minimum delay of a reset, so that the receiver can read the data before it: many clients are told of a reset
+# before they have read what their kernel has acknowledged.
 RESET_DELAY = timedelta(milliseconds=20)
 
 
 class SessionSide:
-    """One connection of a session, and how far it has ended.
+    """One connection of a session, and which of its directions have ended.
 
-    `source` is the other connection, where the bytes for this one come from.
+    `source` is the session's other connection, whose incoming bytes are written to this one.
     """
 
     def __init__(
@@ -43,26 +43,26 @@
         self.wire = wire
         self._source, self._clock, self._timers = source, clock, timers
         self._log: SideLog | None = log
-        self._timer: Timer | None = None  # of the next step of the end, whichever that is
+        self._timer: Timer | None = None  # of the next step: linger, delivery check or close deadline
         self._ending_since = ZERO
-        self._input_ended = self._output_ended = self._resets = False
+        self._input_ended = self._output_ended = self._resetting = False
 
     @property
     def accepts_data(self) -> bool:
-        """Whether bytes of the other side still go here."""
+        """Whether data from the other side may still be written to this connection."""
         return not self._output_ended
 
     def input_ended(self) -> None:
-        """This side has sent its FIN; the connection closes with the node's, or at once if that was sent."""
+        """Note that a FIN was received; the connection closes once the node's own FIN is sent."""
         self._input_ended = True
-        if self._output_ended and not self._resets:
+        if self._output_ended and not self._resetting:
             self.wire.loseConnection()
 
     def send_fin(self) -> None:
-        """End the sending behind what was written, and wait a little for this side's own end.
+        """Send a FIN after the data written so far, and wait up to `LINGER_TIMEOUT` for this side's FIN.
 
-        Closing at once, with something of its unread, would send a reset, and that might overtake what it
-        has not read yet.
+        Closing at once while received data is unread would send a reset, which can make the other host
+        discard data that it has not read yet.
         """
         if not self._begin_end(EndCause.FIN):
             return
@@ -72,49 +72,49 @@
             self.wire.loseConnection()
 
     def send_reset(self) -> None:
-        """Reset the connection once this side has received what was written."""
+        """Reset the connection once the data written so far is acknowledged."""
         if not self._begin_end(EndCause.RESET):
             return
-        self._resets = True
+        self._resetting = True
         flush(self.wire)
         self.wire.resumeProducing()
-        self._check_later(RESET_DELAY, self._reset_if_delivered)
+        self._call_later(RESET_DELAY, self._reset_if_delivered)
 
     def reset_now(self) -> None:
-        """Reset the connection, whatever is undelivered: this side does not read."""
+        """Reset the connection at once and drop undelivered data: this side does not read."""
         self._begin_end(EndCause.RESET)
         self._report_dropped()
         self._abort()
 
     def closed(self) -> None:
-        """The connection is closed: nothing is left to do, and nobody to be held."""
+        """Note that the connection is closed: cancel its timer and release its log."""
         self._input_ended = self._output_ended = True
         self._cancel_timer()
         self._log = None
 
     def _begin_end(self, cause: EndCause) -> bool:
-        """Take no more bytes for this side; False if that was so already."""
+        """Refuse further data for this side and start the linger timeout; return False if it was ending."""
         if self._output_ended:
             return False
         self._output_ended = True
         if self._log is not None:
             self._log.ending(cause)
-        # A producer that is paused would keep Twisted from ending the sending.
+        # A paused producer would keep Twisted from sending the FIN.
         self.wire.unregisterProducer()
         self._ending_since = self._clock.now()
-        self._check_later(LINGER_TIMEOUT, self._expire)
+        self._call_later(LINGER_TIMEOUT, self._expire)
         return True
 
     def _reset_if_delivered(self) -> None:
         if not unsent_bytes(self.wire) and not unacknowledged_bytes(self.wire.fileno()):
             self._abort()
         elif self._clock.now() < self._ending_since + LINGER_TIMEOUT:
-            self._check_later(DELIVERY_CHECK_INTERVAL, self._reset_if_delivered)
+            self._call_later(DELIVERY_CHECK_INTERVAL, self._reset_if_delivered)
         else:
             self._expire()
 
     def _expire(self) -> None:
-        """Close the connection; what the kernel has it goes on delivering, unless it was reset."""
+        """Close the connection; the kernel goes on delivering what it holds, unless the close is a reset."""
         if unsent_bytes(self.wire):
             self._report_dropped()
         self._watch_close()
@@ -135,9 +135,9 @@
             unacknowledged = unacknowledged_bytes(self.wire.fileno())
             self._log.dropped(Undelivered(unread, unsent_bytes(self.wire), unacknowledged))
 
-    def _check_later(self, span: timedelta, check: Callable[[], None]) -> None:
+    def _call_later(self, delay: timedelta, call: Callable[[], None]) -> None:
         self._cancel_timer()
-        self._timer = self._timers.after(span, check)
+        self._timer = self._timers.after(delay, call)
 
     def _cancel_timer(self) -> None:
         if self._timer is not None:
--- a/stepflow/node/relay/pending_echoes.py
+++ b/stepflow/node/relay/pending_echoes.py
@@ -1,4 +1,4 @@
-"""The lines of a client that its endpoint has not echoed yet, and since when the oldest waits."""
+"""Tracks the lines of a client that its endpoint has not echoed yet, and the age of the oldest."""
 
 from __future__ import annotations
 
@@ -9,9 +9,9 @@
 
 
 class PendingEchoes:
-    """Counts the lines without an echo, and remembers the times of the oldest `MAX_TIMED_LINES`.
+    """Counts the lines without an echo, and stores the send times of the oldest `MAX_TIMED_LINES`.
 
-    A line beyond those is timed from when an echo makes room for it, so none is taken for older than it is.
+    A line beyond those is timed from when an echo frees an entry for it, so its age is never overestimated.
     """
 
     def __init__(self) -> None:
@@ -23,17 +23,17 @@
 
     @property
     def oldest(self) -> timedelta | None:
-        """Since when the oldest line waits; None if none does."""
+        """When the oldest line without an echo was sent; None if there is no such line."""
         return self._times[0] if self._times else None
 
     def add(self, now: timedelta, lines: int = 1) -> None:
-        """Note that so many lines went out."""
+        """Record that `lines` lines were sent at `now`."""
         timed = min(lines, MAX_TIMED_LINES - len(self._times))
         self._times.extend([now] * timed)
         self._untimed += lines - timed
 
     def echo(self, now: timedelta) -> timedelta | None:
-        """Note an echo; returns how long the oldest line had waited, None if no line was waiting."""
+        """Record an echo of the oldest line; return its latency, or None if no line is pending."""
         if not self._times:
             return None
         latency = now - self._times.popleft()
--- a/stepflow/node/relay/relay.py
+++ b/stepflow/node/relay/relay.py
@@ -1,8 +1,9 @@
-"""The relay of an established session: bytes both ways between a client and its endpoint, after UP.
+"""The relay of an established session: forwards bytes between a client and its endpoint, after UP.
 
-The relay passes bytes on as they come, whole lines or not, and reads the lines among them for what they show:
-echoes, load reports, and words that end the session. It owns both sockets until it has ended them; how the
-session ended is its `result`. Times are of the node's clock. Nothing is raised. Source: PROTOCOL, "Figures".
+The relay forwards bytes as they arrive, without waiting for whole lines, and scans the lines for echoes, load
+reports and the words that end a session. It owns both sockets until they are closed; `result` says how the
+session ended. Times are those of the node's clock. Nothing here raises an exception. Source: PROTOCOL,
+"Figures".
 """
 
 from __future__ import annotations
@@ -35,33 +36,33 @@
 )
 from stepflow.node.upstreams.liveness import LivenessMonitor
 
-# A session that brings nothing back for so long is broken. It is owed an end within 7 s of its endpoint's
-# last line, and up to 2 s of them pass before the client's next line shows anything.
+# A session whose oldest line has had no echo for this long is broken. It has to end within 7 s of its
+# endpoint's last line, and up to 2 s of these pass before the client sends the next line.
 ECHO_TIMEOUT = timedelta(milliseconds=2500)
 
 MIGRATE_LINE = b"MOVE\r\n"
 _LOAD_WORD = b"LOAD "
-_WORD_LENGTH = 5  # of the line's first bytes, which tell what it is
+_WORD_LENGTH = 5  # leading bytes of a line that identify its word
 _BYE_WORDS = (b"BYE", b"BYE ")
 _MOVE_WORD = b"MOVE"
 
 
 class TransferState(NamedTuple):
-    """A session on its way to another process: the sockets, and what belongs to no socket.
+    """The state of a session to hand over: its sockets, and what the relay knows beyond them.
 
-    The names of the fields are keys of the hand-over's message.
+    `SessionTransfer`, the hand-over's message, has fields of the same names.
     """
 
     client_descriptor: int
     endpoint_descriptor: int
-    from_client: bytes  # half lines that have gone on already
-    from_endpoint: bytes
-    echoes_owed: int  # lines that had no echo yet
+    from_client: bytes  # half line, already forwarded
+    from_endpoint: bytes  # half line, already forwarded
+    echoes_owed: int  # lines without an echo yet
 
 
 @dataclass(frozen=True, slots=True)
 class RelayServices:
-    """The parts of the node that relays need. A relay owns none of them."""
+    """The parts of the node that a relay uses and does not own."""
 
     clock: Clock
     timers: Timers
@@ -71,7 +72,7 @@
 
 
 class RelaySide(Protocol):
-    """What a relay needs of either side."""
+    """What a relay needs from each of its two sides."""
 
     @property
     def wire(self) -> Transport:
@@ -81,8 +82,9 @@
 class Relay:
     """Joins a client and its endpoint from UP until the session ends, is migrated or is handed over.
 
-    `ended` is called once, when the endpoint's side is to be closed. Whoever gives the relay its bytes lets
-    go of it when its connection is lost; the relay's own references to both sides would keep them all alive.
+    `on_ended` is called once, when the session has ended and its connections remain to be closed; not after a
+    hand-over. The protocols on both sides have to drop their reference to the relay in `connectionLost`: the
+    relay refers to both, so that reference counting alone would free none of the three.
     """
 
     def __init__(
@@ -91,25 +93,25 @@
         client: RelaySide,
         upstream: RelaySide,
         services: RelayServices,
-        ended: Callable[[], None],
+        on_ended: Callable[[], None],
     ) -> None:
         self.context = context
         self._clock, self._timers, self._counters = services.clock, services.timers, services.counters
-        self._ended, self._log = ended, services.log
+        self._on_ended, self._log = on_ended, services.log
         self._client_lines, self._upstream_lines = LineScanner(), LineScanner()
         self._pending_echoes = PendingEchoes()
         self._echo_timer: Timer | None = None
-        self._line_timer: Timer | None = None  # of a migration that waits for the end of a line
+        self._line_timer: Timer | None = None  # of a migration that waits for the endpoint's half line
         self._client = self._side(client.wire, upstream.wire, Side.CLIENT)
         self._upstream = self._side(upstream.wire, client.wire, Side.ENDPOINT)
         self._client_stall = ClientStallWatch(
             client.wire, upstream.wire, self._clock, self._timers, self._client_stalled
         )
         self._migrating = self._finished = self._offered = False
-        self.result = AttemptResult.RESET  # unless the endpoint says what its end means
+        self.result = AttemptResult.RESET  # replaced on BYE, MOVE, client end, `migrate` and hand-over
         self._liveness = services.liveness.add(self)
-        # Each side stops reading while the other can't take more.
-        producer = Backpressure(upstream.wire, self._client_stall.full_changed)
+        # Reading from each side pauses while the other side's buffer is full.
+        producer = Backpressure(upstream.wire, self._client_stall.buffer_full_changed)
         self._client.wire.registerProducer(producer, True)
         self._upstream.wire.registerProducer(Backpressure(client.wire), True)
 
@@ -117,10 +119,10 @@
         log = SideLog(self._log, self.context, side)
         return SessionSide(wire, source, self._clock, self._timers, log)
 
-    # Bytes. They are passed on as long as the other side takes them, also after the session has ended.
+    # Data. It is forwarded as long as the other side accepts it, even after the session has ended.
 
     def data_from_client(self, data: bytes) -> None:
-        """Pass on what the client has sent."""
+        """Forward data to the endpoint, and time its lines until their echoes."""
         if self._upstream.accepts_data:
             self._upstream.wire.write(data)
         if self._finished:
@@ -138,23 +140,23 @@
             self._echo_timer = self._timers.at(oldest + ECHO_TIMEOUT, self._check_echo)
 
     def data_from_upstream(self, data: bytes) -> None:
-        """Pass on what the endpoint has sent."""
+        """Forward data to the client, and process its lines."""
         if self._client.accepts_data:
             self._client.wire.write(data)
         if self._finished:
             return
         self._upstream_lines.feed(data)
         while (line := self._upstream_lines.next_line()) is not None:
-            self._upstream_line(line)
+            self._process_upstream_line(line)
         if self._upstream_lines.overlong:
             self._end_malformed()
         elif self._migrating and self._upstream_lines.between_lines:
             self._migrate_now()
 
-    def _upstream_line(self, line: memoryview) -> None:
+    def _process_upstream_line(self, line: memoryview) -> None:
         word = bytes(line[:_WORD_LENGTH])
         if word == _LOAD_WORD:
-            with suppress(ValueError):  # no number: the client gets the line all the same
+            with suppress(ValueError):  # not a number; the line was forwarded regardless
                 self._liveness.load_received(self, float(bytes(line[_WORD_LENGTH:])))
         elif word in _BYE_WORDS:
             self.result = AttemptResult.OK
@@ -164,26 +166,26 @@
             self._liveness.echo_received(self, latency)
 
     def _end_malformed(self) -> None:
-        """End both sides after an overlong line: whoever sends it speaks another protocol."""
+        """Reset both sides after an overlong line: its sender does not speak this protocol."""
         self._counters.malformed += 1
         self._end(EndedBy.NODE, EndCause.MALFORMED)
         self._upstream.send_reset()
         self._client.send_reset()
 
     def _client_stalled(self, endpoint_ended: bool) -> None:
-        """Close a client that reads nothing, whether its endpoint has ended by now or not."""
+        """Reset a client that has stopped reading, and end its endpoint's connection."""
         if endpoint_ended:
-            self._upstream_over(EndCause.CLIENT_STALLED)
+            self._end_by_endpoint(EndCause.CLIENT_STALLED)
         else:
             self._counters.evicted += 1
             self._end(EndedBy.NODE, EndCause.CLIENT_STALLED)
         self._upstream.send_fin()
         self._client.reset_now()
 
-    # An endpoint that doesn't echo.
+    # Echo timeout.
 
     def _check_echo(self) -> None:
-        """Act on the oldest line without an echo if its time is over; else check again when it will be."""
+        """Migrate the session if the oldest pending line has timed out; else check again when it would."""
         self._echo_timer = None
         oldest = self._pending_echoes.oldest
         if self._finished or self._offered or oldest is None:
@@ -195,7 +197,7 @@
         self.upstream_stalled()
 
     def upstream_stalled(self) -> None:
-        """Migrate the client: an endpoint that hangs sends no FIN, and its client would wait for good."""
+        """Migrate the client: a hung endpoint sends no FIN, and its client would wait forever."""
         if not self._finished and not self._offered and not self._migrating:
             self._counters.broken += 1
             self._migrate_between_lines()
@@ -203,16 +205,16 @@
     # Migration.
 
     def migrate(self) -> None:
-        """Tell the client to come again: at once between two lines, else behind the line under way."""
+        """Migrate the session: now if the endpoint is between two lines, else after its half line."""
         if self._finished or self._migrating or self._offered:
             return
-        if has_ended(self._client.wire):  # that is passed on, behind what the client wrote before
+        if has_ended(self._client.wire):  # its end is relayed instead, after its last data
             return
         self.result = AttemptResult.CANCELLED
         self._migrate_between_lines()
 
     def _migrate_between_lines(self) -> None:
-        # What the endpoint wrote before is owed to the client, and MOVE is the last that it reads.
+        # MOVE is the last line that the client reads, so what the endpoint wrote before is forwarded first.
         for data in read_pending(self._upstream.wire):
             self.data_from_upstream(data)
         if self._finished:
@@ -220,7 +222,7 @@
         self._migrating = True
         if self._upstream_lines.between_lines:
             self._migrate_now()
-        else:  # an endpoint that stops amid a line must not keep its client
+        else:  # bounded: the endpoint may never finish its line
             self._line_timer = self._timers.after(LINGER_TIMEOUT, self._migrate_now)
 
     def _migrate_now(self) -> None:
@@ -235,7 +237,7 @@
     # Hand-over to another process.
 
     def prepare_transfer(self) -> TransferState | None:
-        """Stop reading, that another process may go on; None while something is unsent or about to end."""
+        """Stop reading and return the session's state; None if data is unsent or it is ending."""
         if self._finished or self._migrating or self._offered:
             return None
         client, upstream = self._client.wire, self._upstream.wire
@@ -253,15 +255,15 @@
         )
 
     def transfer_answered(self, by_other: bool) -> None:
-        """Close the offered sockets here if the other process has them; else go on."""
+        """Close this process's copies of the sockets if the other process took them; else resume."""
         if self._finished or not self._offered:
             return
         self._offered = False
         if by_other:
             self.result = AttemptResult.CANCELLED
-            self._end(EndedBy.NODE, EndCause.TRANSFER, closes=False)
+            self._end(EndedBy.NODE, EndCause.TRANSFER, notify=False)
             for side in (self._client, self._upstream):
-                side.closed()  # the end of the first must not be passed on to the second
+                side.closed()  # closing the first must not end the second
                 side.wire.unregisterProducer()
             for side in (self._client, self._upstream):
                 release_without_shutdown(side.wire)
@@ -270,7 +272,7 @@
             self._upstream.wire.resumeProducing()
 
     def resume_transferred(self, from_client: bytes, from_upstream: bytes, owed: int) -> None:
-        """Take over where another process left off: amid these lines, and with so many echoes pending."""
+        """Restore the predecessor's half lines and its number of pending echoes."""
         for scanner, half_line in ((self._client_lines, from_client), (self._upstream_lines, from_upstream)):
             scanner.feed(half_line)
             scanner.next_line()
@@ -280,59 +282,62 @@
             self._liveness.line_sent(self, now)
             self._echo_timer = self._timers.at(now + ECHO_TIMEOUT, self._check_echo)
 
-    # The ends. Each is passed on behind the bytes that came before it.
+    # Ends of connections. Each is relayed after the data that came before it.
 
     def client_ended(self) -> None:
-        """Pass on the client's FIN; what its endpoint still sends reaches it until that ends too."""
-        self._client_over(EndCause.FIN)
+        """Relay the client's FIN; data from the endpoint is forwarded until the endpoint ends too."""
+        self._end_by_client(EndCause.FIN)
         self._upstream.send_fin()
         self._client.input_ended()
 
     def client_lost(self, reset: bool) -> None:
-        """The client's connection is closed: end the endpoint's in the same way."""
-        self._client_over(EndCause.RESET if reset else EndCause.FIN)
+        """End the endpoint's connection in the same way as the client's, which is closed."""
+        self._end_by_client(EndCause.RESET if reset else EndCause.FIN)
         self._client.closed()
         if reset:
             self._upstream.send_reset()
         else:
             self._upstream.send_fin()
 
-    def _client_over(self, cause: EndCause) -> None:
+    def _end_by_client(self, cause: EndCause) -> None:
         if not self._finished:
             self.result = AttemptResult.CANCELLED
             self._end(EndedBy.CLIENT, cause)
 
     def upstream_ended(self) -> None:
-        """Pass on the endpoint's FIN; what the client still sends reaches it until that ends too."""
-        self._upstream_over(EndCause.FIN)
+        """Relay the endpoint's FIN; data from the client is forwarded until the client ends too."""
+        self._end_by_endpoint(EndCause.FIN)
         self._client.send_fin()
         self._upstream.input_ended()
 
     def upstream_lost(self, reset: bool, network_failed: bool) -> AttemptResult:
-        """The endpoint's connection is closed: end the client's in the same way; returns what that means.
+        """End the client's connection in the same way as the endpoint's, which is closed; return the result.
 
-        Where the network has failed, the endpoint has ended nothing: its client is told to come again.
+        After a network failure the endpoint itself has ended nothing, so the client is migrated if the
+        endpoint's data ends with a whole line.
         """
         self._upstream.closed()
         migrates = not self._finished and network_failed and self._upstream_lines.between_lines
         if migrates:
             self._counters.moved += 1
             self._client.wire.write(MIGRATE_LINE)
-        self._upstream_over(EndCause.NETWORK if network_failed else EndCause.RESET if reset else EndCause.FIN)
+        self._end_by_endpoint(
+            EndCause.NETWORK if network_failed else EndCause.RESET if reset else EndCause.FIN
+        )
         if reset and not migrates:
             self._client.send_reset()
         else:
             self._client.send_fin()
         return self.result
 
-    def _upstream_over(self, cause: EndCause) -> None:
+    def _end_by_endpoint(self, cause: EndCause) -> None:
         if not self._finished:
             if self.result == AttemptResult.RESET:
                 self._counters.broken += 1
             self._end(EndedBy.ENDPOINT, cause)
 
-    def _end(self, by: EndedBy, cause: EndCause, closes: bool = True) -> None:
-        """The one place that ends the session; what is left is to end its connections."""
+    def _end(self, by: EndedBy, cause: EndCause, notify: bool = True) -> None:
+        """End the session, whatever the cause; the caller then ends its connections."""
         self._log.ended(self.context, by, cause)
         self._finished = True
         for timer in (self._echo_timer, self._line_timer):
@@ -340,5 +345,5 @@
                 timer.cancel()
         self._client_stall.stop()
         self._liveness.remove(self)
-        if closes:
-            self._ended()
+        if notify:
+            self._on_ended()
