--- a/stepflow/node/runtime/clock.py
+++ b/stepflow/node/runtime/clock.py
@@ -1,4 +1,4 @@
-"""The node's clock, and the units of its spans.
+"""The node's clock, and the units of its time spans.
 
 Times and spans are `timedelta` within the node: a time is the span since the Unix epoch. The policy counts in
 whole microseconds and the line protocol in whole milliseconds; both are rounded down.
@@ -26,15 +26,15 @@
 
 
 class Clock:
-    """The time since the Unix epoch: the wall clock's at the start, advanced by the monotonic clock.
+    """The time since the Unix epoch: read from the wall clock once, then advanced by the monotonic clock.
 
-    It must compare with the start times of endpoints, which are Unix times, and must not jump when the
-    machine's wall clock is set. So the wall clock is read once only.
+    Its times are compared with the start times of endpoints, which are Unix times, and must not jump when the
+    machine's wall clock is set.
     """
 
     def __init__(self) -> None:
         self.offset_ns = time.time_ns() - time.monotonic_ns()
 
     def now(self) -> timedelta:
-        """The time now; it never goes back."""
+        """The current time; it never decreases."""
         return timedelta(microseconds=(time.monotonic_ns() + self.offset_ns) // NS_PER_MICROSECOND)
--- a/stepflow/node/runtime/connection.py
+++ b/stepflow/node/runtime/connection.py
@@ -1,13 +1,13 @@
-"""TCP transports that tell how a connection ended, and tell it only behind what came before that end.
+"""TCP transports that report how a connection ended, and only after the data received before its end.
 
-Twisted ends a connection at the first call that fails, though the kernel may still hold bytes of the other
-side: a write fails, or a hang-up is told, before all was read. Such bytes are read first here, as fast as the
-protocol takes them. Errors of this machine, such as a want of memory, end no connection; the call is made
-again.
+Twisted closes a connection at the first call that fails, although the kernel may still hold received data: a
+write fails, or a hang-up is reported, before everything was read. Here such data is read first, at the pace
+of the protocol. Transient errors of this machine, such as a lack of memory, close no connection; the call is
+repeated.
 
-The number of the error that broke a connection is kept, for it decides what is owed. A reset comes from the
-other side and is passed on as a reset. Where the network between has failed, an endpoint may well answer on
-other connections, and its client is migrated.
+The error number that broke a connection is kept, because the reaction depends on it. A reset comes from the
+other side and is relayed as a reset. After a network failure the endpoint may still be reachable over other
+connections, so its client is migrated.
 """
 
 # Twisted's transports have no types.
@@ -43,18 +43,19 @@
         errno.ENOPROTOOPT,
     }
 )
-# recv(2) and send(2) document these for a call that may succeed a moment later.
-_SHORTAGE = frozenset({errno.EINTR, errno.ENOBUFS, errno.ENOMEM})
-_TRY_AGAIN = _SHORTAGE | {errno.EAGAIN}
-_NO_ADDRESS = ("", 0)
-_READ_RETRY_DELAY_S = 0.005  # after a shortage, while no event of the reactor would come
+# Errors that recv(2) and send(2) document for calls that may succeed a moment later.
+_TRANSIENT_ERRNOS = frozenset({errno.EINTR, errno.ENOBUFS, errno.ENOMEM})
+_RETRYABLE_ERRNOS = _TRANSIENT_ERRNOS | {errno.EAGAIN}
+_UNKNOWN_ADDRESS = ("", 0)
+_READ_RETRY_DELAY_S = 0.005  # after a transient error; the reactor reports no further event for this socket
 
 
 class OrderedTransport:
-    """Replaces how a Twisted transport reads, writes and ends.
+    """Mixin that replaces how a Twisted transport reads, writes and closes.
 
-    Once the other side has broken the connection, `connectionLost` of the protocol follows when it has been
-    given all that came before. A protocol that pauses holds its end back until it goes on, or closes.
+    Once the other side has broken the connection, the protocol's `connectionLost` is called after all data
+    received before was delivered to it. While the protocol has paused reading, the end is held until it
+    resumes reading or closes the connection.
     """
 
     socket: socket.socket
@@ -65,33 +66,33 @@
     connected: int
     _aborting: bool
 
-    broken_by = 0  # the error number; 0 while there was none, and after a FIN
-    left_unread = 0  # bytes that were never read, once the socket is closed
-    _held_end: Failure | None = None  # the other side's end, while bytes before it are unread
+    broken_by = 0  # error number; 0 if no error has occurred, and after a FIN
+    left_unread = 0  # bytes left unread in the kernel, set when the socket is closed
+    _held_end: Failure | None = None  # the end of a broken connection, while data before it is unread
     _is_paused = False
-    _input_ended = False  # a FIN was read, and the protocol goes on sending
+    _input_ended = False  # a FIN was received
 
     @property
     def end_is_held(self) -> bool:
-        """Whether the other side has broken the connection, and bytes that came before are unread."""
+        """Whether the connection is broken, but data received before that is still unread."""
         return self._held_end is not None
 
     def doRead(self) -> Any:
-        """Read once. Returns what Twisted ends the connection with, or None while it lasts."""
+        """Read once. Returns the reason for Twisted to close the connection, or None to keep it open."""
         try:
             data = self.socket.recv(self.bufferSize)
         except OSError as error:
-            return self._failed(error)
+            return self._handle_error(error)
         return cast(Any, self)._dataReceived(data)
 
     def writeSomeData(self, data: bytes) -> Any:
-        """Write once. Returns how many bytes went out, or what Twisted ends the connection with."""
+        """Write once. Returns the number of bytes sent, or the reason for Twisted to close the connection."""
         if self._held_end is not None:
             return 0
         try:
             return self.socket.send(memoryview(data)[: self.SEND_LIMIT])
         except OSError as error:
-            return self._failed(error) or 0
+            return self._handle_error(error) or 0
 
     def pauseProducing(self) -> None:
         """Stop reading."""
@@ -99,7 +100,7 @@
         cast(Any, super()).pauseProducing()
 
     def resumeProducing(self) -> None:
-        """Go on reading, up to an end that was held back."""
+        """Resume reading; if an end is held, the reactor's next turn reads the rest and closes."""
         self._is_paused = False
         if self._held_end is not None:
             self.reactor.callLater(0, self.connectionLost, self._held_end)
@@ -107,20 +108,20 @@
             cast(Any, super()).resumeProducing()
 
     def readConnectionLost(self, reason: Failure) -> None:
-        """Close after a FIN, unless the protocol has to go on sending."""
+        """Close the connection after a FIN, unless the protocol keeps its sending direction open."""
         self._input_ended = True
         protocol = self.protocol
         if not (isinstance(protocol, LineProtocol) and protocol.input_ended()):
             self.connectionLost(reason)
 
     def connectionLost(self, reason: Failure) -> None:
-        """Close the socket; if the other side has broken the connection, once its bytes have been read."""
-        # This process's own reset waits for nothing. Twisted tells it as a kind of ConnectionLost, but only
-        # once: put off, it would never be carried out.
+        """Close the socket; if the other side broke the connection, only after its data has been read."""
+        # This process's own reset is never held. Twisted reports it as a subclass of ConnectionLost, and only
+        # once: if it were held, the socket would never be closed.
         if self.connected and not self._aborting and reason.check(ConnectionLost):
             self._hold_end(reason)
             try:
-                if not self._read_rest():
+                if not self._read_remaining():
                     self._log_delay(reason)
                     return
             except Exception:
@@ -128,15 +129,15 @@
                 raise
         self._close(reason)
 
-    def _failed(self, error: OSError) -> Any:
-        """What ends the connection after a call that failed; None if it may succeed a moment later."""
-        if error.errno in _TRY_AGAIN:
+    def _handle_error(self, error: OSError) -> Any:
+        """Record a call's error; return the reason to close the connection, or None to repeat the call."""
+        if error.errno in _RETRYABLE_ERRNOS:
             return None
         self.broken_by = self.broken_by or error.errno or 0
         return main.CONNECTION_LOST
 
     def _hold_end(self, reason: Failure) -> None:
-        """Give up sending: nothing more can reach the other side."""
+        """Hold the end, and discard unsent data: nothing more can reach the other side."""
         self._held_end = reason
         transport = cast(Any, self)
         transport.stopWriting()
@@ -144,20 +145,20 @@
         transport.dataBuffer, transport.offset = b"", 0
         transport._tempDataBuffer, transport._tempDataLen = [], 0
 
-    def _read_rest(self) -> bool:
-        """Give the protocol what is unread, until it pauses; whether all was read.
+    def _read_remaining(self) -> bool:
+        """Deliver unread data to the protocol until it pauses; return whether everything was read.
 
-        False also where the protocol has closed the connection meanwhile, or is about to.
+        Returns False also if the protocol has closed or aborted the connection in the meantime.
         """
         while not self._is_paused:
             try:
                 data = self.socket.recv(self.bufferSize)
             except OSError as error:
                 would_block = error.errno == errno.EAGAIN
-                if error.errno in _SHORTAGE or (would_block and unread_bytes(self.socket.fileno())):
+                if error.errno in _TRANSIENT_ERRNOS or (would_block and unread_bytes(self.socket.fileno())):
                     self.reactor.callLater(_READ_RETRY_DELAY_S, self.connectionLost, self._held_end)
                     return False
-                self._failed(error)
+                self._handle_error(error)
                 return True
             if not data:
                 return True
@@ -183,32 +184,32 @@
 
 
 class AcceptedTransport(OrderedTransport, tcp.Server):
-    """A connection that was accepted, by this process or by another that has passed it."""
+    """A connection that this process has accepted, or that another process has handed over."""
 
 
 class _DialedTransport(OrderedTransport, tcp.Client):
-    """A connection that this process has made."""
+    """An outgoing connection of this process."""
 
 
 class _Connector(tcp.Connector):
-    """Twisted's connector, which makes these transports."""
+    """Twisted's connector, with `_DialedTransport` for its transports."""
 
     def _makeTransport(self) -> Any:
         return _DialedTransport(self.host, self.port, self.bindAddress, self, self.reactor)
 
 
 def connect(reactor: Reactor, address: Address, factory: Any, timeout: float | None = None) -> Any:
-    """Begin a connection, which may take so many seconds to come up; returns its connector."""
+    """Start to connect, with a timeout in seconds; return the connector."""
     connector = _Connector(address.host, address.port, factory, cast(float, timeout), None, reactor)
     connector.connect()
     return connector
 
 
 def duplicate_sockets(*descriptors: int) -> list[socket.socket]:
-    """Sockets of this process's own for connections that another process has passed.
+    """Duplicate the descriptors of sockets that another process has passed.
 
     Raises:
-        OSError: There is no descriptor left; none of the sockets is open then.
+        OSError: No file descriptor is free; duplicates made so far are closed.
     """
     duplicates: list[socket.socket] = []
     try:
@@ -222,20 +223,20 @@
 
 
 def adopt(reactor: Reactor, sock: socket.socket, factory: Any) -> None:
-    """Go on with a connection that another process has passed.
+    """Create the transport and protocol of a connection that another process has passed.
 
-    The other side may have ended it by now: that is read like any end, behind what came before.
+    An end that the other side has sent in the meantime is read as usual, after the data before it.
     """
     protocol = factory.buildProtocol(None)
-    # Twisted's own way asks for the other side's address, which a connection that was reset has no more.
-    protocol.makeConnection(cast(Any, AcceptedTransport)(sock, protocol, _NO_ADDRESS, None, 0, reactor))
+    # Reactor.adoptStreamConnection asks for the peer address, which a reset connection no longer has.
+    protocol.makeConnection(cast(Any, AcceptedTransport)(sock, protocol, _UNKNOWN_ADDRESS, None, 0, reactor))
 
 
 def network_failed(transport: object) -> bool:
-    """Whether a connection was broken by the network, not by the other side."""
+    """Whether a network error, rather than the other side, broke the connection."""
     return getattr(transport, "broken_by", 0) in NETWORK_ERRNOS
 
 
 def error_name(transport: object) -> str:
-    """The name of the error number that broke a connection, such as ECONNRESET; empty if none did."""
+    """The name of the error that broke a connection, such as ECONNRESET; empty if there was none."""
     return errno.errorcode.get(getattr(transport, "broken_by", 0), "")
--- a/stepflow/node/runtime/connection_log.py
+++ b/stepflow/node/runtime/connection_log.py
@@ -1,8 +1,8 @@
-"""The log of connections that this process ends: why, when they are closed, and those that stay open.
+"""Logs why and when this process closes connections, and those that stay open too long.
 
-At level debug each end is logged by the id that the client gave, when it is decided and when the socket is
-closed. A connection that is still open `CLOSE_DEADLINE` after its end was decided is a warning at any level,
-and counted as `outlived`: in good order there is none.
+At level debug each close is logged twice, under the request id that the client gave: when it is decided and
+when the socket is closed. A connection still open `CLOSE_DEADLINE` after the decision is logged as a warning
+at any level and counted as `outlived`; in normal operation there is none.
 """
 
 from __future__ import annotations
@@ -24,38 +24,38 @@
 
 log = get_logger()
 
-CLOSE_DEADLINE = timedelta(seconds=1)  # from the decision; PROTOCOL, "Figures"
+CLOSE_DEADLINE = timedelta(seconds=1)  # from the decision to close; PROTOCOL, "Figures"
 
 
 class Side(StrEnum):
-    """Which connection of a request."""
+    """One of the two connections of a request."""
 
     CLIENT = "client"
     ENDPOINT = "endpoint"
 
 
 class ConnectionLog:
-    """Logs the ends of the connections of requests, and watches that they come."""
+    """Logs how the connections of requests are closed, and detects those that are not closed in time."""
 
     def __init__(self, timers: Timers, counters: Counters) -> None:
         self._timers, self._counters = timers, counters
 
     def ending(self, request_id: str, side: Side, reason: str) -> None:
-        """This process has decided to end a connection."""
+        """Log that this process has decided to close a connection."""
         if debugging():
             log.debug("connection ending", request=request_id, side=side.value, why=reason)
 
     def closed(self, request_id: str, side: Side, how: str, answered: bool) -> None:
-        """The socket is closed.
+        """Log that a socket is closed.
 
-        `how` is the end as Twisted tells it, or the name of the error number; `answered` whether the client
-        had its answer, or the attempt the endpoint's.
+        `how` is the name of Twisted's exception or of the error number; `answered` says whether the client
+        had received its answer, or the attempt the endpoint's answer.
         """
         if debugging():
             log.debug("connection closed", request=request_id, side=side.value, how=how, answered=answered)
 
     def watch(self, request_id: str, side: Side, wire: Transport, since: timedelta) -> Timer:
-        """Watch that a connection closes whose end was decided then; to be cancelled once it has."""
+        """Start the close deadline of a connection whose end was decided at `since`; cancel it on close."""
         return self._timers.at(since + CLOSE_DEADLINE, partial(self._outlived, request_id, side, wire))
 
     def _outlived(self, request_id: str, side: Side, wire: Transport) -> None:
--- a/stepflow/node/runtime/counters.py
+++ b/stepflow/node/runtime/counters.py
@@ -11,52 +11,52 @@
 
 @dataclass(slots=True)
 class ClassCounts:
-    """What became of the requests of one class."""
+    """Outcomes of the requests of one class."""
 
     served: int = 0
     refused: int = 0  # answered BUSY
     failed: int = 0  # answered ERR
-    attempts: int = 0  # whose line was sent completely
+    attempts: int = 0  # attempts whose OPEN line was sent completely
 
 
 @dataclass(slots=True)
 class Counters:
-    """Whole numbers since the start of the process; logged on SIGUSR1 and at the exit."""
+    """Counts since the start of the process; logged on SIGUSR1 and at the exit."""
 
     clients: int = 0  # client connections accepted
     requests: int = 0  # OPEN lines accepted
-    standing: int = 0  # of them, those of clients that return to the endpoint of a previous session
-    accept_failures: int = 0  # accept calls that failed for want of descriptors or memory
-    malformed: int = 0  # clients answered ERR for what they sent, or failed to send in time
-    evicted: int = 0  # client connections without a request, closed for want of descriptors
-    table_full: int = 0  # requests rejected for want of a slot or a descriptor
-    attempts: int = 0  # whose line was sent completely
+    standing: int = 0  # of these, from clients that return to the endpoint of a previous session
+    accept_failures: int = 0  # accept calls that failed for lack of descriptors or memory
+    malformed: int = 0  # clients answered ERR for bad or late input; sessions ended by an overlong line
+    evicted: int = 0  # connections closed for lack of descriptors before OPEN; stalled clients of sessions
+    table_full: int = 0  # requests rejected for lack of a slot or a descriptor
+    attempts: int = 0  # attempts whose OPEN line was sent completely
     retries: int = 0  # attempts after the first of their request
     served: int = 0  # requests answered UP, or by their endpoint without a session
     rejected: int = 0  # requests answered BUSY
     failed: int = 0  # requests answered ERR
-    overdue: int = 0  # requests answered over 0.1 s after their client's time
+    overdue: int = 0  # requests answered over 0.1 s after their client's deadline
     left: int = 0  # clients that disconnected before their answer
     moved: int = 0  # established sessions migrated
     broken: int = 0  # established sessions that their endpoint reset or let stall
     probes: int = 0  # health checks sent
     probes_failed: int = 0  # health checks without a load report
-    lists: int = 0  # messages of discovery
-    lists_failed: int = 0  # calls of discovery that failed
-    reloads: int = 0  # configurations taken by a reload
-    reloads_failed: int = 0  # configurations that a reload turned down
-    faults: int = 0  # events that the policy failed on
+    lists: int = 0  # messages from discovery
+    lists_failed: int = 0  # calls to discovery that failed
+    reloads: int = 0  # successful reloads
+    reloads_failed: int = 0  # failed reloads; the old configuration stays in use
+    faults: int = 0  # exceptions caught: in the policy, in a client's data or in serving an accepted client
     clock_steps: int = 0  # steps of the machine's wall clock
     late_deadlines: int = 0  # times that timers fired over 0.25 s late
-    truncated: int = 0  # sides of sessions that were closed with bytes for them dropped
-    outlived: int = 0  # connections that were open a second after this process had decided to end them
-    classes: dict[str, ClassCounts] = field(default_factory=dict)  # by name; those of a dropped class stay
+    truncated: int = 0  # connections of sessions that were closed with bytes for them dropped
+    outlived: int = 0  # connections still open 1 s after this process decided to close them
+    classes: dict[str, ClassCounts] = field(default_factory=dict)  # by name; kept when a class is removed
 
     def of(self, name: str) -> ClassCounts:
-        """The counts of a class, which begin at 0 when it is first asked for."""
+        """The counts of a class, created with zeros on first use."""
         return self.classes.setdefault(name, ClassCounts())
 
     def __str__(self) -> str:
         """The counters line: each counter of the node as name=value."""
-        names = (one.name for one in fields(self) if one.name != "classes")
+        names = (counter.name for counter in fields(self) if counter.name != "classes")
         return " ".join(f"{name}={getattr(self, name)}" for name in names)
--- a/stepflow/node/runtime/garbage.py
+++ b/stepflow/node/runtime/garbage.py
@@ -1,8 +1,9 @@
-"""When Python's garbage collector runs.
+"""The schedule of Python's garbage collector.
 
-What a session holds is freed by reference counting alone (tests/node/test_leaks.py). Cycles come only of the
-HTTP library, in calls of discovery and of operators, and of failures that are logged. So the collector may
-run seldom: its pause, in which no client is served, grows with the number of objects that it looks through.
+Everything a session holds is freed by reference counting alone (tests/node/test_leaks.py). Reference cycles
+arise only in the HTTP library, in calls of discovery and of operators, and from failures that are logged. So
+the collector can run rarely. Its pause, during which no client is served, grows with the number of objects
+that it examines.
 """
 
 from __future__ import annotations
@@ -12,9 +13,9 @@
 
 from stepflow.node.runtime.timers import Timers
 
-YOUNG_THRESHOLD = 20_000  # new objects until the youngest generation is collected
-MIDDLE_THRESHOLD = 5  # collections of the youngest generation until the middle one is collected
-OLDEST_THRESHOLD = 1 << 30  # never reached: the oldest generation is collected by a timer
+YOUNG_THRESHOLD = 20_000  # new objects that trigger a collection of the youngest generation
+MIDDLE_THRESHOLD = 5  # collections of the youngest generation that trigger one of the middle generation
+OLDEST_THRESHOLD = 1 << 30  # never reached: a timer collects the oldest generation
 FULL_COLLECTION_INTERVAL = timedelta(minutes=5)
 
 
@@ -25,7 +26,7 @@
         self._timers = timers
 
     def begin(self) -> None:
-        """Take over the collector; the objects that exist by now are never looked through again."""
+        """Take over the collector; objects that exist now are frozen and never examined again."""
         gc.collect()
         gc.freeze()
         gc.set_threshold(YOUNG_THRESHOLD, MIDDLE_THRESHOLD, OLDEST_THRESHOLD)
--- a/stepflow/node/runtime/lines.py
+++ b/stepflow/node/runtime/lines.py
@@ -1,7 +1,7 @@
-"""The line codec, with the method names of Twisted's LineReceiver.
+"""Splits received data into lines; the method names are those of Twisted's LineReceiver.
 
-LineReceiver copies every line out of its buffer. Here a line is a slice of the buffer that it was read into;
-only the incomplete line at the end of a buffer is copied, since it must outlive the buffer.
+LineReceiver copies every line out of its buffer. Here a line is a slice of the buffer that it was received
+in; only the incomplete line at the end of a buffer is copied, because it outlives the buffer.
 """
 
 from __future__ import annotations
@@ -17,25 +17,25 @@
 
 
 def was_reset(reason: Failure) -> bool:
-    """Whether a connection ended in another way than by a FIN."""
+    """Whether a connection ended otherwise than by a FIN."""
     return not isinstance(reason.value, ConnectionDone)
 
 
 class LineScanner:
     """Finds the lines in a stream of buffers.
 
-    Give each buffer to `feed`, then call `next_line` until it returns None. The bytes behind the last line
-    are kept for the next buffer, or taken out by `rest`.
+    Pass each buffer to `feed`, then call `next_line` until it returns None. The bytes after the last line are
+    kept for the next buffer, or removed by `rest`.
     """
 
     delimiter = b"\r\n"
-    MAX_LENGTH = 4096  # of a line with its delimiter
+    MAX_LENGTH = 4096  # of a line, including its delimiter
 
     def __init__(self) -> None:
         self._buffer = b""
-        self._position = 0  # in the buffer, behind the latest line
-        self._incomplete = b""  # the line that the last buffer ended in the midst of
-        self.overlong = False  # a line went past MAX_LENGTH; the stream can't be read any further
+        self._position = 0  # offset in the buffer after the latest line
+        self._incomplete = b""  # the half line at the end of the last buffer
+        self.overlong = False  # a line exceeded MAX_LENGTH; the rest of the stream can't be parsed
 
     def feed(self, data: bytes) -> None:
         """Take the next buffer."""
@@ -44,7 +44,7 @@
         self._buffer, self._position = data, 0
 
     def next_line(self) -> memoryview | None:
-        """The next complete line, less its delimiter, valid until the next `feed`; None if none is left."""
+        """The next complete line without its delimiter, valid until the next `feed`; None if none is left."""
         end = self._buffer.find(self.delimiter, self._position)
         length = (len(self._buffer) if end < 0 else end + len(self.delimiter)) - self._position
         if length > self.MAX_LENGTH:
@@ -60,23 +60,23 @@
 
     @property
     def between_lines(self) -> bool:
-        """Whether the buffers so far end in a delimiter, and all lines were read."""
+        """Whether the data so far ends with a delimiter, and all its lines were read."""
         return not self._incomplete and self._position == len(self._buffer)
 
     @property
     def half_line(self) -> bytes:
-        """The incomplete line at the end of the buffers so far."""
+        """The incomplete line at the end of the data so far."""
         return self._incomplete
 
     def rest(self) -> bytes:
-        """Take out all bytes behind the latest line."""
+        """Remove and return all bytes after the latest line."""
         rest = self._incomplete or self._buffer[self._position :]
         self._incomplete, self._buffer, self._position = b"", b"", 0
         return rest
 
 
 class LineProtocol(Protocol):
-    """A connection that speaks lines until it is set to raw mode.
+    """A protocol that receives lines until it is set to raw mode.
 
     Subclasses implement `lineReceived`, `lineLengthExceeded`, `rawDataReceived` and `connectionLost`.
     """
@@ -87,21 +87,21 @@
 
     @property
     def wire(self) -> Transport:
-        """The transport; only once the connection is made."""
+        """The transport, with its type; available once the connection is made."""
         return cast(Transport, self.transport)
 
     @property
     def request_id(self) -> str:
-        """The id of its request in the log; empty while there is none."""
+        """The id of the connection's request, for the log; empty while there is none."""
         return ""
 
     def connectionMade(self) -> None:
-        """Have small writes sent at once."""
-        with suppress(OSError):  # a connection that is broken already shows that when it is read
+        """Disable Nagle's algorithm, so that small writes are sent at once."""
+        with suppress(OSError):  # a connection that is already broken is detected by the next read
             self.wire.setTcpNoDelay(True)
 
     def dataReceived(self, data: bytes) -> None:
-        """Pass on the lines of a buffer, or the buffer itself in raw mode."""
+        """Deliver the lines of a buffer, or the buffer itself in raw mode."""
         if self._raw:
             self.rawDataReceived(data)
             return
@@ -113,30 +113,30 @@
 
     @property
     def at_end(self) -> bool:
-        """Whether nothing was received behind the line at hand."""
+        """Whether nothing was received after the current line."""
         return self._scanner.between_lines
 
     def setRawMode(self) -> bytes:
-        """Pass all later data to `rawDataReceived`; return what was received behind the last line."""
+        """Pass all later data to `rawDataReceived`; return what was received after the last line."""
         self._raw = True
         return self._scanner.rest()
 
     def lineReceived(self, line: memoryview) -> None:
-        """Take a line without its delimiter; the slice is valid during this call only."""
+        """Process a line without its delimiter; the slice is valid during this call only."""
         raise NotImplementedError
 
     def lineLengthExceeded(self) -> None:
-        """The other side sent an overlong line, and nothing more is read."""
+        """Handle an overlong line from the other side; no further line is delivered."""
         raise NotImplementedError
 
     def rawDataReceived(self, data: bytes) -> None:
-        """Take data in raw mode."""
+        """Process data received in raw mode."""
         raise NotImplementedError
 
     def input_ended(self) -> bool:
-        """The other side has sent a FIN; returns whether this one goes on sending. It does not, by itself."""
+        """Handle a FIN; return whether the sending direction stays open, which is False by default."""
         return False
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:
-        """The connection is closed; `reason` says by which side and how."""
+        """Handle the closed connection; `reason` says by which side and how it was closed."""
         raise NotImplementedError
--- a/stepflow/node/runtime/reactor.py
+++ b/stepflow/node/runtime/reactor.py
@@ -1,14 +1,14 @@
-"""Twisted's reactor, set up for a process that must go on serving whatever happens to its machine.
+"""Twisted's reactor, configured to keep serving through clock steps and shortages of the machine.
 
-Some of Twisted's ways are changed, by names that Twisted doesn't document:
+It changes three behaviors of Twisted, through names that Twisted doesn't document:
 
-- It times its calls by `time.time`. Once the wall clock is set back, a due call waits until the clock has
-  caught up; set forward, calls come too early, time-outs of connections among them. Here it counts on the
-  monotonic clock.
-- It keeps a file descriptor in reserve. Once no other is left, it accepts and closes all clients that wait,
-  by means of that one. Here they wait until a descriptor is free.
-- It raises what epoll_ctl(2) fails with, in the midst of whatever starts or stops to read or write. Here a
-  connection that the kernel has no memory to watch is watched a moment later.
+- Twisted schedules calls by `time.time`. After the wall clock is set back, a due call waits until the clock
+  has caught up; after it is set forward, calls are made too early, timeouts of connections among them. Here
+  calls are scheduled by the monotonic clock.
+- Twisted keeps a file descriptor in reserve. Once no other is left, it uses that one to accept and close all
+  waiting clients. Here they wait until a descriptor is free.
+- Twisted raises the error of a failed epoll_ctl(2) in whatever call starts or stops reading or writing. Here
+  the registration of a descriptor for which the kernel lacks memory is retried after a short delay.
 """
 
 # Twisted's reactors have no types.
@@ -27,15 +27,15 @@
 
 from stepflow.node.runtime.transports import DelayedCall, Reactor
 
-_SCARCE = frozenset({errno.ENOMEM, errno.ENOSPC})
+_SHORTAGE_ERRNOS = frozenset({errno.ENOMEM, errno.ENOSPC})
 _WATCH_RETRY_DELAY_S = 0.005
 
 
 class ServingReactor(EPollReactor):
-    """Twisted's reactor of epoll(7), which watches what it could not watch at once a moment later.
+    """Twisted's epoll(7) reactor, which retries registrations that fail for lack of memory.
 
-    Of its methods' arguments, `primary` and `other` are the sets of descriptors that are watched for `event`
-    and for `other_event`, and `selectables` the watched objects by their descriptors.
+    In the methods, `xer` is the reader or writer; `primary` and `other` are the sets of descriptors that are
+    watched for `event` and for `other_event`; `selectables` maps descriptors to the watched objects.
     """
 
     seconds = staticmethod(time.monotonic)
@@ -53,13 +53,13 @@
         event: int,
         other_event: int,
     ) -> None:
-        """Watch for an event too."""
+        """Start watching `xer` for `event`; retry later if the kernel lacks memory."""
         self._cancel_retry(xer, event)
         arguments = (xer, primary, other, selectables, event, other_event)
         try:
             cast(Any, super())._add(*arguments)
         except OSError as error:
-            if error.errno not in _SCARCE:
+            if error.errno not in _SHORTAGE_ERRNOS:
                 raise
             self._retries[xer, event] = cast(Any, self).callLater(_WATCH_RETRY_DELAY_S, self._add, *arguments)
 
@@ -72,21 +72,21 @@
         event: int,
         other_event: int,
     ) -> None:
-        """Watch for an event no more; in this turn, since the descriptor may be closed and used again."""
+        """Stop watching `xer` for `event` in this turn: its descriptor may be closed and reused."""
         self._cancel_retry(xer, event)
         descriptor = xer.fileno()
         watches_other = descriptor in other
         try:
             cast(Any, super())._remove(xer, primary, other, selectables, event, other_event)
         except OSError as error:
-            if error.errno not in _SCARCE:
+            if error.errno not in _SHORTAGE_ERRNOS:
                 raise
             self._forget(descriptor)
             if watches_other:
                 self._add(xer, other, primary, selectables, other_event, event)
 
     def _forget(self, descriptor: int) -> None:
-        """Watch a descriptor for nothing."""
+        """Remove a descriptor from epoll and from all sets."""
         with suppress(OSError):
             self._poller.unregister(descriptor)
         self._reads.discard(descriptor)
@@ -102,7 +102,7 @@
 
 
 def serving_reactor() -> Reactor:
-    """Install the process's reactor; once, before anything else imports Twisted's."""
+    """Install the process's reactor; call once, before anything imports `twisted.internet.reactor`."""
     cast(Any, tcp)._reservedFD = cast(Any, tcp)._NullFileDescriptorReservation()
     reactor = ServingReactor()
     installReactor(reactor)
--- a/stepflow/node/runtime/request_log.py
+++ b/stepflow/node/runtime/request_log.py
@@ -1,7 +1,7 @@
-"""The log of single requests, by the id that the client gave: its attempts, how it ended, and why.
+"""Logs the attempts of each request, its final answer and the reason, under the id that the client gave.
 
-At level debug each step of each request is logged. At any level a request that is answered after its client's
-time is a warning: in good order there is none.
+At level debug each step of each request is logged. A request answered over `OVERDUE_AFTER` after its client's
+deadline is logged as a warning at any level; in normal operation there is none.
 """
 
 from __future__ import annotations
@@ -16,11 +16,11 @@
 
 log = get_logger()
 
-OVERDUE_AFTER = timedelta(milliseconds=100)  # how long after its client's time an answer is logged as late
+OVERDUE_AFTER = timedelta(milliseconds=100)  # after the client's deadline; a later answer is logged
 
 
 class LoggedRequest(Protocol):
-    """What the log shows of a request."""
+    """The attributes of a request that are logged."""
 
     request: Request
     client_request_id: str
@@ -31,14 +31,14 @@
 class RequestLog:
     """Logs the steps of requests, and counts retries and late answers.
 
-    Each method is called for each request: what only the level debug shows must cost nothing at other levels.
+    The methods are called for every request, so fields that only level debug logs are computed only there.
     """
 
     def __init__(self, clock: Clock, counters: Counters) -> None:
         self._clock, self._counters = clock, counters
 
     def accepted(self, context: LoggedRequest) -> None:
-        """A request is owed an answer from now on."""
+        """Log that a request was accepted and is to be answered."""
         if debugging():
             log.debug(
                 "request taken",
@@ -48,12 +48,12 @@
             )
 
     def not_accepted(self, client_request_id: str, reason: str) -> None:
-        """A request was rejected without being accepted."""
+        """Log that a request was rejected before it was accepted."""
         if debugging():
             log.debug("request turned away", request=client_request_id, why=reason)
 
     def attempt_started(self, context: LoggedRequest, timeout: timedelta) -> None:
-        """An attempt was started, which may take so long."""
+        """Count a retry, and log that an attempt with this timeout was started."""
         self._counters.retries += context.attempts > 1
         if debugging():
             log.debug(
@@ -65,7 +65,7 @@
             )
 
     def attempt_ended(self, context: LoggedRequest, result: AttemptResult) -> None:
-        """An attempt ended, before its session was established or after."""
+        """Log the end of an attempt, before or after its session was established."""
         if debugging():
             log.debug(
                 "attempt ended",
@@ -76,7 +76,7 @@
             )
 
     def answered(self, context: LoggedRequest, answer: str, reason: str) -> None:
-        """A request has its final answer, or its client has left; `reason` names what decided it."""
+        """Log the final answer of a request, or that its client left; `reason` names what decided it."""
         time_left = self._time_left(context)
         if time_left < -OVERDUE_AFTER:
             self._counters.overdue += 1
@@ -85,14 +85,14 @@
             log.debug("request answered", **_answer_fields(context, answer, reason, time_left))
 
     def _time_left(self, context: LoggedRequest) -> timedelta:
-        """The time that the client still waits; negative once it is over."""
+        """The time until the client's deadline; negative after it."""
         return timedelta(microseconds=context.request.expires_us - micros(self._clock.now()))
 
 
 def _answer_fields(
     context: LoggedRequest, answer: str, reason: str, time_left: timedelta
 ) -> dict[str, str | int]:
-    """What is logged of an answer."""
+    """The logged fields of an answer."""
     return {
         "request": context.client_request_id,
         "left_ms": millis(time_left),
--- a/stepflow/node/runtime/session_log.py
+++ b/stepflow/node/runtime/session_log.py
@@ -1,7 +1,7 @@
-"""The log of how sessions end, and of bytes that did not reach the other side.
+"""Logs how sessions end, and bytes that were not delivered to the other side.
 
-At level debug each end is logged by the id that the client gave. Bytes of one side that are dropped are a
-warning at any level, and counted: in good order only clients that do not read lose any.
+At level debug each end is logged under the request id that the client gave. Dropped bytes are logged as a
+warning at any level and counted; in normal operation only clients that do not read lose any.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 
 
 class EndedBy(StrEnum):
-    """Whose act ended a session."""
+    """Which party ended a session."""
 
     CLIENT = "client"
     ENDPOINT = "endpoint"
@@ -40,28 +40,28 @@
 
 
 class Undelivered(NamedTuple):
-    """Bytes of one side that the other had not received when its connection was closed."""
+    """Numbers of bytes for one side that it had not received when its connection was closed."""
 
-    unread: int = 0  # left in the kernel, never read by this process
-    unsent: int = 0  # read, and held in this process
-    unacknowledged: int = 0  # given to the kernel, and taken back by the reset that ended the connection
+    unread: int = 0  # in the kernel, never read by this process
+    unsent: int = 0  # read, and still buffered in this process
+    unacknowledged: int = 0  # passed to the kernel, not acknowledged, and discarded by a reset
 
 
 class LoggedSession(Protocol):
-    """What the log shows of a session."""
+    """The attributes of a session that are logged."""
 
     client_request_id: str
     endpoint: str
 
 
 class SessionLog:
-    """Logs the ends of sessions, and counts those that lost bytes."""
+    """Logs the ends of sessions, and counts connections that lost bytes."""
 
     def __init__(self, counters: Counters, connections: ConnectionLog) -> None:
         self._counters, self.connections = counters, connections
 
     def ended(self, session: LoggedSession, by: EndedBy, cause: EndCause) -> None:
-        """One side has ended, or the node ends both."""
+        """Log the end of a session, by one side or by the node."""
         if debugging():
             log.debug(
                 "session ended",
@@ -71,16 +71,16 @@
                 how=cause.value,
             )
 
-    def dropped(self, session: LoggedSession, to: Side, bytes_of: Undelivered) -> None:
-        """The connection to one side is closed; does nothing unless bytes for it are lost with it."""
-        if any(bytes_of):
+    def dropped(self, session: LoggedSession, to: Side, undelivered: Undelivered) -> None:
+        """Log and count a connection that was closed with bytes lost; do nothing if none were lost."""
+        if any(undelivered):
             self._counters.truncated += 1
             log.warning(
                 "bytes of a session were dropped",
                 request=session.client_request_id,
                 peer=session.endpoint,
                 to=to.value,
-                **bytes_of._asdict(),
+                **undelivered._asdict(),
             )
 
 
@@ -93,13 +93,13 @@
         self._sessions, self._session, self._side = sessions, session, side
 
     def ending(self, cause: EndCause) -> None:
-        """Its end was decided, as a FIN or a reset."""
+        """Log the decision to end the connection, by a FIN or a reset."""
         self._sessions.connections.ending(self._session.client_request_id, self._side, cause.value)
 
-    def dropped(self, bytes_of: Undelivered) -> None:
-        """It is closed, and these bytes for it are lost."""
-        self._sessions.dropped(self._session, self._side, bytes_of)
+    def dropped(self, undelivered: Undelivered) -> None:
+        """Log and count the connection if it was closed with bytes lost."""
+        self._sessions.dropped(self._session, self._side, undelivered)
 
     def watch(self, wire: Transport, since: timedelta) -> Timer:
-        """Watch that it closes, its end having been decided then; to be cancelled once it has."""
+        """Start the close deadline of a connection whose end was decided at `since`; cancel it on close."""
         return self._sessions.connections.watch(self._session.client_request_id, self._side, wire, since)
--- a/stepflow/node/runtime/slots.py
+++ b/stepflow/node/runtime/slots.py
@@ -1,4 +1,4 @@
-"""Tables of numbered slots, bounded in size."""
+"""A table of bounded size whose items have unique ids."""
 
 from __future__ import annotations
 
@@ -9,17 +9,17 @@
 
 
 class SlotTable(Generic[T]):
-    """Holds a bounded number of items, each under an id that is never used again.
+    """Holds a bounded number of items, each under an id that is never reused.
 
-    An id consists of the number of a slot and of that slot's generation, which grows each time that an item
-    is removed. So a late event or timer that still holds an old id can't reach the next item of the slot.
+    An id combines the index of a slot with the slot's generation, which is incremented whenever an item is
+    removed. So a late event or timer with an old id can't access the next item of the slot.
     """
 
     def __init__(self, size: int) -> None:
         if size < 1:
-            raise ValueError(f"a table of {size} slots")
+            raise ValueError(f"a table needs at least 1 slot, got {size} slots")
         self._size = size
-        self._items: list[T | None] = []  # grows to the size as slots are first used
+        self._items: list[T | None] = []  # grows up to `size` as slots are first used
         self._generations: list[int] = []
         self._free: list[int] = []
 
@@ -27,7 +27,7 @@
         return len(self._items) - len(self._free)
 
     def __iter__(self) -> Iterator[T]:
-        """The items held now; the table may change during the iteration."""
+        """Iterate over a copy of the items, so that the table may change meanwhile."""
         return iter([item for item in self._items if item is not None])
 
     def add(self, item: T) -> int | None:
@@ -44,14 +44,14 @@
         return self._generations[index] * self._size + index
 
     def get(self, item_id: int) -> T | None:
-        """The item of this id, unless it was removed."""
+        """The item with this id; None if it was removed."""
         generation, index = divmod(item_id, self._size)
         if index >= len(self._items) or self._generations[index] != generation:
             return None
         return self._items[index]
 
     def remove(self, item_id: int) -> T | None:
-        """Remove the item of this id and return it; None if it was removed before."""
+        """Remove and return the item with this id; None if it was removed before."""
         item = self.get(item_id)
         if item is not None:
             index = item_id % self._size
--- a/stepflow/node/runtime/timers.py
+++ b/stepflow/node/runtime/timers.py
@@ -1,8 +1,8 @@
-"""All timers of the node, in one heap behind one delayed call of the reactor.
+"""All timers of the node, in one heap that uses one delayed call of the reactor.
 
 Times are those of the node's clock. A request sets several timers and cancels nearly all of them, so
-cancelling only marks a timer; marked ones are dropped from the heap when they come up, or all at once when
-they are many.
+cancelling only marks a timer. Marked timers are removed from the heap when they are due, or all at once when
+there are many.
 """
 
 from __future__ import annotations
@@ -18,12 +18,12 @@
 
 log = get_logger()
 
-LATENESS_LOGGED = timedelta(milliseconds=250)  # a timer that fires later than this is logged
-COMPACT_FROM = 256  # cancelled timers that may stay in the heap
+MIN_LOGGED_LATENESS = timedelta(milliseconds=250)  # a timer that fires more than this late is logged
+MIN_CANCELLED_TO_COMPACT = 256  # the heap is not compacted for fewer cancelled timers
 
 
 class Timer:
-    """A scheduled call, which is made once unless it is cancelled before."""
+    """A scheduled call, made once unless it is cancelled before."""
 
     __slots__ = ("_call", "_timers")
 
@@ -31,40 +31,40 @@
         self._timers, self._call = timers, call
 
     def cancel(self) -> None:
-        """Cancel the call; without effect if it was cancelled or made before."""
-        if self._call is not _no_call:
-            self._call = _no_call
+        """Cancel the call; do nothing if it was cancelled or made before."""
+        if self._call is not _no_op:
+            self._call = _no_op
             self._timers.count_cancelled()
 
     def fire(self) -> None:
-        """Make the call; what it holds is freed with it."""
-        call, self._call = self._call, _no_call
+        """Make the call, and drop the reference to it, which frees the objects that it holds."""
+        call, self._call = self._call, _no_op
         call()
 
     @property
     def is_pending(self) -> bool:
-        """Whether the call is still to be made."""
-        return self._call is not _no_call
+        """Whether the call was neither made nor cancelled."""
+        return self._call is not _no_op
 
 
-def _no_call() -> None:
-    """The call of a timer that was cancelled or has fired."""
+def _no_op() -> None:
+    """Do nothing: the call of a timer that was cancelled or has fired."""
 
 
 class Timers:
-    """Schedules calls; the reactor knows of the earliest only."""
+    """Schedules calls; only the earliest is scheduled with the reactor."""
 
     def __init__(self, clock: Clock, reactor: Reactor, counters: Counters) -> None:
         self._clock, self._reactor, self._counters = clock, reactor, counters
         self._heap: list[tuple[timedelta, int, Timer]] = []
-        self._count = 0  # timers so far: those of one time fire in the order in which they were set
-        self._cancelled = 0  # timers in the heap that were cancelled, or a few more
+        self._count = 0  # timers set so far; orders timers that are due at the same time
+        self._cancelled = 0  # cancelled timers in the heap; may be slightly too high
         self._wakeup: DelayedCall | None = None
         self._wakeup_time = timedelta.max
         self._is_firing = False
 
     def at(self, due: timedelta, call: Callable[[], None]) -> Timer:
-        """Schedule a call for a time of the node's clock."""
+        """Schedule a call for a time on the node's clock."""
         timer = Timer(self, call)
         self._count += 1
         heappush(self._heap, (due, self._count, timer))
@@ -73,13 +73,13 @@
         return timer
 
     def after(self, span: timedelta, call: Callable[[], None]) -> Timer:
-        """Schedule a call for a span from now."""
+        """Schedule a call after a time span."""
         return self.at(self._clock.now() + span, call)
 
     def count_cancelled(self) -> None:
-        """Count a cancelled timer, and compact the heap once half of it is cancelled."""
+        """Count a cancelled timer; compact the heap once there are many and they exceed half of it."""
         self._cancelled += 1
-        if self._cancelled >= COMPACT_FROM and 2 * self._cancelled > len(self._heap):
+        if self._cancelled >= MIN_CANCELLED_TO_COMPACT and 2 * self._cancelled > len(self._heap):
             self._heap = [entry for entry in self._heap if entry[2].is_pending]
             heapify(self._heap)
             self._cancelled = 0
@@ -91,13 +91,13 @@
         if self._heap:
             self._wakeup_time = self._heap[0][0]
             delay_s = max(0.0, (self._wakeup_time - self._clock.now()).total_seconds())
-            self._wakeup = self._reactor.callLater(delay_s, self._wake)
+            self._wakeup = self._reactor.callLater(delay_s, self._defer_firing)
 
-    def _wake(self) -> None:
-        """Fire in the reactor's next turn, after it has read all sockets once.
+    def _defer_firing(self) -> None:
+        """Defer the due timers to the reactor's next turn, after it has read all sockets once.
 
-        In each turn the reactor makes due calls before it reads. A process that was held up would take a
-        timer for overdue although the data that should have cancelled it has come in time.
+        In each turn the reactor makes due calls before it reads. After the process was blocked, a timer would
+        otherwise fire although the data that should have cancelled it had arrived in time.
         """
         self._wakeup = self._reactor.callLater(0, self._fire_due)
 
@@ -114,17 +114,17 @@
                 try:
                     timer.fire()
                 except Exception:
-                    log.exception("a timer's call failed")  # the others still have to fire
+                    log.exception("a timer's call failed")  # the other timers must still fire
         finally:
             self._is_firing = False
             self._schedule_wakeup()
 
     def _check_lateness(self, now: timedelta) -> None:
-        """Log and count that the process was held up, or that the clock jumped."""
+        """Log and count a late timer: the process was blocked, or the clock jumped."""
         while self._heap and not self._heap[0][2].is_pending:
             heappop(self._heap)
             self._cancelled = max(0, self._cancelled - 1)
         lateness = now - self._heap[0][0] if self._heap else ZERO
-        if lateness > LATENESS_LOGGED:
+        if lateness > MIN_LOGGED_LATENESS:
             self._counters.late_deadlines += 1
             log.warning("deadlines come late", late_s=lateness.total_seconds())
--- a/stepflow/node/runtime/transports.py
+++ b/stepflow/node/runtime/transports.py
@@ -1,7 +1,7 @@
-"""The parts of Twisted that the node uses, as types, and what Twisted's transports don't offer.
+"""Types for the parts of Twisted that the node uses, and functions that its transports lack.
 
-Twisted's classes are not typed; the protocols here have the methods that the node calls, with Twisted's names
-and arguments. Of the functions, `unsent_bytes`, `flush` and `release_without_shutdown` use attributes that
+Twisted's classes are not typed; the protocols here declare the methods that the node calls, with Twisted's
+names and arguments. The functions `unsent_bytes`, `flush` and `release_without_shutdown` use attributes that
 Twisted doesn't document.
 """
 
@@ -17,18 +17,18 @@
 from twisted.internet.error import ConnectionDone
 from twisted.python.failure import Failure
 
-CLOSED_DESCRIPTOR = -1  # `fileno` of a transport that is closed
-MAX_PENDING_BYTES = 1 << 18  # that are read at once of a connection, whoever takes them
+CLOSED_DESCRIPTOR = -1  # `fileno()` of a closed transport
+MAX_PENDING_BYTES = 1 << 18  # read at once from one connection, by `read_pending`
 
 
 class DelayedCall(Protocol):
-    """A call that was scheduled by `Reactor.callLater`."""
+    """A call scheduled by `Reactor.callLater`."""
 
     def active(self) -> bool:
-        """Whether it is still to be made."""
+        """Whether the call is still pending."""
 
     def cancel(self) -> None:
-        """Cancel it; an error if it isn't active."""
+        """Cancel the call; raises an error if it isn't active."""
 
 
 class Connector(Protocol):
@@ -40,48 +40,48 @@
         """Connect again after the connection was lost."""
 
     def stopConnecting(self) -> None:
-        """Give up a connection that is being established."""
+        """Cancel a connection that is being established."""
 
 
 class Transport(Protocol):
     """A TCP connection."""
 
     def write(self, data: bytes) -> None:
-        """Send data, or keep what the kernel doesn't take now."""
+        """Send data; what the kernel doesn't accept now is buffered."""
 
     def loseConnection(self) -> None:
         """Close the connection once everything is sent."""
 
     def loseWriteConnection(self) -> None:
-        """Send a FIN once everything is sent, and go on reading."""
+        """Send a FIN once everything is sent, and keep reading."""
 
     def abortConnection(self) -> None:
-        """Close the connection now, by a reset."""
+        """Reset the connection now."""
 
     def connectionLost(self, reason: Failure) -> None:
         """Close the socket and notify the protocol."""
 
     def setTcpNoDelay(self, enabled: bool) -> None:
-        """Whether small writes are sent at once."""
+        """Set whether small writes are sent at once."""
 
     def pauseProducing(self) -> None:
         """Stop reading."""
 
     def resumeProducing(self) -> None:
-        """Go on reading."""
+        """Resume reading."""
 
     def registerProducer(self, producer: Any, streaming: bool) -> None:
-        """Call a producer when data can be sent."""
+        """Register a producer, which is paused and resumed with the write buffer."""
 
     def unregisterProducer(self) -> None:
-        """Call the producer no more."""
+        """Unregister the producer."""
 
     def fileno(self) -> int:
         """The socket's file descriptor."""
 
 
 class UnixTransport(Transport, Protocol):
-    """A connection of a Unix socket."""
+    """A Unix socket connection."""
 
     def sendFileDescriptor(self, fileno: int) -> None:
         """Pass a file descriptor with the data that is sent next."""
@@ -98,23 +98,23 @@
     """A listening socket."""
 
     def getHost(self) -> Any:
-        """Its address."""
+        """The address of the socket."""
 
     def fileno(self) -> int:
-        """Its file descriptor."""
+        """The file descriptor of the socket."""
 
     def stopListening(self) -> Any:
-        """Close it."""
+        """Close the socket."""
 
 
 class Reactor(Protocol):
-    """Twisted's default reactor. Delays and time-outs are in seconds."""
+    """Twisted's reactor. Delays and timeouts are in seconds."""
 
     def callLater(self, delay: float, call: Callable[..., Any], *args: Any) -> DelayedCall:
         """Schedule a call."""
 
     def callFromThread(self, call: Callable[..., Any], *args: Any) -> None:
-        """Make a call in the reactor's thread; the one method that other threads may use."""
+        """Make a call in the reactor's thread; the only method that other threads may use."""
 
     def listenTCP(self, port: int, factory: Any, backlog: int = ..., interface: str = ...) -> Port:
         """Accept TCP connections."""
@@ -123,58 +123,58 @@
         """Receive datagrams."""
 
     def addSystemEventTrigger(self, phase: str, event: str, call: Callable[[], Any]) -> Any:
-        """Have a call made before, during or after a system event, such as the shutdown."""
+        """Schedule a call before, during or after a system event, such as the shutdown."""
 
     def run(self, installSignalHandlers: bool = ...) -> None:
-        """Serve until `stop` is called."""
+        """Run until `stop` is called."""
 
     def stop(self) -> None:
         """End `run`."""
 
 
 def unsent_bytes(transport: Transport) -> int:
-    """How many bytes were written and not yet taken by the kernel."""
+    """The number of bytes written but not yet accepted by the kernel."""
     inner = cast(Any, transport)
     return sum(map(len, inner._tempDataBuffer)) + len(inner.dataBuffer) - int(inner.offset)
 
 
 def unread_bytes(descriptor: int) -> int:
-    """How many bytes wait in the kernel to be read; 0 where it can't tell, and for a closed connection."""
+    """The number of bytes in the kernel's receive queue; 0 if unknown, and for a closed connection."""
     return _queue_length(descriptor, termios.FIONREAD)
 
 
 def end_is_held(transport: Transport) -> bool:
-    """Whether the other side has broken the connection, and bytes that came before are unread."""
+    """Whether the connection is broken, but data received before that is still unread."""
     return bool(getattr(transport, "end_is_held", False))
 
 
 def read_pending(transport: Transport) -> Iterator[bytes]:
-    """Read what the kernel holds now, up to `MAX_PENDING_BYTES`; ends are left to the reactor."""
-    left = MAX_PENDING_BYTES
-    while left > 0:
+    """Read what the kernel holds now, up to `MAX_PENDING_BYTES`; the reactor handles ends and errors."""
+    remaining = MAX_PENDING_BYTES
+    while remaining > 0:
         try:
-            data = cast(Any, transport).socket.recv(left)
-        except (AttributeError, OSError):  # the socket is closed, or nothing waits
+            data = cast(Any, transport).socket.recv(remaining)
+        except (AttributeError, OSError):  # the socket is closed, or there is no data
             return
         if not data:
             return
-        left -= len(data)
+        remaining -= len(data)
         yield data
 
 
 def unread_at_close(transport: Transport) -> int:
-    """How many bytes were left unread when this process closed a connection; 0 for one that is open."""
+    """The number of bytes left unread when a connection was closed; 0 while it is open."""
     return getattr(transport, "left_unread", 0)
 
 
 def unacknowledged_bytes(descriptor: int) -> int:
-    """How many bytes the kernel has taken and the other side's has not; 0 as for `unread_bytes`."""
+    """The number of sent bytes that the other host has not acknowledged; 0 as for `unread_bytes`."""
     return _queue_length(descriptor, termios.TIOCOUTQ)
 
 
 def _queue_length(descriptor: int, request: int) -> int:
-    """The length of one of a socket's queues (tcp(7): SIOCINQ and SIOCOUTQ, by their older names)."""
-    if descriptor == CLOSED_DESCRIPTOR:  # ioctl raises ValueError, which would break off a close
+    """The length of a socket's queue; `request` is SIOCINQ or SIOCOUTQ of tcp(7), by its older name."""
+    if descriptor == CLOSED_DESCRIPTOR:  # for which ioctl raises ValueError, and would interrupt a close
         return 0
     length = array("i", [0])
     try:
@@ -185,7 +185,7 @@
 
 
 def has_unread(transport: Transport | Port) -> bool:
-    """Whether something waits to be read: data, the other side's FIN, or a connection to accept."""
+    """Whether data, the other side's FIN or a connection to accept is pending."""
     if transport.fileno() == CLOSED_DESCRIPTOR:
         return False
     poll = select.poll()
@@ -194,7 +194,7 @@
 
 
 def has_ended(transport: Transport) -> bool:
-    """Whether the other side has sent a FIN or the connection is over, though data before it is unread."""
+    """Whether a FIN was received or the connection is closed, even if data before that is unread."""
     if transport.fileno() == CLOSED_DESCRIPTOR:
         return True
     poll = select.poll()
@@ -203,18 +203,18 @@
 
 
 def flush(transport: Transport) -> None:
-    """Write what waits now rather than in the reactor's next turn; a failure shows in that turn.
+    """Write buffered data now instead of in the reactor's next turn, in which an error is handled.
 
-    After a partial write it writes again, until the kernel takes no more.
+    Repeats partial writes until the kernel accepts no more.
     """
-    while waiting := unsent_bytes(transport):
+    while unsent := unsent_bytes(transport):
         cast(Any, transport).doWrite()
-        if unsent_bytes(transport) == waiting:
+        if unsent_bytes(transport) == unsent:
             return
 
 
 def finish(transport: Transport) -> None:
-    """Close a connection whose sending side is shut: by a reset only where data of it was never sent."""
+    """Close a connection for which nothing more is written; reset it only if some data is unsent."""
     if unsent_bytes(transport):
         transport.abortConnection()
     else:
@@ -222,9 +222,9 @@
 
 
 def release_without_shutdown(transport: Transport) -> None:
-    """Close this process's copy of a socket that another process holds too.
+    """Close this process's copy of a socket that another process also holds.
 
-    Twisted shuts a socket down before it closes it, which would end the connection for both processes.
+    Twisted calls shutdown(2) before close(2), which would end the connection for both processes.
     """
     cast(Any, transport)._shouldShutdown = False
     transport.connectionLost(Failure(ConnectionDone()))  # type: ignore[no-untyped-call]
--- a/stepflow/node/runtime/wall_clock.py
+++ b/stepflow/node/runtime/wall_clock.py
@@ -1,4 +1,4 @@
-"""Watches the machine's wall clock: a step of it is logged and counted, and changes nothing in the node."""
+"""Detects steps of the machine's wall clock; they are logged and counted, and do not affect the node."""
 
 from __future__ import annotations
 
@@ -13,19 +13,19 @@
 log = get_logger()
 
 CHECK_INTERVAL = timedelta(seconds=1)
-# A smaller difference may be a slew, or the process was held up between the reads of the two clocks.
+# A smaller difference may be a slew, or a delay of the process between reading the two clocks.
 MIN_STEP = timedelta(milliseconds=100)
 
 
 class WallClockMonitor:
-    """Compares the wall clock with the monotonic one at intervals."""
+    """Compares the wall clock with the monotonic clock at intervals."""
 
     def __init__(self, timers: Timers, counters: Counters) -> None:
         self._timers, self._counters = timers, counters
         self._offset = _wall_clock_offset()
 
     def begin(self) -> None:
-        """Check from now on, until the process ends."""
+        """Start the periodic check, which runs until the process ends."""
         self._timers.after(CHECK_INTERVAL, self._check)
 
     def _check(self) -> None:
@@ -39,5 +39,5 @@
 
 
 def _wall_clock_offset() -> timedelta:
-    """How far the wall clock is ahead of the monotonic one."""
+    """How far the wall clock is ahead of the monotonic clock."""
     return timedelta(microseconds=(time.time_ns() - time.monotonic_ns()) // NS_PER_MICROSECOND)
--- a/tests/node/runtime/test_timers.py
+++ b/tests/node/runtime/test_timers.py
@@ -8,7 +8,7 @@
 from twisted.internet.task import Clock as TwistedClock
 
 from stepflow.node.runtime.counters import Counters
-from stepflow.node.runtime.timers import COMPACT_FROM, Timers
+from stepflow.node.runtime.timers import MIN_CANCELLED_TO_COMPACT, Timers
 from stepflow.node.runtime.transports import Reactor
 from tests.node.runtime.virtual_clock import HandClock
 
@@ -25,7 +25,7 @@
     for second in (3, 1, 2):
         timers.after(timedelta(seconds=second), lambda second=second: fired.append(second))  # type: ignore[misc]
     timers.after(timedelta(seconds=1), fail)
-    cancelled = [timers.after(timedelta(seconds=1), fail) for _ in range(2 * COMPACT_FROM)]
+    cancelled = [timers.after(timedelta(seconds=1), fail) for _ in range(2 * MIN_CANCELLED_TO_COMPACT)]
     for timer in cancelled:
         timer.cancel()
         timer.cancel()
