--- a/tests/node/runtime/test_lines.py
+++ b/tests/node/runtime/test_lines.py
@@ -1,4 +1,4 @@
-"""The line codec."""
+"""Splitting a stream into lines."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 @pytest.mark.parametrize(("size", "overlong"), [(4094, False), (4095, True)])
-def test_a_line_may_have_4_kib_with_its_delimiter(size: int, overlong: bool) -> None:
+def test_a_line_may_have_4_kib_including_its_delimiter(size: int, overlong: bool) -> None:
     scanner = LineScanner()
     scanner.feed(b"x" * size + b"\r\n")
     assert (scanner.next_line() is None) == overlong == scanner.overlong
--- a/tests/node/runtime/test_slots.py
+++ b/tests/node/runtime/test_slots.py
@@ -1,4 +1,4 @@
-"""The table of numbered slots."""
+"""The table of slots with unique ids."""
 
 from __future__ import annotations
 
--- a/tests/node/runtime/test_timers.py
+++ b/tests/node/runtime/test_timers.py
@@ -20,7 +20,7 @@
 
     def fail() -> None:
         fired.append(0)
-        raise RuntimeError("the others fire all the same")
+        raise RuntimeError("the other timers fire nevertheless")
 
     for second in (3, 1, 2):
         timers.after(timedelta(seconds=second), lambda second=second: fired.append(second))  # type: ignore[misc]
--- a/tests/node/runtime/virtual_clock.py
+++ b/tests/node/runtime/virtual_clock.py
@@ -1,4 +1,4 @@
-"""The node's clock on Twisted's clock for tests."""
+"""The node's clock, driven by Twisted's test clock."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class HandClock(Clock):
-    """Tells the time of Twisted's clock for tests."""
+    """A clock whose time is that of Twisted's test clock."""
 
     def __init__(self, reactor: TwistedClock) -> None:
         self._reactor = reactor
--- a/tests/node/session_kit.py
+++ b/tests/node/session_kit.py
@@ -1,4 +1,4 @@
-"""Sessions whose ends are played by the test, to the turn: endpoints that leave their connections to it."""
+"""Sessions whose two ends the test controls, down to the reactor turn in which the node sees their data."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class SilentPeer(Peer):
-    """An endpoint that leaves each connection to the test once it has read OPEN, and answers `up` to that."""
+    """An endpoint that answers OPEN with `up`, if any, and then leaves the connection to the test."""
 
     def __init__(self, up: str | None = "UP r1") -> None:
         self.up = up
@@ -30,8 +30,8 @@
 
 
 @contextmanager
-def held_still(node: Node) -> Iterator[None]:
-    """What the other sides do inside comes to the node in one turn."""
+def frozen(node: Node) -> Iterator[None]:
+    """Freeze the node inside the block, so that it sees all that the other sides do there in one turn."""
     node.freeze()
     try:
         yield
@@ -40,14 +40,14 @@
 
 
 def session(node: Node, peer: Peer, number: int = 1) -> tuple[Line, Line]:
-    """An established session: its client's connection, and its endpoint's."""
+    """Establish a session; return the client's connection and the endpoint's."""
     client = node.client(opening(number))
     assert client.read() == "UP r1"
     return client, peer.standing.get(timeout=PATIENCE)
 
 
 def read_to_end(line: Line) -> list[str]:
-    """All lines up to the end, and that as the last: "" or "RESET"."""
+    """Read all lines up to the end; the last item is the end itself: "" for a FIN, or "RESET"."""
     found = [line.read()]
     while found[-1] not in ("", "RESET"):
         found.append(line.read())
@@ -55,26 +55,26 @@
 
 
 def end_of(reset: bool) -> str:
-    """What the other side reads at such an end."""
+    """What `read` returns at a FIN or at a reset."""
     return "RESET" if reset else ""
 
 
-def many(kilobytes: int) -> list[str]:
-    """So many lines of a kilobyte, each with its number."""
+def kilobyte_lines(kilobytes: int) -> list[str]:
+    """Numbered lines of about a kilobyte each."""
     return [f"LOAD {number:06d} {'z' * 1010}" for number in range(kilobytes)]
 
 
-def slow_session(node: Node, peer: Peer) -> tuple[Line, Line]:
-    """A session whose client takes no more than a few kilobytes until it reads."""
+def small_buffer_session(node: Node, peer: Peer) -> tuple[Line, Line]:
+    """Establish a session whose client has a receive buffer of a few kilobytes."""
     client = node.client(opening(), receive_buffer=4096)
     assert client.read() == "UP r1"
     return client, peer.standing.get(timeout=PATIENCE)
 
 
 def flood(line: Line) -> None:
-    """Send until the node has not read for a while."""
+    """Send until the node has stopped reading for 0.3 s."""
     for _ in range(2000):
         if not select.select([], [line.sock], [], 0.3)[1]:
             return
         line.sock.send((b"LOAD " + b"0" * 4000 + b"1\r\n") * 8, socket.MSG_DONTWAIT)
-    raise AssertionError("the node reads on without end")
+    raise AssertionError("the node never stops reading")
--- a/tests/node/test_ends_in_order.py
+++ b/tests/node/test_ends_in_order.py
@@ -1,7 +1,8 @@
-"""The mistake of test_last_lines.py on other connections and in other phases of a process.
+"""The failure of test_last_lines.py on other connections and in other phases of a process.
 
-An end is told by a failing write, by a hang-up while reading is paused, by a FIN of one direction, by an
-overlong line, by a migration or by a shutdown; each comes behind the bytes that were sent before it.
+A connection's end becomes known by a failing write, a hang-up while reading is paused, a FIN of one
+direction, an overlong line, a migration or a shutdown. In each case the data sent before it is delivered
+first.
 """
 
 from __future__ import annotations
@@ -22,61 +23,61 @@
     SilentPeer,
     end_of,
     flood,
-    held_still,
-    many,
+    frozen,
+    kilobyte_lines,
     read_to_end,
     session,
-    slow_session,
+    small_buffer_session,
 )
 from tests.node_kit import PATIENCE, Discovery, Node, Peer, opening
 
 TRANSFERS = [Call.RECV_ACCEPTED, Call.SEND_ACCEPTED, Call.RECV_DIALLED, Call.SEND_DIALLED]
-SHORTAGES = [errno.ENOMEM, errno.ENOBUFS, errno.EINTR, errno.EAGAIN]
+TRANSIENT_ERRNOS = [errno.ENOMEM, errno.ENOBUFS, errno.EINTR, errno.EAGAIN]
 
 
-def drops(node: Node) -> str:
-    """The metric that counts connections which were closed with bytes for them dropped."""
-    _, told = node.ops("/v1/metrics")
-    return next(line for line in told.splitlines() if line.startswith("edge_gw.truncated:"))
+def truncated_metric(node: Node) -> str:
+    """The metric of connections that were closed with bytes for them dropped."""
+    _, metrics = node.ops("/v1/metrics")
+    return next(line for line in metrics.splitlines() if line.startswith("edge_gw.truncated:"))
 
 
 @pytest.mark.parametrize("reset", [False, True])
-def test_more_than_one_read_holds_reaches_its_client_though_a_write_fails(reset: bool) -> None:
-    """The client's line goes out to an endpoint that has ended, while half of what that wrote is unread."""
+def test_data_beyond_one_read_reaches_the_client_although_a_write_fails(reset: bool) -> None:
+    """The client's line is written to an endpoint that has closed, while half of its data is still unread."""
     with Node(peer := SilentPeer()) as node:
         client, endpoint = session(node, peer)
-        with held_still(node):
+        with frozen(node):
             client.send("M 1")
-            endpoint.send(*many(110))
+            endpoint.send(*kilobyte_lines(110))
             endpoint.close(reset)
         read = read_to_end(client)
-        assert read[:-1] == many(110)
-        assert read[-1] in ("", "RESET")  # which of the two, the order of the turn decides
+        assert read[:-1] == kilobyte_lines(110)
+        assert read[-1] in ("", "RESET")  # depends on the order of events within the turn
 
 
 @pytest.mark.parametrize("reset", [False, True])
-def test_a_client_that_reads_late_gets_everything_ahead_of_the_end(reset: bool) -> None:
-    """Its endpoint stops at the client's full buffer: the end is told while reading is paused."""
+def test_a_client_that_reads_late_receives_all_data_before_the_end(reset: bool) -> None:
+    """The client's full buffer pauses its endpoint, whose end becomes known while reading is paused."""
     with Node(peer := SilentPeer()) as node:
-        client, endpoint = slow_session(node, peer)
-        endpoint.send(*many(90))
+        client, endpoint = small_buffer_session(node, peer)
+        endpoint.send(*kilobyte_lines(90))
         endpoint.close(reset)
         time.sleep(0.3)
-        assert read_to_end(client) == [*many(90), end_of(reset)]
-        assert drops(node) == "edge_gw.truncated:0|c"
+        assert read_to_end(client) == [*kilobyte_lines(90), end_of(reset)]
+        assert truncated_metric(node) == "edge_gw.truncated:0|c"
 
 
-def test_what_a_client_never_reads_is_counted_as_dropped() -> None:
+def test_data_that_a_client_never_reads_is_counted_as_dropped() -> None:
     with Node(peer := SilentPeer()) as node:
-        client, endpoint = slow_session(node, peer)
+        client, endpoint = small_buffer_session(node, peer)
         flood(endpoint)
         endpoint.close(reset=True)
         node.wait_log("bytes of a session were dropped.* to=client")
-        assert drops(node) == "edge_gw.truncated:1|c"
+        assert truncated_metric(node) == "edge_gw.truncated:1|c"
         client.close()
 
 
-def test_a_client_that_has_ended_its_sending_reads_on() -> None:
+def test_a_client_that_half_closes_still_receives_data() -> None:
     with Node(peer := SilentPeer()) as node:
         client, endpoint = session(node, peer)
         client.send("LAST words")
@@ -87,10 +88,10 @@
         assert read_to_end(client) == [*LAST, ""]
 
 
-def test_an_endpoint_that_has_ended_its_sending_reads_on() -> None:
+def test_an_endpoint_that_half_closes_still_receives_data() -> None:
     with Node(peer := SilentPeer()) as node:
         client, endpoint = session(node, peer)
-        with held_still(node):
+        with frozen(node):
             client.send("LAST words")
             endpoint.send(*LAST)
             endpoint.sock.shutdown(socket.SHUT_WR)
@@ -100,25 +101,25 @@
 
 
 @pytest.mark.parametrize("by_client", [False, True])
-def test_lines_ahead_of_an_overlong_one_are_passed_on(by_client: bool) -> None:
+def test_lines_before_an_overlong_line_are_relayed(by_client: bool) -> None:
     with Node(peer := SilentPeer()) as node:
         client, endpoint = session(node, peer)
         writer, reader = (client, endpoint) if by_client else (endpoint, client)
-        with held_still(node):
+        with frozen(node):
             writer.send(*LAST, "x" * 5000)
         assert read_to_end(reader)[: len(LAST)] == LAST
 
 
-def test_lines_that_lie_unread_at_a_migration_come_ahead_of_move() -> None:
-    """More than the node reads of one connection in a turn."""
+def test_lines_unread_at_a_migration_are_relayed_before_move() -> None:
+    """The data exceeds what the node reads from one connection in a turn."""
     with Node(peer := SilentPeer()) as node:
         client, endpoint = session(node, peer)
         node.terminate()
         node.wait_log("listens no more")
-        with held_still(node):
-            endpoint.send(*many(110))
-            time.sleep(0.9)  # the time of the migration comes and goes
-        assert read_to_end(client) == [*many(110), "MOVE", ""]
+        with frozen(node):
+            endpoint.send(*kilobyte_lines(110))
+            time.sleep(0.9)  # the time of the migration passes
+        assert read_to_end(client) == [*kilobyte_lines(110), "MOVE", ""]
 
 
 @pytest.mark.parametrize("reset", [False, True])
@@ -127,7 +128,7 @@
         (client, endpoint), (other, other_endpoint) = session(node, peer), session(node, peer, 2)
         node.terminate()
         node.wait_log("leaves")
-        with held_still(node):
+        with frozen(node):
             endpoint.send(*LAST)
             endpoint.close(reset)
             other.send(*LAST)
@@ -138,14 +139,14 @@
 
 @pytest.mark.parametrize("by_client", [False, True])
 @pytest.mark.parametrize("reset", [False, True])
-def test_last_lines_of_a_session_that_was_handed_over(reset: bool, by_client: bool) -> None:
+def test_last_lines_are_relayed_after_a_hand_over(reset: bool, by_client: bool) -> None:
     with Node(peer := SilentPeer()) as node:
         client, endpoint = session(node, peer)
         with node.successor() as successor:
             node.terminate()
             node.process.wait(PATIENCE)
             writer, reader = (client, endpoint) if by_client else (endpoint, client)
-            with held_still(successor):
+            with frozen(successor):
                 writer.send(*LAST)
                 writer.close(reset)
             assert read_to_end(reader) == [*LAST, end_of(reset)]
@@ -153,33 +154,33 @@
 
 @pytest.mark.parametrize("by_client", [False, True])
 @pytest.mark.parametrize("reset", [False, True])
-def test_last_lines_of_a_session_that_is_being_handed_over(reset: bool, by_client: bool) -> None:
-    """They come while its connections are on their way between the processes, and nobody reads them."""
+def test_last_lines_are_relayed_during_a_hand_over(reset: bool, by_client: bool) -> None:
+    """They arrive while the connections are passed between the processes and neither process reads them."""
     with Node(peer := SilentPeer(), change=set_class(give_up_us=3_000_000)) as node:
         client, endpoint = session(node, peer)
         with node.successor() as successor:
-            time.sleep(0.3)  # until it has told that it serves
-            with held_still(successor):
+            time.sleep(0.3)  # until the successor has announced that it serves
+            with frozen(successor):
                 node.terminate()
                 node.wait_log("listens no more")
-                time.sleep(0.1)  # until it is offered
+                time.sleep(0.1)  # until the session is offered
                 writer, reader = (client, endpoint) if by_client else (endpoint, client)
                 writer.send(*LAST)
                 writer.close(reset)
             assert read_to_end(reader) == [*LAST, end_of(reset)]
 
 
-def test_sessions_passed_by_a_process_that_was_killed_go_on() -> None:
-    """Their messages lie unread, and the first answer to one shows that nobody is there."""
+def test_sessions_offered_by_a_process_that_is_killed_are_adopted() -> None:
+    """The successor reads their messages later; only its first answer shows that the sender is gone."""
     with Node(Peer("s-1"), change=set_class(give_up_us=3_000_000)) as node:
         clients = [node.client(opening(number)) for number in range(8)]
         assert [client.read() for client in clients] == ["UP r1"] * 8
         with node.successor() as successor:
-            time.sleep(0.3)  # until it has told that it serves
-            with held_still(successor):
+            time.sleep(0.3)  # until the successor has announced that it serves
+            with frozen(successor):
                 node.terminate()
                 node.wait_log("listens no more")
-                time.sleep(0.1)  # until they are offered
+                time.sleep(0.1)  # until the sessions are offered
                 node.process.kill()
                 node.process.wait(PATIENCE)
             for client in clients:
@@ -187,24 +188,24 @@
             assert [client.read() for client in clients] == ["M 1"] * 8
 
 
-def test_an_endpoint_that_rejects_and_closes_over_the_request_has_rejected_it() -> None:
-    """Its close resets the connection. For a reset alone, what must not run twice would be failed."""
+def test_a_rejection_followed_by_a_reset_counts_as_a_rejection() -> None:
+    """The close resets the connection. After a reset alone, a non-idempotent request would be failed."""
     with Node(peer := SilentPeer(up=None), change=set_class(effect="once")) as node:
         client = node.client(opening())
         endpoint = peer.standing.get(timeout=PATIENCE)
-        with held_still(node):
+        with frozen(node):
             endpoint.send("BUSY")
             endpoint.close(reset=True)
-        attempts = [peer.standing.get(timeout=PATIENCE)]  # a rejected request is tried again
+        attempts = [peer.standing.get(timeout=PATIENCE)]  # a rejected request is retried
         attempts[0].send("UP r1")
         assert client.read() == "UP r1"
 
 
-@pytest.mark.parametrize("error", SHORTAGES)
+@pytest.mark.parametrize("error", TRANSIENT_ERRNOS)
 @pytest.mark.parametrize(
     "call", [Call.RECV_ACCEPTED, Call.SEND_ACCEPTED, Call.RECV_DIALLED, Call.SEND_DIALLED]
 )
-def test_a_session_outlasts_shortages_of_its_machine(tmp_path: Path, call: Call, error: int) -> None:
+def test_a_session_survives_transient_errors_of_recv_and_send(tmp_path: Path, call: Call, error: int) -> None:
     machine = Machine(tmp_path)
     with on(machine, Node(peer := Peer("s-1"))) as node:
         client = node.client(opening())
@@ -220,26 +221,26 @@
 
 
 @pytest.mark.parametrize("call", [Call.RECV_ACCEPTED, Call.RECV_DIALLED])
-def test_last_lines_are_read_though_memory_is_short(tmp_path: Path, call: Call) -> None:
+def test_last_lines_are_read_although_recv_fails_with_enomem(tmp_path: Path, call: Call) -> None:
     machine = Machine(tmp_path)
     with on(machine, Node(peer := SilentPeer())) as node:
         client, endpoint = session(node, peer)
         writer, reader = (client, endpoint) if call is Call.RECV_ACCEPTED else (endpoint, client)
         machine.fail(call, 0.8, [errno.ENOMEM])
-        with held_still(node):
+        with frozen(node):
             reader.send("M 1")
-            writer.send(*many(60))
+            writer.send(*kilobyte_lines(60))
             writer.close(reset=True)
-        assert read_to_end(reader)[:-1] == many(60)
+        assert read_to_end(reader)[:-1] == kilobyte_lines(60)
 
 
-def test_a_list_whose_call_is_reset_at_once_is_taken() -> None:
-    """What discovery has written counts as told."""
+def test_a_list_update_followed_by_a_reset_is_applied() -> None:
+    """Data that discovery wrote before the reset counts as received."""
     discovery = Discovery()
     first, second = Peer("s-1"), Peer("s-2")
     with Node(first, discovery=discovery) as node, closing(second):
         discovery.calls.get(timeout=PATIENCE)
-        with held_still(node):
+        with frozen(node):
             discovery.tell(second.entry(), first.entry("Gone"))
             discovery.told.put(Discovery.RESET)
             time.sleep(0.1)
--- a/tests/node/test_last_lines.py
+++ b/tests/node/test_last_lines.py
@@ -1,21 +1,20 @@
-"""Whatever one side wrote before its end reaches the other side, before that end does.
+"""Data that one side wrote before it ended reaches the other side, and before that end does.
 
 Seen in pre-production under fault injection: clients whose endpoint had answered UP saw their connection
-closed without a line, and sessions lost the lines that their endpoint wrote in the millisecond of its end. It
-came about where an endpoint writes and resets its connection at once: the node read the bytes, kept them for
-its next turn, learned of the reset in that turn and reset the client, bytes and all. The cause is that an end
-was carried out when it was heard of, in place of behind what came before it. What proved it: the same lines
-arrive if the end is a FIN, or if the reset comes some milliseconds later; `bytes of a session were dropped`
-counts them as unsent.
-
-The processes are held still while the other sides act, so that all of it comes in one turn.
+closed without a line, and sessions lost the lines that their endpoint wrote in the millisecond of its end.
+The endpoint wrote and then reset its connection at once. The node read the data, buffered it for its next
+turn, detected the reset in that turn and reset the client, dropping the data: it handled an end when it was
+detected instead of after the data before it. Evidence: the same lines arrive if the end is a FIN, or if the
+reset comes some milliseconds later; `bytes of a session were dropped` counts them as unsent.
+
+The process is frozen while the other sides act, so that it sees everything in one turn.
 """
 
 from __future__ import annotations
 
 import pytest
 
-from tests.node.session_kit import LAST, SilentPeer, end_of, held_still, read_to_end, session
+from tests.node.session_kit import LAST, SilentPeer, end_of, frozen, read_to_end, session
 from tests.node_kit import PATIENCE, Node, opening
 
 
@@ -24,7 +23,7 @@
     with Node(peer := SilentPeer(up=None)) as node:
         client = node.client(opening())
         endpoint = peer.standing.get(timeout=PATIENCE)
-        with held_still(node):
+        with frozen(node):
             endpoint.send("UP r1", *LAST)
             endpoint.close(reset)
         assert read_to_end(client) == ["UP r1", *LAST, end_of(reset)]
@@ -34,7 +33,7 @@
 def test_the_last_lines_of_an_endpoint_reach_its_client(reset: bool) -> None:
     with Node(peer := SilentPeer()) as node:
         client, endpoint = session(node, peer)
-        with held_still(node):
+        with frozen(node):
             endpoint.send(*LAST)
             endpoint.close(reset)
         assert read_to_end(client) == [*LAST, end_of(reset)]
@@ -44,7 +43,7 @@
 def test_the_last_lines_of_a_client_reach_its_endpoint(reset: bool) -> None:
     with Node(peer := SilentPeer()) as node:
         client, endpoint = session(node, peer)
-        with held_still(node):
+        with frozen(node):
             client.send(*LAST)
             client.close(reset)
         assert read_to_end(endpoint) == [*LAST, end_of(reset)]
--- a/tests/node/test_left_waiting.py
+++ b/tests/node/test_left_waiting.py
@@ -1,15 +1,15 @@
-"""A connection that the process has to end is ended, whatever comes on it in that moment.
-
-Seen in pre-production under fault injection: clients whose endpoint had ended, and who wrote their next line
-some twenty milliseconds later, stayed on a connection that nobody served and nobody closed. It came about
-where an endpoint resets: its client is reset 20 ms later, and a line that comes in the turn of that reset
-lies unread. The cause is that the transport took the process's own reset for an end of the other side: it
-read what was unread first, as it has to ahead of such an end, found the reset under way already, and left the
-close to it. What proved it: `connection end waits` names ConnectionAborted and the five bytes of the line,
-and `connection closed` never follows; with a FIN, or a client that is silent, it does.
-
-The process is held up for some milliseconds whenever it has looked at its sockets, so that what the test
-writes comes between that look and what the process does next.
+"""A connection that the process closes is closed, even if data arrives on it at that moment.
+
+Seen in pre-production under fault injection: clients whose endpoint had ended, and that wrote their next line
+some 20 ms later, stayed on a connection that was neither served nor closed. After an endpoint's reset its
+client is reset 20 ms later, and a line that arrives in the turn of that reset is unread. The transport
+mistook the process's own reset for an end of the other side: it first read the unread data, as it must before
+such an end, found that a reset was already under way, and left the close to that reset. Evidence: `connection
+end waits` names ConnectionAborted and the five bytes of the line, and `connection closed` never follows; it
+does follow after a FIN, or if the client is silent.
+
+The process is delayed by some milliseconds after each epoll_wait, so that data written by the test arrives
+between that call and what the process does next.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 
 
 @pytest.mark.parametrize("reset", [False, True])
-def test_a_client_that_writes_as_its_endpoint_ends_is_not_left_waiting(machine: Machine, reset: bool) -> None:
+def test_a_client_that_writes_as_its_endpoint_ends_is_closed_in_time(machine: Machine, reset: bool) -> None:
     with on(machine, Node(peer := SilentPeer())) as node:
         client, endpoint = session(node, peer)
         hold_up(machine)
--- a/tests/node/test_log_form.py
+++ b/tests/node/test_log_form.py
@@ -1,4 +1,4 @@
-"""The form of the log, as the operator's file says."""
+"""The form of the log, which the operator's file sets."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from tests.node_kit import Node, Peer, opening
 
 
-def test_the_form_of_the_log_is_the_operator_file_s_also_after_a_reload(tmp_path: Path) -> None:
+def test_the_form_of_the_log_follows_the_operators_file_across_reloads(tmp_path: Path) -> None:
     path = tmp_path / "op.conf"
     path.write_text("log {\n form json\n}\n")
     node = Node(Peer("s-1"))
--- a/tests/node/test_node_session_ends.py
+++ b/tests/node/test_node_session_ends.py
@@ -1,4 +1,4 @@
-"""Ends of sessions over loopback: in kind, in time, and with what is still on its way."""
+"""Ends of sessions over loopback: FIN or reset, their timing, and data in flight."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 
 
 @pytest.mark.parametrize("reset", [False, True])
-def test_fin_and_reset_are_passed_on_in_kind(reset: bool) -> None:
+def test_fin_is_relayed_as_fin_and_reset_as_reset(reset: bool) -> None:
     end = "RESET" if reset else ""
     with Node(peer := Peer("s-1", BREAK=end or "FIN")) as node:
         client = node.client(opening())
         assert client.read() == "UP r1"
-        client.send("BREAK")  # ... the connection, says the peer's script
+        client.send("BREAK")  # the endpoint ends the connection on this line
         assert client.read() == end
         other = node.client(opening(2))
         assert other.read() == "UP r1"
@@ -26,21 +26,21 @@
         assert peer.ends.get(timeout=PATIENCE) == (end or "FIN")
 
 
-def test_client_that_ends_while_its_endpoint_floods_it_ends_the_endpoint_in_kind() -> None:
-    """A close over the endpoint's unread bytes could reset it, and lose the client's last line."""
+def test_fin_of_a_client_is_relayed_as_fin_while_its_endpoint_floods_it() -> None:
+    """Closing with unread data from the endpoint could reset it, and lose the client's last line."""
     with Node(peer := Peer("s-1", LAST=None)) as node:
         client = node.client(opening())
         assert client.read() == "UP r1"
         flood(peer.standing.get(timeout=PATIENCE))
         client.send("LAST words")
         client.sock.shutdown(socket.SHUT_WR)
-        said = [peer.lines.get(timeout=PATIENCE) for _ in range(2)]
-        assert said[1] == "LAST words"
+        received = [peer.lines.get(timeout=PATIENCE) for _ in range(2)]
+        assert received[1] == "LAST words"
         assert peer.ends.get(timeout=PATIENCE) == "FIN"
 
 
-def test_client_that_never_reads_is_closed_within_3_s_and_others_are_unharmed() -> None:
-    """Else it would stay for good, with its endpoint's lines held back behind what it leaves unread."""
+def test_client_that_never_reads_is_closed_within_3_s_and_others_are_unaffected() -> None:
+    """Otherwise it would stay forever, and backpressure would pause its endpoint."""
     assert timedelta(seconds=3) > CLIENT_STALL_TIMEOUT + CLIENT_STALL_CHECK_INTERVAL
     with Node(peer := Peer("s-1")) as node:
         stuck = node.client(opening())
@@ -53,8 +53,8 @@
         assert other.read() == "M 1 unharmed"
 
 
-def test_session_of_a_hung_endpoint_is_migrated_at_the_end_of_its_line() -> None:
-    """Lines come in pieces: an endpoint that goes on with one gets the time to end it."""
+def test_session_of_a_hung_endpoint_is_migrated_after_its_half_line_is_complete() -> None:
+    """Lines arrive in pieces: an endpoint in the middle of a line gets time to complete it."""
     with Node(peer := Peer("s-1", X=None)) as node:
         first = node.client(opening())
         assert first.read() == "UP r1"
@@ -64,13 +64,13 @@
         first.send("X 1 anyone there")
         pieces.sock.sendall(b"X 1 any")
         other.send("X 1 anyone there")
-        assert other.read() == "MOVE"  # the endpoint counts as hung by now, for both
+        assert other.read() == "MOVE"  # the endpoint is now considered hung, for both sessions
         pieces.sock.sendall(b"one there\r\n")
         assert [first.read(), first.read(), first.read()] == ["X 1 anyone there", "MOVE", ""]
 
 
 @pytest.mark.parametrize("reset", [False, True])
-def test_both_sides_that_end_in_one_turn_are_closed_and_harm_nobody(reset: bool) -> None:
+def test_sides_that_end_in_the_same_turn_are_closed_without_affecting_other_requests(reset: bool) -> None:
     with Node(peer := Peer("s-1")) as node:
         client, other = node.client(opening()), node.client(opening(2))
         assert [client.read(), other.read()] == ["UP r1"] * 2
--- a/tests/node/test_wall_clock.py
+++ b/tests/node/test_wall_clock.py
@@ -1,6 +1,7 @@
-"""Steps of the machine's wall clock, under real processes: every span is one of real time.
+"""Steps of the machine's wall clock while real processes run: timeouts do not depend on it.
 
-The machine is a library under the process (standins/preload.py); its monotonic clock runs on.
+A preloaded library (standins/preload.py) steps the wall clock of the process; the monotonic clock is
+unaffected.
 """
 
 from __future__ import annotations
@@ -14,20 +15,20 @@
 from tests.node_kit import PATIENCE, Node, Peer, opening
 
 HOUR = 3600.0
-WATCHED = 1.2  # seconds in which a step is detected
-SLACK = 0.5  # seconds after its time in which an answer still counts
+STEP_DETECTION_S = 1.2  # time within which a step is detected
+SLACK_S = 0.5  # time after the deadline in which an answer is still accepted
 
 
-def test_a_request_is_answered_in_its_time_after_the_wall_clock_went_back(machine: Machine) -> None:
-    """Its attempt hangs: only a timer can end it, and none came until the clock had caught up."""
+def test_a_request_is_answered_in_time_after_the_wall_clock_was_set_back(machine: Machine) -> None:
+    """The attempt hangs, so only a timer can end it; no timer fired until the clock had caught up."""
     with on(machine, Node(Peer("s-1", OPEN=None))) as node:
         machine.step_wall_clock(-HOUR)
-        time.sleep(WATCHED)  # what was armed before the step is overdue by now
+        time.sleep(STEP_DETECTION_S)  # timers set before the step are overdue by now
         client = node.client(opening(d=1000))
-        client.sock.settimeout(1.0 + SLACK)
+        client.sock.settimeout(1.0 + SLACK_S)
         began = time.monotonic()
         assert client.read() in ("BUSY", "ERR")
-        assert time.monotonic() - began < 1.0 + SLACK
+        assert time.monotonic() - began < 1.0 + SLACK_S
         node.wait_counted("clock_steps", 1)
         assert 'event="the wall clock was stepped"' in node.seen
         node.wait_counted("overdue", 0)
