--- a/stepflow/node/relay/relay.py
+++ b/stepflow/node/relay/relay.py
@@ -122,7 +122,7 @@
     # Data. It is forwarded as long as the other side accepts it, even after the session has ended.
 
     def data_from_client(self, data: bytes) -> None:
-        """Forward data to the endpoint, and time its lines until their echoes."""
+        """Forward data to the endpoint, and time each of its lines until its echo."""
         if self._upstream.accepts_data:
             self._upstream.wire.write(data)
         if self._finished:
