--- a/stepflow/node/member_port.py
+++ b/stepflow/node/member_port.py
@@ -1,7 +1,7 @@
-"""The UDP port between members: datagrams to and from `SharedLimits` (docs/members.md).
+"""The UDP port between members: passes datagrams to and from `SharedLimits` (docs/members.md).
 
-It owns the socket and the timer that asks for outgoing requests. What is no message, or comes from an address
-other than that of the member it speaks for, is dropped and counted.
+It owns the socket and the timer for outgoing requests. A datagram is dropped and counted if it is not a valid
+message, or if its source address is not that of the member that it names as sender.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 class MemberPort(DatagramProtocol):
     """Runs one member's `SharedLimits` on a UDP socket.
 
-    `addresses` holds every member's address in the order of their numbers; this member's own is not used.
+    `addresses` holds the address of every member, by member number; this member's own is not used.
     `before_tick` is called before each tick.
     """
 
@@ -43,15 +43,15 @@
         self._addresses = list(addresses)
         self._members = {address: member for member, address in enumerate(addresses)}
         self._before_tick = before_tick
-        self.received_count = 0  # datagrams that were taken
-        self.dropped_count = 0  # datagrams that were not
+        self.received_count = 0  # accepted datagrams
+        self.dropped_count = 0  # dropped datagrams
 
     def startProtocol(self) -> None:
-        """Begin to tick once the socket is open."""
+        """Start the timer once the socket is open."""
         self._tick()
 
     def datagramReceived(self, datagram: bytes, addr: tuple[str, int]) -> None:
-        """Take a datagram and send the answer."""
+        """Pass a datagram to the limits and send their answers."""
         try:
             message = decode(datagram)
         except DatagramError:
--- a/stepflow/node/process/__init__.py
+++ b/stepflow/node/process/__init__.py
@@ -1,1 +1,1 @@
-"""The life of a node's process: configuration, build, start, reload, hand-over and graceful shutdown."""
+"""The process of a node: configuration, build, start, reload, hand-over and graceful shutdown."""
--- a/stepflow/node/process/build.py
+++ b/stepflow/node/process/build.py
@@ -1,7 +1,7 @@
-"""The parts of a node, built and joined.
+"""Builds the parts of a node and connects them.
 
-Responsible for what each part is given; the parts work from `Node.start` on. Owns nothing: `Node` holds the
-parts.
+Responsible for the arguments of each part; the parts start to work in `Node.start`. Owns nothing: `Node`
+holds the parts.
 """
 
 from __future__ import annotations
@@ -38,19 +38,19 @@
 from stepflow.policy import Policy
 from stepflow.upstream import EndpointGroup
 
-LATENCY_THRESHOLD_DIVISOR = 3  # a message is late after this part of the shortest objective
+LATENCY_THRESHOLD_DIVISOR = 3  # a message is late after the shortest objective divided by this
 NEVER_LATE = timedelta(days=1)
 
 
 class NodeParts(NamedTuple):
-    """All parts of a node, each after those that it is given."""
+    """All parts of a node, each listed after those that it depends on."""
 
-    # What all share.
+    # Shared by all parts.
     reactor: Reactor
     clock: Clock
     counters: Counters
     timers: Timers
-    # The decisions, what they are made of, and what carries them out.
+    # The decisions, the endpoint list that they are based on, and the core that carries them out.
     policy: Policy
     endpoint_group: EndpointGroup
     core: Core
@@ -62,7 +62,7 @@
     handover: Handover
     descriptors: Descriptors
     clients: ClientFactory
-    # What follows and ends the process.
+    # Shutdown and monitoring of the process.
     shutdown: Shutdown
     recording: Recording
     garbage: GarbageCollection
@@ -70,13 +70,13 @@
 
 
 class Process(HandoverProcess, StoppableProcess, Protocol):
-    """What parts ask of the process that holds them."""
+    """The process, as its parts use it."""
 
 
 def build_parts(config: NodeConfig, reactor: Reactor, process: Process) -> NodeParts:
-    """Build the parts of a node; none of them begins anything yet.
+    """Build the parts of a node; none of them starts to work yet.
 
-    Long: one call a part, in the order in which parts are given to each other.
+    Long: one call for each part, in the order of their dependencies.
     """
     settings = config.settings.policy
     clock, counters = Clock(), Counters()
@@ -126,22 +126,26 @@
 
 
 def handover_path(node_name: str) -> str:
-    """The Unix socket that a node's processes find each other by; empty without a folder for it."""
+    """Return the path of the Unix socket for the hand-over; empty if TMPDIR is not set."""
     folder = os.environ.get("TMPDIR", "")
     return os.path.join(folder, f"stepflow-{node_name}") if folder else ""
 
 
 def class_indexes(settings: Settings, current: Settings) -> dict[bytes, int]:
-    """The classes that clients may name, by name: those of the current file, in the table of all so far."""
+    """Return the indexes of the classes that clients may name, keyed by name.
+
+    These are the classes of `current`, the settings of the current file; `settings` has the classes of all
+    files so far.
+    """
     return {cls.name.encode(): settings.classes.index(cls) for cls in current.classes}
 
 
 def tenant_indexes(settings: Settings) -> dict[bytes, int]:
-    """The tenants that clients may name, by name."""
+    """Return the indexes of the tenants that clients may name, keyed by name."""
     return {tenant.name.encode(): index for index, tenant in enumerate(settings.tenants)}
 
 
 def latency_threshold(classes: tuple[RequestClass, ...]) -> timedelta:
-    """Messages that take longer are reported: a part of the shortest latency objective of messages."""
+    """Return the latency above which a message is reported: a part of the shortest message objective."""
     objectives = [cls.message_latency_objective_us for cls in classes if cls.message_latency_objective_us > 0]
     return timedelta(microseconds=min(objectives)) / LATENCY_THRESHOLD_DIVISOR if objectives else NEVER_LATE
--- a/stepflow/node/process/channel_transport.py
+++ b/stepflow/node/process/channel_transport.py
@@ -1,7 +1,7 @@
-"""Unix transports of the hand-over's channel that are read to their end.
+"""Unix transports for the hand-over's channel that read all remaining data before they close.
 
-A process that was killed can have passed sessions whose messages lie unread here, and this process holds the
-only descriptors of them. Twisted drops what is unread once a write fails.
+A process that was killed may have passed sessions whose messages are still unread here, and this process then
+holds the only descriptors of those sessions. Twisted drops unread data once a write fails.
 """
 
 # Twisted's transports have no types.
@@ -17,17 +17,17 @@
 
 from stepflow.node.runtime.transports import Connector, Port, Reactor, Transport, has_unread
 
-MAX_READS = 10_000  # a message has two reads at the most; more are no end that can be waited for
+MAX_READS = 10_000  # a message takes two reads at the most; the rest is not read without bound
 BACKLOG = 50
 
 
 class _ChannelTransport:
-    """Replaces how a Unix transport of Twisted ends."""
+    """Changes how a Unix transport of Twisted closes."""
 
     connected: int
 
     def connectionLost(self, reason: Failure) -> None:
-        """Close the socket; if the other process has broken the channel, once its messages have been read."""
+        """Close the socket; if the connection broke, read the remaining messages first."""
         if self.connected and reason.check(ConnectionLost):
             self._read_rest()
         if self.connected:
@@ -59,11 +59,11 @@
 
 
 def listen(reactor: Reactor, path: str, factory: Any, mode: int) -> Port:
-    """Accept connections to a Unix socket of these permissions.
+    """Listen on a Unix socket with the given permissions; return its port.
 
     Raises:
-        CannotListenError: the path can't be bound.
-        OSError: its permissions can't be set.
+        CannotListenError: The path can't be bound.
+        OSError: The permissions can't be set.
     """
     port = cast(Any, _ChannelPort)(path, factory, BACKLOG, mode, reactor)
     port.startListening()
@@ -71,7 +71,7 @@
 
 
 def connect(reactor: Reactor, path: str, factory: Any, timeout_s: float) -> Connector:
-    """Begin a connection to a Unix socket; returns its connector."""
+    """Start to connect to a Unix socket; return the connector."""
     connector = _ChannelConnector(path, factory, timeout_s, reactor, 0)
     connector.connect()
     return cast(Connector, connector)
--- a/stepflow/node/process/config.py
+++ b/stepflow/node/process/config.py
@@ -1,8 +1,8 @@
-"""The node's configuration: the platform's file, which GW_CONFIG names.
+"""The node's configuration: the platform's file, named by GW_CONFIG.
 
-Responsible for reading the file whole, for what the environment says in place of it, and for whether it may
-replace the one before. Owns nothing. Errors: ConfigError, one line that begins with the file's path; it is
-marked transient where the file could not be read just now. Source: docs/settings.md.
+Responsible for reading the whole file, for the environment variables that supplement it, and for whether a
+file may replace the one before. Owns nothing. Errors: ConfigError, one line that begins with the file's path;
+it is marked transient if reading the file failed for a reason that may pass. Source: docs/settings.md.
 """
 
 from __future__ import annotations
@@ -19,21 +19,21 @@
 from stepflow.settings import NodeSettings, SettingsError, parse_node_settings
 
 DEFAULT_NAME = "node"
-LIST_KEY = "known"  # the endpoint list in the file: it may be long, and a reload doesn't take it
+LIST_KEY = "known"  # key of the endpoint list, which may be long; a reload ignores it
 
 
 class ConfigError(InputError):
-    """What is wrong with the configuration, in one line."""
+    """The configuration is invalid or can't be read; the message is one line."""
 
 
 class PlatformLimits(msgspec.Struct, frozen=True):
-    """What a process may hold; unknown keys are ignored."""
+    """The limits of a process; unknown keys are ignored."""
 
     sockets: Annotated[int, msgspec.Meta(ge=64)] = 4096
 
 
 class PlatformFile(msgspec.Struct, frozen=True):
-    """The form of the platform's file; unknown keys are ignored, absent ones have defaults."""
+    """The platform's file; unknown keys are ignored, missing ones have defaults."""
 
     settings: dict[str, Any] = {}
     name: str = ""
@@ -46,27 +46,27 @@
 
 
 class NodeConfig(NamedTuple):
-    """A node's configuration at its start; its fields have the names of the file's keys."""
+    """A node's configuration; its fields are named after the keys of the file."""
 
     name: str
     listen: Address
     discovery: Address
-    ops: Address | None  # the operators' address
+    ops: Address | None  # the address for operators' HTTP requests
     seed: int
     sockets: int
-    known: object  # the endpoint list, in discovery's form
+    known: object  # the endpoint list, in discovery's format
     settings: NodeSettings
-    tree: dict[str, object]  # the file itself, but for the list
+    tree: dict[str, object]  # the file's content, except for the endpoint list
 
 
 class _Source:
-    """The file and the environment that it is read under, which hold a node's configuration together."""
+    """The file and the environment, from which the configuration is read."""
 
     def __init__(self, path: str, file: PlatformFile, environ: Mapping[str, str]) -> None:
         self.path, self.file, self.environ = path, file, environ
 
     def text(self, key: str) -> str:
-        """What the file says, or the environment where the file says nothing."""
+        """Return the value in the file, or that of the environment if the file has none."""
         value: object = msgspec.structs.asdict(self.file)[key]
         return str(value or self.environ.get(f"GW_{key.upper()}", ""))
 
@@ -74,8 +74,8 @@
         return self._parse_address(key, self.text(key))
 
     def ops_address(self) -> Address | None:
-        # Two processes of a node may share the file, and each has an address of its own: what the environment
-        # says is this process's.
+        # Two processes of a node may share the file, but each needs an address of its own: the address in the
+        # environment is this process's.
         text = self.environ.get("GW_OPS") or self.file.ops
         return self._parse_address("ops", text) if text else None
 
@@ -95,7 +95,7 @@
         return settings
 
     def error(self, text: str) -> ConfigError:
-        """What is wrong with the file."""
+        """Return an error about the file."""
         return ConfigError(f"{self.path}: {text}")
 
     def _parse_address(self, key: str, text: str) -> Address:
@@ -106,9 +106,13 @@
 
 
 def load_config(environ: Mapping[str, str], replaced: NodeConfig | None = None) -> NodeConfig:
-    """Read the file named by GW_CONFIG; GW_NAME, GW_LISTEN and GW_DISCOVERY stand in for what it lacks.
+    """Return the configuration from the file named by GW_CONFIG.
 
-    A file that replaces another has to have all its keys: one that was cut short would bring defaults.
+    GW_NAME, GW_LISTEN and GW_DISCOVERY replace values that the file lacks. A file that replaces the one of
+    `replaced` needs all of its keys: a truncated file would silently bring defaults.
+
+    Raises:
+        ConfigError: The file can't be read or is invalid, or may not replace the one before.
     """
     path = environ.get("GW_CONFIG", "")
     if not path:
@@ -121,7 +125,7 @@
     if replaced is not None and (key := find_missing_key(replaced.tree, tree)):
         raise ConfigError(f"{path}: {key} is missing, or not what it was")
     source = _Source(path, file, environ)
-    # In this order, since of several errors the first is reported.
+    # The order matters: of several errors, the first is reported.
     ops, seed = source.ops_address(), source.seed()
     listen, discovery = source.address("listen"), source.address("discovery")
     return NodeConfig(
@@ -138,7 +142,7 @@
 
 
 def find_missing_key(before: object, now: object, path: str = "") -> str:
-    """The first key of one file that a later one lacks, or has with a value of another type; else empty."""
+    """Return the path of the first key of `before` that `now` lacks or holds as another type; else empty."""
     if isinstance(before, dict):
         if not isinstance(now, dict):
             return path
@@ -148,7 +152,7 @@
     elif isinstance(before, list) and before and all(isinstance(item, dict) for item in before):
         if not isinstance(now, list) or not now:
             return path
-        # Entries come and go: each new one needs the keys that all the old ones have.
+        # Entries may be added or removed, but each new entry needs the keys that all old entries have.
         common = {
             key: item for entry in before for key, item in entry.items() if all(key in x for x in before)
         }
@@ -175,7 +179,7 @@
 
 
 def _describe(error: msgspec.ValidationError) -> str:
-    """What the schema library found, with the key in front."""
+    """Return the message of a msgspec error with the key in front."""
     text = str(error)
     found = _ERROR_PATH.search(text)
     return f"{found[1]}: {text[: found.start()]}" if found and found[1] else text
--- a/stepflow/node/process/descriptors.py
+++ b/stepflow/node/process/descriptors.py
@@ -1,24 +1,24 @@
-"""How the process's descriptors are shared out.
+"""The process's budget of descriptors.
 
-Responsible for how many are left for clients: whatever is connected, descriptors for health checks, discovery
-and operators stay free. Owns nothing; it counts what others hold.
+Responsible for how many descriptors are left for clients: however many clients and endpoints are connected,
+some stay free for health checks, discovery and operators. Owns nothing; it counts what other parts hold.
 """
 
 from __future__ import annotations
 
 from stepflow.node.admin.site import MAX_CALLS
 from stepflow.node.core import Core
-from stepflow.node.process.handover import SOCKETS_OF_SESSION, Handover
+from stepflow.node.process.handover import SOCKETS_PER_SESSION, Handover
 from stepflow.node.upstreams.pool import UpstreamConnections
 
 # For discovery, listeners, standard streams, the reactor, operators' calls.
 RESERVED = 24 + MAX_CALLS
-RESERVED_FOR_HEALTH_CHECKS = 24  # at the least
+RESERVED_FOR_HEALTH_CHECKS = 24  # the minimum
 
 
 def session_slots(limit: int) -> int:
-    """How many requests can be open at once with so many descriptors."""
-    return max(1, (limit - RESERVED - RESERVED_FOR_HEALTH_CHECKS) // SOCKETS_OF_SESSION)
+    """Return how many requests can be open at once under this limit of descriptors."""
+    return max(1, (limit - RESERVED - RESERVED_FOR_HEALTH_CHECKS) // SOCKETS_PER_SESSION)
 
 
 class Descriptors:
@@ -28,7 +28,7 @@
         self._limit, self._core, self._upstreams, self._handover = limit, core, upstreams, handover
 
     def free(self, client_count: int) -> int:
-        """How many are left with so many clients, when every open request has its endpoint's."""
+        """Return how many are left with this many clients, once each open request has its endpoint's."""
         upstreams = self._upstreams
         attempts = max(upstreams.attempts, self._core.open_requests)
         health_checks = max(upstreams.health_check_connections, RESERVED_FOR_HEALTH_CHECKS)
@@ -36,6 +36,6 @@
         return self._limit - RESERVED - attempts - health_checks - client_count - others
 
     def in_use(self, client_count: int) -> int:
-        """How many are open with so many clients, or reserved for what is not a client's."""
+        """Return how many are open with this many clients, or reserved for other purposes."""
         upstreams = self._upstreams
         return RESERVED + upstreams.attempts + upstreams.health_check_connections + client_count
--- a/stepflow/node/process/handover.py
+++ b/stepflow/node/process/handover.py
@@ -1,8 +1,9 @@
-"""Hand-over: finding the predecessor at the start, and passing state and sessions to the successor.
+"""Hand-over between two processes of a node.
 
-Responsible for which of the two processes listens on the Unix socket, and for the order of their messages
-(handover_messages.py has their form). Owns the channel, the socket's path, and descriptors that have come and
-are not adopted yet. Spans are timedeltas of the node's clock.
+A starting process looks for its predecessor; a running process passes its state and its sessions to its
+successor. Responsible for which of the two processes listens on the Unix socket, and for the order of their
+messages; handover_messages.py defines their format. Owns the channel, the socket's path, and received
+descriptors that no message has claimed yet. Durations are timedeltas of the node's clock.
 """
 
 from __future__ import annotations
@@ -37,41 +38,44 @@
 
 log = get_logger()
 
-SEARCH_TIMEOUT = timedelta(seconds=2)  # the most that a start waits for the predecessor's state
-DESCRIPTORS_INTERVAL = timedelta(milliseconds=100)  # the other side's open descriptors are known this late
-LISTEN_RETRY_DELAY = timedelta(seconds=1)  # after the path could not be listened on
-MAX_PATH_BYTES = 100  # what a Unix socket's address can hold, less a few
+SEARCH_TIMEOUT = timedelta(seconds=2)  # how long a starting process waits for the predecessor's state
+DESCRIPTORS_INTERVAL = timedelta(milliseconds=100)  # between two reports of the count
+LISTEN_RETRY_DELAY = timedelta(seconds=1)  # after listening on the path failed
+MAX_PATH_BYTES = 100  # slightly less than the address of a Unix socket can hold
 SOCKET_MODE = 0o600
-SOCKETS_OF_SESSION = 2  # the client's and the endpoint's
+SOCKETS_PER_SESSION = 2  # the client's and the endpoint's
 
-# Called once: the predecessor's listening socket, None where there is none, and its state.
+# Called once with the predecessor's listening socket (None if there is no predecessor) and its state.
 FoundPredecessor = Callable[[int | None, HandoverState], None]
 
 
 class HandoverProcess(Protocol):
-    """What the channel needs of its process."""
+    """The process, as the hand-over uses it."""
 
     def handover_state(self) -> tuple[int, HandoverState]:
-        """The listening socket, and what a successor should know."""
+        """Return the listening socket's descriptor, and the state for a successor."""
 
     def open_descriptors(self) -> int:
-        """How many this process holds open."""
+        """Return the number of descriptors that this process holds open, or reserves."""
 
     def adopt_session(self, session: SessionTransfer, client: int, endpoint: int) -> bool:
-        """Go on with a session whose sockets were passed; False leaves it to the other process."""
+        """Adopt a session, given the descriptors of its two sockets.
+
+        Returns False if the session has to stay with the other process.
+        """
 
     def session_answered(self, number: int, accepted: bool) -> None:
-        """The successor has answered the offer of this number."""
+        """Handle the successor's answer to the offer with this number."""
 
     def sessions_complete(self) -> None:
-        """The predecessor holds no session any more."""
+        """Handle the predecessor's message that it holds no more sessions."""
 
 
 class Handover:
     """Finds the predecessor, then waits for the successor.
 
-    Only one of a node's processes listens on the path at a time: the older stops as soon as it is found, and
-    the younger begins when the channel ends, so neither removes the other's socket.
+    Only one of a node's processes listens on the path at a time: the predecessor stops when the successor
+    connects, and the successor starts when the channel ends, so neither removes the other's socket.
     """
 
     def __init__(self, reactor: Reactor, timers: Timers, process: HandoverProcess, path: str) -> None:
@@ -80,19 +84,19 @@
             log.warning("the hand-over path is too long", path=path)
             path = ""
         self._path = path
-        self._found: FoundPredecessor | None = None  # called once, then None
-        self._descriptors: deque[int] = deque()  # that have come and belong to no message yet
+        self._on_found: FoundPredecessor | None = None  # called once, then None
+        self._descriptors: deque[int] = deque()  # received, and not claimed by a message yet
         self._channel: HandoverChannel | None = None
         self._port: Port | None = None
         self._search_timer: Timer | None = None
-        self._closed = False  # the process ends
-        self.has_successor = False  # a younger process is at the other end
-        self.successor_serves = False  # and has said so
-        self.other_descriptors = 0  # how many the other process holds
-
-    def find_predecessor(self, found: FoundPredecessor) -> None:
-        """Ask the process that serves, if there is one, for what it hands over."""
-        self._found = found
+        self._closed = False  # whether the process is shutting down, and accepts no successor
+        self.has_successor = False  # whether a successor is connected
+        self.successor_serves = False  # whether the successor has reported that it serves
+        self.other_descriptors = 0  # how many the other process holds, as last reported
+
+    def find_predecessor(self, on_found: FoundPredecessor) -> None:
+        """Connect to the predecessor, if there is one; `on_found` gets what it hands over."""
+        self._on_found = on_found
         self._search_timer = self._timers.after(SEARCH_TIMEOUT, self.channel_failed)
         if not self._path or not os.path.exists(self._path):
             self._end_search(None)
@@ -101,49 +105,49 @@
         connect(self._reactor, self._path, factory, SEARCH_TIMEOUT.total_seconds())
 
     def start_serving(self) -> None:
-        """This process serves: tell the other so, or wait for the next."""
+        """Tell the predecessor that this process serves; without a predecessor, wait for a successor."""
         if self._channel is None:
             self._await_successor()
         else:
             self._send_descriptor_count()
 
     def stop_waiting(self) -> None:
-        """The process ends: it takes no successor any more, but keeps the one that it has."""
+        """Accept no successor any more, since the process is shutting down; a connected successor is kept."""
         self._closed = True
         self._stop_listening()
 
     def close(self) -> None:
-        """The process exits."""
+        """Close the channel and the listening socket, since the process exits."""
         self.stop_waiting()
         if self._channel is not None:
             self._channel.close()
 
     def offer_session(self, number: int, session: SessionTransfer) -> None:
-        """Pass a session to the successor; its answer follows, unless the channel ends."""
+        """Pass a session to the successor, whose answer follows unless the channel ends first."""
         if self._channel is not None:
             self._channel.send_descriptor(session.client_descriptor)
             self._channel.send_descriptor(session.endpoint_descriptor)
             self._channel.send(SessionOffer(number, session))
 
     def send_sessions_complete(self) -> None:
-        """Tell the successor that this process holds no session any more."""
+        """Tell the successor that this process holds no more sessions."""
         if self._channel is not None:
             self._channel.send(SessionsComplete())
 
     # Events of the channel.
 
     def channel_connected(self, channel: HandoverChannel) -> None:
-        """A predecessor was found, or a successor has come."""
+        """Handle a new channel, to the predecessor or from a successor."""
         if self._channel is not None or self._closed:
             channel.close()
             return
         self._channel = channel
         if self._port is None:
-            if self._found is None:  # the predecessor answered after the search
+            if self._on_found is None:  # the predecessor answered after the search had timed out
                 channel.close()
             return
         self._stop_listening()
-        # From now on, not from its first message: SIGTERM may come before that is read.
+        # Set here rather than on the first message: SIGTERM may arrive before that message is read.
         self.has_successor = True
         descriptor, state = self._process.handover_state()
         channel.send_descriptor(descriptor)
@@ -151,18 +155,18 @@
         self._send_descriptor_count()
 
     def channel_failed(self) -> None:
-        """No process listens on the path any more, or none has answered in time."""
+        """End the search: no process listens on the path any more, or none has answered in time."""
         self._end_search(None)
 
     def descriptor_received(self, descriptor: int) -> None:
-        """Keep a descriptor for the message that follows it."""
+        """Keep a descriptor until the message that it belongs to arrives."""
         self._descriptors.append(descriptor)
 
     def line_received(self, channel: HandoverChannel, fields: dict[str, Any]) -> None:
-        """Take the other process's next message."""
+        """Handle the next message of the other process."""
         if channel is not self._channel:
             return
-        if self._found is not None:
+        if self._on_found is not None:
             self._end_search(read_state(fields) if fields else None)
             return
         try:
@@ -180,14 +184,14 @@
             self.other_descriptors, self.successor_serves = message.descriptors, self.has_successor
 
     def channel_lost(self, channel: HandoverChannel) -> None:
-        """The other process has ended, or has refused."""
+        """Handle the end of the channel: the other process has ended, or has refused the connection."""
         if channel is not self._channel:
             return
         self._channel, self.other_descriptors = None, 0
         while self._descriptors:
             os.close(self._descriptors.popleft())
         self.has_successor = self.successor_serves = False
-        if self._found is not None:
+        if self._on_found is not None:
             self._end_search(None)
         else:
             self._await_successor()
@@ -196,7 +200,7 @@
         if not self._path or self._closed or self._port is not None or self._channel is not None:
             return
         with suppress(OSError):
-            os.unlink(self._path)  # a process that was killed left it
+            os.unlink(self._path)  # a socket that a killed process left behind
         try:
             self._port = listen(self._reactor, self._path, HandoverChannelFactory(self), SOCKET_MODE)
             log.info("waits for a successor")
@@ -211,8 +215,8 @@
             self._port = None
 
     def _adopt(self, offered: object) -> bool:
-        """Whether the process goes on with the session of an offer, whose sockets have come before."""
-        if len(self._descriptors) < SOCKETS_OF_SESSION:
+        """Adopt an offered session with its two sockets, received before; return whether it succeeded."""
+        if len(self._descriptors) < SOCKETS_PER_SESSION:
             return False
         client, endpoint = self._descriptors.popleft(), self._descriptors.popleft()
         try:
@@ -220,14 +224,14 @@
         except (HandoverMessageError, ValueError, OSError):
             log.exception("a passed session can't be adopted")
             return False
-        finally:  # what was adopted has copies of its own
+        finally:  # the adopted sockets are duplicates
             os.close(client)
             os.close(endpoint)
 
     def _end_search(self, state: HandoverState | None) -> None:
-        """End the search once, with the state of the predecessor where one was found."""
-        found, self._found = self._found, None
-        if found is None:
+        """End the search, with the predecessor's state if one was found; later calls have no effect."""
+        on_found, self._on_found = self._on_found, None
+        if on_found is None:
             return
         if self._search_timer is not None:
             self._search_timer.cancel()
@@ -235,7 +239,7 @@
         if listener is None and self._channel is not None:
             channel, self._channel = self._channel, None
             channel.close()
-        found(listener, state or HandoverState())
+        on_found(listener, state or HandoverState())
 
     def _send_descriptor_count(self) -> None:
         if self._channel is not None:
--- a/stepflow/node/process/handover_channel.py
+++ b/stepflow/node/process/handover_channel.py
@@ -1,8 +1,8 @@
-"""One end of the channel between the two processes of a node: a Unix socket with lines and descriptors.
+"""One end of the channel between two processes of a node: a Unix socket that carries lines and descriptors.
 
-Responsible for framing: it reads and writes lines, and passes descriptors in the order in which they come,
-each before the line that speaks of it. Owns its transport; what the lines mean is the matter of `Handover`. A
-line that is no JSON object ends the channel. Lengths are in bytes.
+Responsible for framing: it reads and writes lines, and passes descriptors on in the order of their arrival,
+each before the line that refers to it. Owns its transport; `Handover` interprets the lines. A line that is
+not a JSON object ends the channel. Lengths are in bytes.
 """
 
 from __future__ import annotations
@@ -24,31 +24,31 @@
 )
 from stepflow.node.runtime.transports import UnixTransport
 
-MAX_LINE_BYTES = 1 << 22  # the endpoint list of a large fleet is in one line
+MAX_LINE_BYTES = 1 << 22  # one line holds the endpoint list of a large fleet
 
 
 class ChannelOwner(Protocol):
-    """Who hears of the channel's events."""
+    """Receives the channel's events."""
 
     def channel_connected(self, channel: HandoverChannel) -> None:
-        """The channel is up."""
+        """Handle the connection of the channel."""
 
     def channel_failed(self) -> None:
-        """No process listens on the path any more."""
+        """Handle a failed connect: no process listens on the path any more."""
 
     def descriptor_received(self, descriptor: int) -> None:
-        """A descriptor has come, to be closed by the owner."""
+        """Handle a received descriptor, which the owner has to close."""
 
     def line_received(self, channel: HandoverChannel, fields: dict[str, Any]) -> None:
-        """A message has come, as a JSON object."""
+        """Handle a received message, a JSON object."""
 
     def channel_lost(self, channel: HandoverChannel) -> None:
-        """The channel has ended."""
+        """Handle the end of the channel."""
 
 
 @implementer(IFileDescriptorReceiver)
 class HandoverChannel(LineReceiver):
-    """One end of the channel."""
+    """The protocol at one end of the channel."""
 
     delimiter = b"\n"
     MAX_LENGTH = MAX_LINE_BYTES
@@ -61,7 +61,7 @@
         return cast(UnixTransport, self.transport)
 
     def send(self, message: HandoverState | Message) -> None:
-        """Write a message; descriptors that belong to it are sent before."""
+        """Write a message; send the descriptors that belong to it before."""
         self._wire.write(encode_message(message) + self.delimiter)
 
     def send_descriptor(self, descriptor: int) -> None:
@@ -69,19 +69,19 @@
         self._wire.sendFileDescriptor(descriptor)
 
     def close(self) -> None:
-        """End the channel once all is written."""
+        """End the channel once everything is written."""
         self._wire.loseConnection()
 
     def connectionMade(self) -> None:
-        """Tell the owner."""
+        """Tell the owner that the channel is connected."""
         self._owner.channel_connected(self)
 
     def fileDescriptorReceived(self, descriptor: int) -> None:
-        """Hand the descriptor to the owner."""
+        """Pass the descriptor to the owner."""
         self._owner.descriptor_received(descriptor)
 
     def lineReceived(self, line: bytes) -> None:
-        """Hand the message to the owner."""
+        """Pass the message to the owner; end the channel if the line is not a JSON object."""
         try:
             fields = decode_line(line)
         except HandoverMessageError:
@@ -90,12 +90,12 @@
         self._owner.line_received(self, fields)
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:
-        """Tell the owner."""
+        """Tell the owner that the channel has ended."""
         self._owner.channel_lost(self)
 
 
 class HandoverChannelFactory(ClientFactory):
-    """Makes the channel's end, of the process that listens as of the one that connects."""
+    """Builds the channel's end, both in the process that listens and in the one that connects."""
 
     noisy = False
 
@@ -103,9 +103,9 @@
         self._owner = owner
 
     def buildProtocol(self, addr: object) -> HandoverChannel:
-        """One end."""
+        """Build one end of the channel."""
         return HandoverChannel(self._owner)
 
     def clientConnectionFailed(self, connector: object, reason: Failure) -> None:
-        """Tell the owner that there is no predecessor."""
+        """Tell the owner that no predecessor listens."""
         self._owner.channel_failed()
--- a/stepflow/node/process/handover_messages.py
+++ b/stepflow/node/process/handover_messages.py
@@ -1,11 +1,11 @@
 """Messages between the two processes of a node while one replaces the other.
 
-Responsible for their form: one JSON object in each line. The keys and their order are fixed, because the
-other process may be of another version; each attribute names the key that it is stored under where the two
-differ. When a message is read, keys that are unknown here are ignored; one that lacks a key or holds a value
-of another type raises HandoverMessageError. Owns no socket and no state. Spans are in microseconds.
+Responsible for their format: one JSON object on each line. The keys and their order are fixed, because the
+other process may run another version; an attribute whose name differs from its key gives the key as `name=`.
+When a message is read, unknown keys are ignored; a message that lacks a required key or holds a value of
+another type raises HandoverMessageError. Owns no socket and no state. Durations are in microseconds.
 
-Source: what two processes of commit 5fd6943 said to each other (tests/data/handover-5fd6943.json).
+Source: the messages between two processes of commit 5fd6943 (tests/data/handover-5fd6943.json).
 """
 
 from __future__ import annotations
@@ -24,27 +24,27 @@
 
 
 class HandoverMessageError(InputError):
-    """A message of the other process that can't be read."""
+    """A message of the other process is invalid."""
 
 
 class EndpointSnapshot(msgspec.Struct, frozen=True):
-    """What is learned of one endpoint: its cost, the weight controller's state, and its last report's age."""
+    """What is learned of an endpoint: cost, weight controller state, and age of the last load report."""
 
     cost: float
     health: float
     weight: float
     error_sum: float
     last_error: float
-    report_age_us: int  # an age, since the two processes may count moments from different ones
+    report_age_us: int  # an age, since the clocks of the two processes may start at different times
 
 
 class Snapshot(msgspec.Struct, frozen=True):
-    """What the policy has learned; classes go by name, since each process has its own numbers for them."""
+    """What the policy has learned; classes are keyed by name, as their indexes differ between processes."""
 
     loads_counted: int = msgspec.field(name="loads_told")
     mean_load: float
     class_loads: dict[str, float] = msgspec.field(name="class_load")
-    # By kind of endpoint. The key tells the unit of all costs: no process can read those of another unit.
+    # By kind of endpoint. The key states the unit of all costs, so costs in another unit can't be read.
     kind_costs: dict[int, float] = msgspec.field(name="cost_in_means")
     endpoints: dict[str, EndpointSnapshot] = msgspec.field(name="servers")
     attempt_latency_us: float = msgspec.field(name="wait_us")
@@ -52,50 +52,50 @@
 
 
 class HandoverState(msgspec.Struct, frozen=True):
-    """The first message of the older process; the listening socket is passed before it.
+    """The predecessor's first message; the listening socket is passed before it.
 
-    Both parts are read later, each on its own: one that can't be read leaves the other, and the socket,
-    usable.
+    The two fields are converted later and separately: if one is invalid, the other one and the socket can
+    still be used.
     """
 
-    endpoint_list: Any = msgspec.field(name="list", default=None)  # in the form of discovery
-    snapshot: Any = msgspec.field(name="learned", default=msgspec.UNSET)  # a Snapshot, or its form unread
+    endpoint_list: Any = msgspec.field(name="list", default=None)  # in discovery's format
+    snapshot: Any = msgspec.field(name="learned", default=msgspec.UNSET)  # a Snapshot, or unconverted
 
     @property
     def has_snapshot(self) -> bool:
-        """Whether the older process has sent a snapshot."""
+        """Whether the predecessor has sent a snapshot."""
         return self.snapshot is not msgspec.UNSET
 
 
 class SessionOffer(msgspec.Struct, frozen=True):
-    """A session is passed to the successor; the client's and the endpoint's sockets are passed before it."""
+    """Offers a session to the successor; the client's and the endpoint's sockets are passed before it."""
 
     number: int
-    session: Any  # a SessionTransfer, or its form unread: an offer is answered whatever it holds
+    session: Any  # a SessionTransfer, or unconverted: an invalid offer is answered too
 
 
 class SessionAnswer(msgspec.Struct, frozen=True):
-    """What the successor has made of the session that was offered under this number."""
+    """Tells whether the successor has adopted the session that was offered under this number."""
 
     number: int = msgspec.field(name="taken")
     accepted: bool = msgspec.field(name="by_other", default=False)
 
 
 class SessionsComplete(msgspec.Struct, frozen=True):
-    """The older process holds no session any more."""
+    """Tells the successor that the predecessor holds no more sessions."""
 
     complete: Any = msgspec.field(name="all", default=True)
 
 
 class DescriptorCount(msgspec.Struct, frozen=True):
-    """How many descriptors the sender holds open; sent again and again from when it serves."""
+    """Tells how many descriptors the sender holds open; sent at intervals from when it serves."""
 
     descriptors: int
 
 
 Message = SessionOffer | SessionAnswer | SessionsComplete | DescriptorCount
 
-# By the key that tells the kind, in the order in which they are looked for.
+# By the key that identifies the kind, in the order in which the keys are looked up.
 _KINDS: dict[str, type[Message]] = {
     "session": SessionOffer,
     "all": SessionsComplete,
@@ -105,12 +105,16 @@
 
 
 def encode_message(message: HandoverState | Message) -> bytes:
-    """The line of a message, without its delimiter."""
+    """Return the line of a message, without its delimiter."""
     return json.dumps(msgspec.to_builtins(message, str_keys=True)).encode()
 
 
 def decode_line(line: bytes) -> dict[str, Any]:
-    """The object that a line holds; HandoverMessageError where it holds none."""
+    """Return the JSON object in a line.
+
+    Raises:
+        HandoverMessageError: The line is not a JSON object.
+    """
     try:
         fields = json.loads(line)
     except ValueError as error:
@@ -121,12 +125,12 @@
 
 
 def read_state(fields: dict[str, Any]) -> HandoverState:
-    """The first message of the older process."""
+    """Return the predecessor's first message; its fields are not converted yet."""
     return _convert(fields, HandoverState)
 
 
 def read_message(fields: dict[str, Any]) -> Message | None:
-    """A later message; None for a kind that is unknown here, which a newer process may send."""
+    """Return a later message, or None for an unknown kind, which a newer version may send."""
     for key, kind in _KINDS.items():
         if key in fields:
             return _convert(fields, kind)
@@ -134,7 +138,7 @@
 
 
 def read_session(offered: object) -> SessionTransfer:
-    """The session of an offer."""
+    """Return the session of an offer."""
     session = _convert(offered, SessionTransfer)
     try:
         session.half_lines()
@@ -144,7 +148,7 @@
 
 
 def read_snapshot(learned: object) -> Snapshot:
-    """What the older process has learned."""
+    """Return the predecessor's snapshot."""
     return _convert(learned, Snapshot)
 
 
--- a/stepflow/node/process/reload.py
+++ b/stepflow/node/process/reload.py
@@ -1,7 +1,7 @@
-"""Reload at SIGHUP: the two files are read again, and the node goes on with what may change while it runs.
+"""Reload on SIGHUP: read both files again and apply what can change while the node runs.
 
-Responsible for handing new settings to every part that holds the old ones, in one step; a file that can't be
-taken changes nothing. Owns the current configuration. Spans are timedeltas of the node's clock.
+Responsible for passing new settings, in one step, to every part that holds the old ones; a file that is
+refused changes nothing. Owns the current configuration. Durations are timedeltas of the node's clock.
 """
 
 from __future__ import annotations
@@ -18,32 +18,34 @@
 
 log = get_logger()
 
-# A file that can't be read just now is read again; a new configuration counts as known 4 s after its signal.
+# A file that can't be read for a transient error is read again. The node has to know a new configuration 4 s
+# after the signal.
 READ_RETRY_DELAY, READ_RETRY_LIMIT = timedelta(milliseconds=50), timedelta(seconds=3)
 
-# Fields of NodeConfig that a reload passes over in silence or takes; the last three matter at a start only.
+# Fields of NodeConfig that a reload applies, or ignores without a warning: the last three matter only at the
+# start.
 CHANGEABLE = ("discovery", "settings", "tree", "seed", "known", "ops")
 
-# Reads both files; the configuration is the one that the new one replaces.
+# Reads both files; the argument is the configuration to be replaced.
 ReadFiles = Callable[[NodeConfig], tuple[NodeConfig, OperatorFile]]
 
 
 class Reloader:
-    """Holds the current configuration, and replaces it."""
+    """Holds the current configuration and replaces it on a reload."""
 
     def __init__(
-        self, parts: NodeParts, config: NodeConfig, operators: OperatorFile, read_files: ReadFiles
+        self, parts: NodeParts, config: NodeConfig, operator_file: OperatorFile, read_files: ReadFiles
     ) -> None:
         self._parts, self._read_files = parts, read_files
-        self.config, self._operators = config, operators
-        self.settings = config.settings.policy  # with the classes of all settings so far
+        self.config, self._operator_file = config, operator_file
+        self.settings = config.settings.policy  # with the classes of all settings since the start
 
-    def follow_recording(self) -> None:
-        """Record traffic as the operators' file says now."""
-        self._parts.recording.follow(self._operators.record, self.settings)
+    def update_recording(self) -> None:
+        """Record traffic as the current operators' file says."""
+        self._parts.recording.follow(self._operator_file.record, self.settings)
 
     def reload(self) -> None:
-        """Read the files again and go on with them, as far as they can change while the node runs."""
+        """Read the files again, and apply what can change while the node runs."""
         self._reload(self._parts.clock.now() + READ_RETRY_LIMIT)
 
     def _reload(self, until: timedelta) -> None:
@@ -51,7 +53,7 @@
         if self._parts.shutdown.has_begun:
             return
         try:
-            config, operators = self._read_files(self.config)
+            config, operator_file = self._read_files(self.config)
         except InputError as error:
             if error.is_transient and parts.clock.now() < until:
                 parts.timers.after(READ_RETRY_DELAY, lambda: self._reload(until))
@@ -59,27 +61,27 @@
             parts.counters.reloads_failed += 1
             log.warning("reload turned down, the old configuration goes on", fault=error)
             return
-        self._apply(config, operators)
+        self._apply(config, operator_file)
         parts.counters.reloads += 1
         log.info("reloaded", discovery=config.discovery)
 
-    def _apply(self, config: NodeConfig, operators: OperatorFile) -> None:
+    def _apply(self, config: NodeConfig, operator_file: OperatorFile) -> None:
         old = self.config
         self.config = old._replace(discovery=config.discovery, settings=config.settings, tree=config.tree)
         for key, old_value, value in zip(old._fields, old, config, strict=True):
             if key not in CHANGEABLE and value != old_value:
                 log.warning("reload passes over what can't change while the node runs", key=key)
-        if operators.log != self._operators.log:
-            set_up(operators.log.form, operators.log.level)
-        self._operators = operators
+        if operator_file.log != self._operator_file.log:
+            set_up(operator_file.log.form, operator_file.log.level)
+        self._operator_file = operator_file
         if config.settings != old.settings:
             self._update_settings(config.settings)
-        self.follow_recording()
+        self.update_recording()
         if config.discovery != old.discovery:
             self._parts.discovery.change_address(config.discovery)
 
     def _update_settings(self, update: NodeSettings) -> None:
-        """Hand new settings to all who hold the old ones, in one step."""
+        """Pass new settings to every part that holds the old ones, in one step."""
         parts = self._parts
         self.settings = merge_settings(self.settings, update.policy)
         self._parts.core.update_settings(self.settings)
--- a/stepflow/node/process/run.py
+++ b/stepflow/node/process/run.py
@@ -1,7 +1,7 @@
-"""The node's entry point behind its configuration: the reactor, the signals, and the exit code.
+"""Runs a configured node: the reactor, the signals, and the exit code.
 
-Responsible for which signal does what: SIGTERM and SIGINT end the node in order, SIGHUP reloads, SIGUSR1
-prints the counters. Errors: a start that fails is printed in one line, with exit code 1.
+Responsible for the effect of each signal: SIGTERM and SIGINT begin the graceful shutdown, SIGHUP reloads,
+SIGUSR1 prints the counters. Errors: if the start fails, one line is printed, and the exit code is 1.
 """
 
 from __future__ import annotations
@@ -22,16 +22,19 @@
 
 
 def run(
-    config: NodeConfig, operators: OperatorFile, read_files: ReadFiles, early_reloads: Sequence[int] = ()
+    config: NodeConfig, operator_file: OperatorFile, read_files: ReadFiles, early_reloads: Sequence[int] = ()
 ) -> int:
-    """Run the node until SIGTERM or SIGINT; `early_reloads` holds the SIGHUPs that came before."""
+    """Run the node until SIGTERM or SIGINT; return its exit code.
+
+    `early_reloads` holds the SIGHUPs that arrived before; if there are any, the node reloads once it runs.
+    """
     take_twisted()
     reactor = serving_reactor()
-    node = Node(config, operators, reactor, read_files)
+    node = Node(config, operator_file, reactor, read_files)
     signals = _install_signal_handlers(node, reactor)
     if early_reloads:
         reactor.callLater(0, node.reload)
-    try:  # the signals are handled before the log says that the node listens
+    try:  # signal handlers are installed before the log says that the node listens
         node.start()
     except Exception as error:
         print(f"stepflow: {config.listen}: {error}", file=sys.stderr)
@@ -39,14 +42,15 @@
     reactor.addSystemEventTrigger("before", "shutdown", node.close)
     reactor.run(installSignalHandlers=False)
     node.print_counters()
-    for number in signals:  # the interpreter, as it ends, would make a further signal deadly again
+    # As it exits, the interpreter restores the default handlers, and a further signal would kill the process.
+    for number in signals:
         signal.signal(number, signal.SIG_IGN)
     close_logs()
     return node.exit_code
 
 
 def _install_signal_handlers(node: Node, reactor: Reactor) -> Sequence[int]:
-    """Have signals do their work in the reactor's turn; returns their numbers."""
+    """Handle signals in a turn of the reactor; return their numbers."""
     calls: dict[int, Callable[[timedelta], None]] = {
         signal.SIGTERM: node.terminate,
         signal.SIGINT: node.terminate,
@@ -55,7 +59,7 @@
     }
 
     def on_signal(number: int, frame: object) -> None:
-        # From a signal handler as from a thread: nothing else is safe.
+        # The only reactor call that is safe in a signal handler, as in another thread.
         reactor.callFromThread(calls[number], node.now())
 
     for number in calls:
--- a/stepflow/node/process/service.py
+++ b/stepflow/node/process/service.py
@@ -1,9 +1,9 @@
-"""The life of a node's process: its start, what it takes over, its service, and its end.
+"""The process of a node: its start, its side of the hand-over, its service, and its end.
 
-Responsible for the order in which the parts begin and end (build.py joins them, reload.py replaces their
-settings, shutdown.py ends them). Owns the parts, the client listener and the exit code. Moments are
-timedeltas of the node's clock. Errors: a start that fails raises, or stops the process with exit code 1;
-whatever fails later is logged.
+Responsible for the order in which the parts start and stop (build.py connects them, reload.py replaces their
+settings, shutdown.py runs the graceful shutdown). Owns the parts, the client listener and the exit code.
+Points in time are timedeltas of the node's clock. Errors: a start that fails raises, or stops the process
+with exit code 1; later failures are logged.
 """
 
 from __future__ import annotations
@@ -38,34 +38,34 @@
 
 
 class Node:
-    """One process of a node; `start` begins it, `terminate` ends it in order."""
+    """One process of a node; `start` starts it, `terminate` begins its graceful shutdown."""
 
     def __init__(
-        self, config: NodeConfig, operators: OperatorFile, reactor: Reactor, read_files: ReadFiles
+        self, config: NodeConfig, operator_file: OperatorFile, reactor: Reactor, read_files: ReadFiles
     ) -> None:
         self.name = config.name
-        self._config, self._reactor = config, reactor  # as it was at the start
+        self._config, self._reactor = config, reactor  # the configuration of the start
         self._parts = build_parts(config, reactor, self)
-        self._reloader = Reloader(self._parts, config, operators, read_files)
+        self._reloader = Reloader(self._parts, config, operator_file, read_files)
         self._listener: ClientListener | None = None
         self._stopped = False
         self._started_at = ZERO
-        self._predecessor: HandoverState | None = None  # until all of its sessions have come
+        self._predecessor_state: HandoverState | None = None  # until all of its sessions have arrived
         self._predecessor_found_at = ZERO
         self.exit_code = 0
 
     def now(self) -> timedelta:
-        """The time of the node's clock."""
+        """Return the time of the node's clock."""
         return self._parts.clock.now()
 
     # The start.
 
     def start(self) -> None:
-        """Answer operators, and look for the process that this one is to replace."""
+        """Listen for operators, and look for the predecessor."""
         self._started_at = self.now()
         if self._config.ops is not None:
             self._listen_for_operators(self._config.ops)
-        self._parts.handover.find_predecessor(self._begin)
+        self._parts.handover.find_predecessor(self._start_policy)
 
     def _listen_for_operators(self, address: Address) -> None:
         site = AdminSite(self._parts.timers, self._can_serve, self._metrics)
@@ -79,11 +79,11 @@
         log.info("hears operators", address=Address(address.host, port))
 
     def _may_retry_listen(self, error: Exception) -> bool:
-        """Whether what failed at the start may succeed soon, and there is time left."""
+        """Return whether listening may succeed soon, and there is time left to retry it."""
         return errno_of(error) in RESOURCE_SHORTAGE and self.now() - self._started_at < LISTEN_RETRY_LIMIT
 
-    def _begin(self, listener: int | None, state: HandoverState) -> None:
-        """Start the policy with the newest list there is, then accept clients."""
+    def _start_policy(self, listener: int | None, state: HandoverState) -> None:
+        """Start the policy with the newest known endpoint list, then accept clients."""
         try:
             _, known = self._parts.endpoint_group.apply(state.endpoint_list or self._config.known)
         except EndpointListError as error:
@@ -93,7 +93,7 @@
         self._parts.core.start(self._parts.upstreams, discovery, known)
         if state.has_snapshot:
             log.info("takes over from the process that serves", node=self.name)
-            self._predecessor = HandoverState(snapshot=state.snapshot)  # its list is not needed again
+            self._predecessor_state = HandoverState(snapshot=state.snapshot)  # without the list
             self._predecessor_found_at = self.now()
             self._restore_snapshot(state)
         if self._reloader.settings.polls_endpoint_list:
@@ -110,7 +110,7 @@
         restore_snapshot(self._parts.policy, snapshot, micros(self._predecessor_found_at))
 
     def _listen(self, inherited: int | None) -> None:
-        """Accept clients, from the predecessor's socket where it has passed that."""
+        """Accept clients, from the predecessor's listening socket if it was passed."""
         address, clients = self._config.listen, self._parts.clients
         try:
             listener = listen(self._reactor, address, clients, self._parts.counters, inherited)
@@ -124,12 +124,12 @@
             return
         self._listener = listener
         log.info("listens", address=Address(address.host, listener.getHost().port), node=self.name)
-        self._reloader.follow_recording()
+        self._reloader.update_recording()
         self._parts.garbage.begin()
         self._parts.wall_clock.begin()
         self._parts.handover.start_serving()
 
-    # While it serves.
+    # Service.
 
     def _can_serve(self) -> bool:
         return self._listener is not None and not self._parts.shutdown.has_begun
@@ -144,65 +144,66 @@
         return render(self._parts.counters, gauges)
 
     def reload(self) -> None:
-        """Read the configuration again and go on with it, as far as it can change while the node runs."""
+        """Read the files again, and apply what can change while the node runs."""
         self._reloader.reload()
 
     def print_counters(self) -> None:
         """Print the counters to standard error, whatever the log's level."""
         print_plainly(f"counters: {self._parts.counters}")
 
-    # Hand-over, as its channel asks (handover.py).
+    # Hand-over: called by handover.py for the messages of its channel.
 
     def handover_state(self) -> tuple[int, HandoverState]:
-        """The listening socket, and what a successor should know."""
-        assert self._listener is not None  # a successor is waited for once clients are accepted
+        """Return the listening socket's descriptor, and the state for a successor."""
+        assert self._listener is not None  # successors are accepted only after clients
         snapshot = take_snapshot(self._parts.policy, micros(self.now()))
         state = HandoverState(endpoint_list=self._parts.endpoint_group.to_message(), snapshot=snapshot)
         return self._listener.fileno(), state
 
     def open_descriptors(self) -> int:
-        """How many this process holds open, or reserves."""
+        """Return the number of descriptors that this process holds open, or reserves."""
         return self._parts.descriptors.in_use(self._parts.clients.open_connections)
 
     def adopt_session(self, session: SessionTransfer, client: int, endpoint: int) -> bool:
-        """Go on with a session of the predecessor; False leaves it there."""
+        """Adopt a session of the predecessor; return False if it has to stay there."""
         return self._can_serve() and self._parts.clients.adopt(session, client, endpoint)
 
     def sessions_complete(self) -> None:
-        """The predecessor has passed all its sessions: restore its snapshot once more.
+        """Restore the predecessor's snapshot again, since all of its sessions have arrived.
 
-        Load reports were held against part of the sessions while those came: costs are far too high by now.
+        Until then, load reports were compared with the load of only some sessions, so the costs learned from
+        them are far too high.
         """
-        if self._predecessor is None:
+        if self._predecessor_state is None:
             return
-        self._restore_snapshot(self._predecessor)
-        self._predecessor = None
+        self._restore_snapshot(self._predecessor_state)
+        self._predecessor_state = None
         sessions = len(self._parts.core.established_sessions())
         log.info("has all sessions", sessions=sessions, node=self.name)
 
     def session_answered(self, number: int, accepted: bool) -> None:
-        """The successor has answered the offer of this number."""
+        """Handle the successor's answer to the offer with this number."""
         self._parts.shutdown.session_answered(number, accepted)
 
     # The end.
 
     def terminate(self, signalled_at: timedelta) -> None:
-        """Begin the graceful shutdown, counted from the moment that the signal came."""
+        """Begin the graceful shutdown, timed from when the signal arrived."""
         self._parts.shutdown.begin(signalled_at, self._listener)
 
     def longest_deadline(self) -> timedelta:
-        """The longest deadline of a class, as the settings have it now."""
+        """Return the longest deadline of any request class in the current settings."""
         longest = max(cls.deadline_us for cls in self._reloader.config.settings.policy.classes)
         return timedelta(microseconds=longest)
 
     def stop(self) -> None:
-        """Stop the reactor; may be called again."""
+        """Stop the reactor; later calls have no effect."""
         if not self._stopped:
             self._stopped = True
             self._reactor.stop()
 
     def close(self) -> None:
-        """Give back what outlives the clients."""
+        """End the recording, and close what stays open after the clients' connections."""
         shutdown = self._parts.shutdown
         left = shutdown.time_left() if shutdown.has_begun else DISK_WAIT
         self._parts.recording.end(max(left, DISK_WAIT))
--- a/stepflow/node/process/shutdown.py
+++ b/stepflow/node/process/shutdown.py
@@ -1,7 +1,8 @@
-"""Graceful shutdown after SIGTERM: the process passes or migrates its sessions, answers, and exits.
+"""Graceful shutdown after SIGTERM: the process hands over or migrates its sessions, answers, and exits.
 
-Responsible for the order of those steps (shutdown_schedule.py has their moments, docs/endings.md what is owed
-at each). Owns the offers that the successor has not answered yet. Moments are timedeltas of the node's clock.
+Responsible for the order of those steps; shutdown_schedule.py computes when each is due, and docs/endings.md
+says what is owed to clients and endpoints at each. Owns the session offers that the successor has not
+answered yet. Points in time are timedeltas of the node's clock.
 """
 
 from __future__ import annotations
@@ -28,36 +29,37 @@
 
 log = get_logger()
 
-OFFER_INTERVAL = timedelta(milliseconds=20)  # between two looks for sessions that a successor can have
-# Nobody reads a session while it is offered, and an end that comes meanwhile is owed within a second.
+OFFER_INTERVAL = timedelta(milliseconds=20)  # between two passes over the sessions to offer
+# While a session is offered, neither process reads it; an end that arrives meanwhile has to be passed on
+# within a second.
 OFFER_TIMEOUT = LINGER_TIMEOUT
-MAX_OPEN_OFFERS = 32  # each holds two descriptors in both processes until it is answered
-CLIENTS_CHECK_INTERVAL = timedelta(milliseconds=50)  # whether all have read their answer
+MAX_OPEN_OFFERS = 32  # each open offer holds two descriptors in both processes
+CLIENTS_CHECK_INTERVAL = timedelta(milliseconds=50)  # between checks whether all clients have disconnected
 
 
 class OpenOffer(NamedTuple):
-    """A session that the successor has not answered for."""
+    """An offered session that the successor has not answered yet."""
 
     context: RequestContext
     made_at: timedelta
 
 
 class StoppableProcess(Protocol):
-    """What the shutdown needs of its process."""
+    """The process, as the shutdown uses it."""
 
     @property
     def name(self) -> str:
-        """The node's name, for the log."""
+        """Return the node's name, for the log."""
 
     def longest_deadline(self) -> timedelta:
-        """The longest deadline of a class, as the settings have it now."""
+        """Return the longest deadline of any request class in the current settings."""
 
     def stop(self) -> None:
-        """Stop the reactor; may be called again."""
+        """Stop the reactor; later calls have no effect."""
 
 
 class Shutdown:
-    """Ends the process in order, once."""
+    """Runs the graceful shutdown of the process, at most once."""
 
     def __init__(
         self,
@@ -70,16 +72,17 @@
     ) -> None:
         self._process, self._core, self._clients = process, core, clients
         self._clock, self._timers, self._handover = clock, timers, handover
-        self.has_begun = self._ending = self._listener_closed = False
+        self.has_begun = self._in_last_phase = self._listener_closed = False
         self._signalled_at = ZERO
-        self._offers: dict[int, OpenOffer] = {}  # by the numbers of the offers
+        self._offers: dict[int, OpenOffer] = {}  # by offer number
         self._offer_count = 0
         self._sent_complete = False
 
     def begin(self, signalled_at: timedelta, listener: ClientListener | None) -> None:
-        """Begin the shutdown; all moments count from the signal, which a busy process hears of late.
+        """Begin the shutdown; later calls have no effect.
 
-        Without a listener no client was accepted yet, and nothing is owed.
+        All steps are timed from `signalled_at`, when the signal arrived: a busy process handles it late.
+        Without a listener the process has accepted no client yet, so it owes no answers and stops at once.
         """
         if self.has_begun:
             return
@@ -91,37 +94,44 @@
         self._listener = listener
         self._timers.at(signalled_at + self._schedule().sessions_end, self._end_sessions)
         self._handover.stop_waiting()
-        self._begin_with_or_without_successor()
+        self._check_successor()
 
     def time_left(self) -> timedelta:
-        """Until the process has to be gone; below zero once that is past."""
+        """Return the time until the process has to exit; negative once that is past."""
         return self._signalled_at + self._schedule().exit - self._clock.now()
 
     def _schedule(self) -> ShutdownSchedule:
         return shutdown_schedule(self._process.longest_deadline())
 
-    # With a successor.
+    # Shutdown with a successor.
 
-    def _begin_with_or_without_successor(self) -> None:
-        """Serve on for a while, or until the successor does: it may still be starting."""
-        if self._ending:
+    def _check_successor(self) -> None:
+        """Go on serving until the successor serves, or until `listener_end` if there is no successor.
+
+        A connected successor may still be starting, so its state is checked every `OFFER_INTERVAL`.
+        """
+        if self._in_last_phase:
             return
         if not self._handover.has_successor:
             listener_end = self._signalled_at + self._schedule().listener_end
             self._timers.at(listener_end, self._shut_down_without_successor)
         elif not self._handover.successor_serves:
-            self._timers.after(OFFER_INTERVAL, self._begin_with_or_without_successor)
+            self._timers.after(OFFER_INTERVAL, self._check_successor)
         else:
-            # It accepts from the same queue; whoever was accepted here is still served here. The listener
-            # stays open in this process too, unread: its queue would go with a successor that dies.
+            # The successor accepts from the same kernel queue; clients that this process has accepted stay
+            # here. The listener stays open in this process too, without being read: otherwise the queue
+            # would be lost with a successor that dies.
             self._listener.stop_accepting()
             log.info("listens no more", node=self._process.name)
             self._offer_sessions()
-            self._stop_without_clients()
+            self._stop_once_clients_are_gone()
 
     def _offer_sessions(self) -> None:
-        """Offer sessions to the successor, some at a time, and look again for those established later."""
-        if self._ending:
+        """Offer sessions to the successor, at most `MAX_OPEN_OFFERS` at a time.
+
+        Runs again every `OFFER_INTERVAL`, also for sessions that are established later.
+        """
+        if self._in_last_phase:
             return
         if not self._handover.has_successor:
             self._withdraw_offers()
@@ -142,36 +152,39 @@
         self._timers.after(OFFER_INTERVAL, self._offer_sessions)
 
     def _withdraw_offers(self) -> None:
-        """Go on with the offered sessions: no answer will come, or none in time."""
+        """Treat every open offer as refused: no answer will come, or none in time."""
         for number in tuple(self._offers):
             self.session_answered(number, False)
 
     def _withdraw_overdue_offers(self) -> None:
-        """Migrate what the successor is too slow for; should it adopt that yet, it finds both sides ended."""
+        """Migrate the sessions whose offers have been open for `OFFER_TIMEOUT`.
+
+        A successor that still adopts one of them finds both of its connections ended.
+        """
         now = self._clock.now()
         for number, offer in tuple(self._offers.items()):
             if now - offer.made_at >= OFFER_TIMEOUT:
                 self.session_answered(number, False)
 
     def session_answered(self, number: int, accepted: bool) -> None:
-        """The successor has answered the offer of this number; a session that it refuses is migrated."""
+        """Handle the successor's answer to an offer; a session that it refuses is migrated."""
         offer = self._offers.pop(number, None)
         if offer is not None:
             cast(ClientConnection, offer.context.downstream).transfer_answered(accepted)
             if not accepted:
                 self._core.migrate(offer.context)
 
-    # Without one.
+    # Shutdown without a successor.
 
     def _shut_down_without_successor(self) -> None:
-        """With nobody to take over: the clients go to other nodes."""
-        if self._ending:
+        """Reject pending requests, close the listener, and migrate the sessions to other nodes."""
+        if self._in_last_phase:
             return
         self._core.reject_pending()
         self._close_listener()
-        # A session is served here until it is migrated, and its client may find no other node: those of a
-        # fleet that restarts in turn are back before this one's end. So the migrations take all the time
-        # there is.
+        # A session is served here until it is migrated, and a client that is migrated early may find no other
+        # node: in a rolling restart, the nodes that restarted earlier are back before this one exits. So the
+        # migrations are spread over all the time left.
         left = self._signalled_at + self._schedule().sessions_end - self._clock.now()
         sessions = self._core.established_sessions()
         delays = migration_delays(left, len(sessions), MIGRATION_START_SHARE)
@@ -179,20 +192,23 @@
             self._timers.after(delay, partial(self._core.migrate, context))
 
     def _close_listener(self) -> None:
-        """Accept all that wait in the kernel, unless a successor does, and nobody from then on."""
+        """Close the listener, after accepting all clients in its queue unless a successor does so."""
         if self._listener_closed:
             return
         self._listener_closed = True
-        if self._handover.successor_serves:  # and the log has said that this process listens no more
+        if self._handover.successor_serves:  # `_check_successor` has logged the event
             self._listener.close_now()
         else:
             self._listener.close_gracefully(lambda: log.info("listens no more", node=self._process.name))
 
-    # The end.
+    # The last phase.
 
     def _end_sessions(self) -> None:
-        """Answer and migrate whoever is left; stop once the last clients have read that."""
-        self._ending = True
+        """Answer the remaining requests and migrate the remaining sessions, then stop.
+
+        The process stops once all clients have disconnected, and at `exit` at the latest.
+        """
+        self._in_last_phase = True
         self._withdraw_offers()
         self._core.answer_pending()
         self._close_listener()
@@ -200,10 +216,10 @@
         for context in self._core.established_sessions():
             self._core.migrate(context)
         self._timers.at(self._signalled_at + self._schedule().exit, self._process.stop)
-        self._stop_without_clients()
+        self._stop_once_clients_are_gone()
 
-    def _stop_without_clients(self) -> None:
+    def _stop_once_clients_are_gone(self) -> None:
         if self._clients.open_connections:
-            self._timers.after(CLIENTS_CHECK_INTERVAL, self._stop_without_clients)
+            self._timers.after(CLIENTS_CHECK_INTERVAL, self._stop_once_clients_are_gone)
         else:
             self._process.stop()
--- a/stepflow/node/process/snapshot.py
+++ b/stepflow/node/process/snapshot.py
@@ -1,8 +1,8 @@
-"""What the policy has learned, taken for a successor and restored in it.
+"""Takes a snapshot of what the policy has learned, and restores it in a successor.
 
-Responsible for the two directions between a policy and a `Snapshot`; handover_messages.py has the stored
-form. Owns nothing. Moments are microseconds of the process's clock; a snapshot holds ages in their place,
-since the clocks of two processes may have begun at different moments.
+Responsible for the conversion between a policy and a `Snapshot`, both ways; handover_messages.py defines the
+stored format. Owns nothing. Points in time are microseconds of the process's clock; a snapshot holds ages
+instead, since the clocks of two processes may have started at different times.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 
 
 def take_snapshot(policy: Policy, now_us: int) -> Snapshot:
-    """All that a successor can take over."""
+    """Return a snapshot of everything that a successor can take over."""
     model = policy.model
     class_names = [request_class.name for request_class in policy.settings.classes]
     return Snapshot(
@@ -29,9 +29,9 @@
 
 
 def restore_snapshot(policy: Policy, snapshot: Snapshot, now_us: int) -> None:
-    """Take over what another process has learned, once the endpoint list is there.
+    """Apply the snapshot of another process; the policy must have its endpoint list by then.
 
-    Classes and endpoints that this process doesn't know are passed over.
+    Classes and endpoints that this process doesn't know are ignored.
     """
     model = policy.model
     class_indexes = {request_class.name: i for i, request_class in enumerate(policy.settings.classes)}
@@ -47,8 +47,8 @@
         snapshot.attempt_latency_us,
         snapshot.check_latency_us,
     )
-    # Predictions and weights follow at once: a cost in one unit times a load in another would reject
-    # everybody.
+    # Predictions and weights are recomputed at once: a cost in one unit times a load in another would reject
+    # every request.
     model.predict(list(model.endpoints.values()), 0.0)
     policy.weights.tabulate(policy.now_us)
 
--- a/stepflow/node/process/start.py
+++ b/stepflow/node/process/start.py
@@ -1,7 +1,7 @@
-"""The start of a node's process: its two files and the logs, then the service.
+"""Starts a node's process: reads its two files, sets up the logs, and runs the node.
 
-Responsible for the exit code 2 of a bad file, and for signals that come before the node runs. A file that
-can't be read for a moment is read again (stepflow/errors.py).
+Responsible for exit code 2 if a file is invalid, and for signals that arrive before the node runs. A file
+that can't be read for a transient error is read again (stepflow/errors.py).
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 
 
 def load_operator_file() -> OperatorFile:
-    """The operators' file: as STEPFLOW_CONF names it, else in its usual place; none is an empty one."""
+    """Read the operators' file: STEPFLOW_CONF, or else the default path, where no file means an empty one."""
     if path := os.environ.get("STEPFLOW_CONF", ""):
         return read(path)
     try:
@@ -28,28 +28,26 @@
     except FileNotFoundError:
         return OperatorFile()
     except OSError:
-        pass  # reading it tells what is wrong
+        pass  # `read` reports the error
     return read(OPERATOR_FILE)
 
 
 def reload_files(replaced: NodeConfig) -> tuple[NodeConfig, OperatorFile]:
-    """Both files again, in place of this configuration and the operators' file before."""
+    """Read both files again; return the configuration that replaces `replaced`, and the operators' file."""
     return load_config(os.environ, replaced), load_operator_file()
 
 
 def start() -> int:
-    """Read the files, then serve until a signal ends it; 2 where one of them is bad."""
-    early_reloads: list[
-        int
-    ] = []  # SIGHUPs that came before the node runs, perhaps after it had read its files
+    """Read the files and run the node; return the exit code, which is 2 if a file is invalid."""
+    early_reloads: list[int] = []  # SIGHUPs received before the node runs, maybe after its files were read
     signal.signal(signal.SIGHUP, lambda number, frame: early_reloads.append(number))
     try:
-        operators = read_with_retries(load_operator_file)
+        operator_file = read_with_retries(load_operator_file)
         config = read_with_retries(lambda: load_config(os.environ))
     except InputError as error:
         print(f"stepflow: {error}", file=sys.stderr)
         return EXIT_BAD_INPUT
-    logs.set_up(operators.log.form, operators.log.level)
+    logs.set_up(operator_file.log.form, operator_file.log.level)
     from stepflow.node.process.run import run
 
-    return run(config, operators, reload_files, early_reloads)
+    return run(config, operator_file, reload_files, early_reloads)
--- a/stepflow/node/session_transfer.py
+++ b/stepflow/node/session_transfer.py
@@ -1,35 +1,39 @@
-"""The session message: what one process of a node tells the next of a session whose sockets it passes.
+"""The session message: the state of a session that a process passes to its successor with the sockets.
 
-The JSON keys and their order are fixed, because the other process may be of another version; each attribute
-names the key that it is stored under where the two differ. Unknown keys are ignored when a message is read.
+The JSON keys and their order are fixed, because the other process may run another version; an attribute whose
+name differs from its key gives the key as `name=`. Unknown keys are ignored when a message is read.
 """
 
 from __future__ import annotations
 
 import msgspec
 
-# JSON holds text, a socket brings bytes: this encoding has one letter for each byte.
+# JSON holds text, sockets deliver bytes: this encoding has one character for each byte.
 BYTES_ENCODING = "latin-1"
 
 
 class SessionTransfer(msgspec.Struct, frozen=True, kw_only=True):
-    """A session between two processes: the fields in the order in which they are sent."""
+    """A session passed from one process to the next; the fields are in the order in which they are sent."""
 
-    # Numbers of the sender's descriptors. The receiver gets descriptors of its own beside the message.
+    # The sender's descriptor numbers. The receiver gets descriptors of its own, which are passed separately.
     client_descriptor: int = msgspec.field(name="client", default=-1)
     endpoint_descriptor: int = msgspec.field(name="peer", default=-1)
-    # Half lines that have been relayed already, one letter for each byte.
+    # Half lines that have been relayed already, one character for each byte.
     from_client: str
     from_endpoint: str = msgspec.field(name="from_peer")
-    echoes_owed: int = msgspec.field(name="owed")  # lines that had no echo yet
-    request_id: int = msgspec.field(name="id")  # as the client gave it
+    echoes_owed: int = msgspec.field(name="owed")  # lines whose echo has not come yet
+    request_id: int = msgspec.field(name="id")  # as sent by the client
     class_name: str = msgspec.field(name="class")
     tenant: str = ""
     load: float | None
     idempotency_key: int = msgspec.field(name="key")
     affinity_group: int = msgspec.field(name="group")
-    endpoint: str = msgspec.field(name="at")  # the id of the map server that serves the session
+    endpoint: str = msgspec.field(name="at")  # the id of the endpoint that serves the session
 
     def half_lines(self) -> tuple[bytes, bytes]:
-        """The bytes of the half lines from the client and from the endpoint; ValueError for other letters."""
+        """Return the half lines from the client and from the endpoint as bytes.
+
+        Raises:
+            ValueError: A half line has a character that stands for no byte.
+        """
         return self.from_client.encode(BYTES_ENCODING), self.from_endpoint.encode(BYTES_ENCODING)
