--- a/tests/handover_kit.py
+++ b/tests/handover_kit.py
@@ -1,6 +1,6 @@
-"""The channel between a node's two processes: scripted ends, and a tap that records what passes.
+"""The channel between two processes of a node: scripted ends, and a tap that records the messages.
 
-`python -m tests.handover_kit FILE` records a hand-over between two real processes of this very text.
+`python -m tests.handover_kit FILE` records a hand-over between two real processes of the current code.
 """
 
 from __future__ import annotations
@@ -21,15 +21,15 @@
 from tests.node_kit import PATIENCE, Discovery, Line, Node, Peer, opening
 
 RECORDING = Path(__file__).parent / "data" / "handover-5fd6943.json"
-RECORDED_PEER = "127.0.0.1:1"  # in place of the addresses of the recording's peers, which are gone
+RECORDED_PEER = "127.0.0.1:1"  # replaces the addresses of the recording's endpoints, which are gone
 
 CLIENT_LINE, PEER_LINE = "M ü1", "M €2"
-HALF = 3  # bytes of either that have been sent at the hand-over: it falls amid a letter
+HALF = 3  # bytes of each line sent before the hand-over: they end in the middle of a character
 CLIENT_HALF, PEER_HALF = CLIENT_LINE.encode()[:HALF], PEER_LINE.encode()[:HALF]
 CLIENT_REST, PEER_REST = (f"{line}\r\n".encode()[HALF:] for line in (CLIENT_LINE, PEER_LINE))
 LISTED = '{"rev":7,"all":false,"targets":[]}'
 
-_LONGEST_RECEIVED, _MOST_DESCRIPTORS = 1 << 16, 16
+_MAX_READ_BYTES, _MAX_DESCRIPTORS = 1 << 16, 16
 
 
 def channel_path(node: Node) -> str:
@@ -37,13 +37,13 @@
 
 
 def with_tenants(config: dict[str, Any]) -> None:
-    """The settings of the recording: tenants have names, and SIGTERM leaves the longest time."""
+    """Use the recording's settings: tenants with names, and the longest possible shutdown."""
     config["settings"]["tenants"] = [{"name": "silver"}, {"name": "gold"}]
     config["settings"]["classes"][0]["give_up_us"] = 60_000_000
 
 
 class ChannelEnd:
-    """One end of the channel, as lines of JSON and the descriptors that came with them."""
+    """One end of the channel: sends and reads lines of JSON and the descriptors that come with them."""
 
     def __init__(self, sock: socket.socket) -> None:
         sock.settimeout(PATIENCE)
@@ -51,7 +51,7 @@
         self.descriptors: list[int] = []
 
     def send(self, line: str, *descriptors: int) -> None:
-        """Send the descriptors ahead of the line, each with one of its bytes, as Twisted does."""
+        """Send a line; each descriptor goes along with one of its first bytes, as in Twisted."""
         data = line.encode() + b"\n"
         for at, descriptor in enumerate(descriptors):
             rights = array.array("i", [descriptor])
@@ -59,9 +59,9 @@
         self._sock.sendall(data[len(descriptors) :])
 
     def read(self) -> dict[str, Any]:
-        """The next message; EOFError at the end of the channel."""
+        """Return the next message; raise EOFError at the end of the channel."""
         while b"\n" not in self._unread:
-            data, descriptors, _, _ = socket.recv_fds(self._sock, _LONGEST_RECEIVED, _MOST_DESCRIPTORS)
+            data, descriptors, _, _ = socket.recv_fds(self._sock, _MAX_READ_BYTES, _MAX_DESCRIPTORS)
             self.descriptors += descriptors
             if not data:
                 raise EOFError
@@ -72,7 +72,7 @@
         return message
 
     def read_kind(self, key: str) -> dict[str, Any]:
-        """The next message with this key, past those that tell how many descriptors are open."""
+        """Return the next message with this key, skipping the descriptor counts."""
         while key not in (message := self.read()):
             assert list(message) == ["descriptors"], message
         return message
@@ -85,7 +85,7 @@
 
 
 def join_as_successor(path: str) -> ChannelEnd:
-    """Connect to a process as the next one would, once it listens."""
+    """Connect to a process as its successor would, once it listens."""
     until = time.monotonic() + PATIENCE
     while True:
         sock = socket.socket(socket.AF_UNIX)
@@ -99,7 +99,7 @@
 
 
 class Predecessor:
-    """A process that serves, as its successor sees it: it tells a state to whoever connects first."""
+    """A scripted predecessor: sends a state to the first process that connects."""
 
     def __init__(self, path: str, state: str, listener: socket.socket) -> None:
         self._path, self._state, self._listener = path, state, listener
@@ -123,7 +123,7 @@
 
 @dataclass
 class Recording:
-    """The lines that each of the two processes has sent, in order."""
+    """The lines that each of the two processes has sent, in order, and how many descriptors."""
 
     old: list[str] = field(default_factory=list)
     new: list[str] = field(default_factory=list)
@@ -131,18 +131,18 @@
     new_descriptors: int = 0
 
     def messages(self, key: str, by: str = "old") -> list[dict[str, Any]]:
-        """The messages that have this key."""
+        """Return the messages that have this key."""
         lines = self.old if by == "old" else self.new
         return [message for message in map(json.loads, lines) if key in message]
 
 
 def load_recording() -> Recording:
-    """The hand-over that two processes of commit 5fd6943 have made."""
+    """Load the hand-over between two processes of commit 5fd6943."""
     return Recording(**json.loads(RECORDING.read_text()))
 
 
 class Tap:
-    """Stands between the process that serves and its successor, and keeps what passes."""
+    """A proxy between the predecessor and its successor that records what they send."""
 
     def __init__(self, path: str) -> None:
         self._path, self._real_path = path, path + ".tapped"
@@ -170,7 +170,7 @@
         unread, count = b"", 0
         with suppress(OSError):
             while True:
-                data, descriptors, _, _ = socket.recv_fds(source, _LONGEST_RECEIVED, _MOST_DESCRIPTORS)
+                data, descriptors, _, _ = socket.recv_fds(source, _MAX_READ_BYTES, _MAX_DESCRIPTORS)
                 if not data:
                     break
                 count += len(descriptors)
@@ -186,14 +186,14 @@
                 sock.shutdown(socket.SHUT_RDWR)
 
     def finish(self) -> Recording:
-        """What passed, once the channel has ended."""
+        """Wait for the end of the channel, and return the recording."""
         self._thread.join(PATIENCE)
         assert not self._thread.is_alive()
         return self.recording
 
 
 def wait_until_reported(path: str) -> None:
-    """Until a server's report has shown in the figures that a process would hand over."""
+    """Wait until an endpoint's load report shows in the state that a process would hand over."""
     until = time.monotonic() + PATIENCE
     while time.monotonic() < until:
         end = join_as_successor(path)
@@ -203,11 +203,11 @@
         finally:
             end.close()
         time.sleep(0.05)
-    raise AssertionError("no report came")
+    raise AssertionError("no load report arrived")
 
 
 def tap_when_waiting(path: str) -> Tap:
-    """A tap on a process that has just lost a successor, once it listens anew."""
+    """Tap a process that has just lost a successor, once it listens again."""
     until = time.monotonic() + PATIENCE
     while not os.path.exists(path):
         assert time.monotonic() < until, "no process waits for a successor"
@@ -216,7 +216,7 @@
 
 
 def record_handover() -> Recording:
-    """Two real processes, one session that stands amid a line either way, and a line without its echo."""
+    """Record two real processes: one session, a half line each way, and a line without its echo."""
     first, second = Peer("s-1", X=None), Peer("s-2")
     with ExitStack() as stack:
         old = stack.enter_context(Node(first, second, discovery=Discovery(LISTED), change=recorded_config))
@@ -227,11 +227,11 @@
         server = first.standing.get(timeout=PATIENCE)
         tap = tap_when_waiting(path)
         new = stack.enter_context(old.successor())
-        _leave_amid_lines(client, server, first)
+        _send_half_lines(client, server, first)
         old.terminate()
         assert old.process.wait(PATIENCE) == 0
         recording = tap.finish()
-        server.sock.sendall(PEER_REST)  # first: the peer's echo would come amid its line
+        server.sock.sendall(PEER_REST)  # first, or the endpoint's echo would split its line
         assert client.read() == PEER_LINE
         client.sock.sendall(CLIENT_REST)
         assert client.read() == CLIENT_LINE  # the echo
@@ -241,14 +241,14 @@
 
 
 def recorded_config(config: dict[str, Any]) -> None:
-    """The recording's configuration: its list has a version, and one server that drains."""
+    """Use the recording's configuration: a list with a revision, and one endpoint that is draining."""
     with_tenants(config)
     config["known"]["rev"] = 7
     config["known"]["targets"][1]["state"] = "Terminating"
 
 
-def _leave_amid_lines(client: Line, server: Line, peer: Peer) -> None:
-    """Each side has sent a half line behind a whole one, in one piece, when the whole one is read."""
+def _send_half_lines(client: Line, server: Line, peer: Peer) -> None:
+    """Have each side send a whole line and a half line at once; return when the whole lines are read."""
     server.sock.sendall(b"LOAD 2.5\r\n" + PEER_HALF)
     assert client.read() == "LOAD 2.5"
     client.sock.sendall(b"X 1\r\n" + CLIENT_HALF)
--- a/tests/node/process/test_handover.py
+++ b/tests/node/process/test_handover.py
@@ -1,4 +1,4 @@
-"""Hand-over between a node's two processes, while one replaces the other."""
+"""Hand-over between two processes of a node, of which one replaces the other."""
 
 from __future__ import annotations
 
@@ -33,28 +33,29 @@
 from tests.node_kit import PATIENCE, SETTINGS, Discovery, Line, Node, Peer, opening
 
 
-def long_waits(config: dict[str, Any]) -> None:
-    """What SIGKILL waits for, and so the leaving, is then as long as it can be."""
+def set_longest_deadline(config: dict[str, Any]) -> None:
+    """Set a deadline of 60 s, so that SIGKILL comes, and the shutdown ends, as late as possible."""
     config["settings"]["classes"][0]["give_up_us"] = 60_000_000
 
 
 def test_successor_takes_over_and_every_client_is_answered() -> None:
-    """Regression: the successor failed to bind; a listener of its own would have reset the other's queue."""
-    with Node(Peer("s-1"), change=long_waits) as old:
+    """Regression: the successor failed to bind. A listener of its own would have reset the other's queue."""
+    with Node(Peer("s-1"), change=set_longest_deadline) as old:
         client, slow = old.client(opening(1)), old.client()
         assert client.read() == "UP r1"
         with old.successor() as new:
             assert old.ops("/v1/readyz")[0] == new.ops("/v1/readyz")[0] == 200
             old.terminate()
             old.wait_log("listens no more")
-            slow.send(opening(2))  # the old one had accepted it
+            slow.send(opening(2))  # the predecessor has accepted this connection
             assert slow.read() == "UP r1"
             assert old.ops("/v1/readyz")[0] == 503
             fresh = [old.client(opening(number)) for number in range(3, 9)]
             assert [line.read() for line in fresh] == ["UP r1"] * 6
-            new.wait_log("has all sessions.* node=n0")  # so what came of reports meanwhile is forgotten
+            # The snapshot is restored again, which discards what was learned from reports meanwhile.
+            new.wait_log("has all sessions.* node=n0")
             assert old.process.wait(PATIENCE) == 0
-            fresh.append(old.client(opening(9)))  # at the same address, with the first process gone
+            fresh.append(old.client(opening(9)))  # at the same address, after the predecessor has exited
             assert fresh[-1].read() == "UP r1"
             for line in (client, slow, *fresh):
                 line.send("M 1 still here")
@@ -63,9 +64,9 @@
             assert [line.read() for line in (client, slow, *fresh)] == ["MOVE"] * 9
 
 
-def test_session_is_passed_amid_a_line_with_its_owed_echo() -> None:
-    """Regression: sessions were migrated, and clients that came again at once were mostly rejected."""
-    with Node(peer := Peer("s-1", X=None), change=long_waits) as old:
+def test_session_is_passed_with_its_half_line_and_its_owed_echo() -> None:
+    """Regression: sessions were migrated, and most clients that reconnected at once were rejected."""
+    with Node(peer := Peer("s-1", X=None), change=set_longest_deadline) as old:
         client = old.client(opening())
         assert client.read() == "UP r1"
         server = peer.standing.get(timeout=PATIENCE)
@@ -77,13 +78,13 @@
             assert "edge_gw.in_flight:1|g" in new.ops("/v1/metrics")[1].split()
             server.sock.sendall(b"lf\r\n")
             assert client.read() == "M half"
-            assert new.client(opening()).read() == "ERR malformed"  # the id is still taken
-            client.send("X 1 no echo")  # its echoes are still waited for
+            assert new.client(opening()).read() == "ERR malformed"  # the request id is still in use
+            client.send("X 1 no echo")  # the echo timeout still applies
             assert client.read() == "MOVE"
 
 
 def test_session_that_the_successor_refuses_is_migrated() -> None:
-    with Node(Peer("s-1"), change=long_waits) as old:
+    with Node(Peer("s-1"), change=set_longest_deadline) as old:
         client = old.client(opening())
         assert client.read() == "UP r1"
         old.config["settings"]["classes"][0]["name"] = "look"
@@ -95,9 +96,9 @@
             assert old.process.wait(PATIENCE) == 0
 
 
-def test_session_is_offered_once_nothing_of_it_is_unsent() -> None:
-    """What this process has not sent to a slow reader yet would be lost with it."""
-    with Node(peer := Peer("s-1"), change=long_waits) as old:
+def test_session_is_offered_only_once_all_its_bytes_are_sent() -> None:
+    """Bytes that the predecessor has not sent to a slow client yet would be lost when it exits."""
+    with Node(peer := Peer("s-1"), change=set_longest_deadline) as old:
         client = old.client(opening())
         assert client.read() == "UP r1"
         text = "M " + "x" * 4000
@@ -114,7 +115,7 @@
     discovery = Discovery('{"rev":7,"all":false,"targets":[]}')
     with Node(first := Peer("s-1"), second := Peer("s-2"), discovery=discovery) as old:
         assert discovery.calls.get(timeout=PATIENCE) == "/v1/servers?watch=1&from=1"
-        discovery.tell(first.entry("Terminating"))  # which sets the version to 8
+        discovery.tell(first.entry("Terminating"))  # which raises the revision to 8
         discovery.tell({"uid": "s-9", "state": "Nonsense"})
         assert discovery.calls.get(timeout=PATIENCE) == "/v1/servers?watch=1&from=8"
         with old.successor() as new:
@@ -125,7 +126,7 @@
             assert first.lines.empty() and second.lines.qsize() == 4
 
 
-def test_predecessor_serves_on_when_its_successor_dies_and_accepts_another() -> None:
+def test_predecessor_goes_on_serving_when_its_successor_dies_and_accepts_another() -> None:
     with Node(Peer("s-1")) as old:
         with old.successor() as dead:
             dead.process.kill()
@@ -141,8 +142,8 @@
 
 
 @contextmanager
-def half_begun(old: Node) -> Iterator[subprocess.Popen[bytes]]:
-    """A successor that holds the listener, and stands still before it takes anybody: its agent is silent."""
+def suspended_successor(old: Node) -> Iterator[subprocess.Popen[bytes]]:
+    """A successor that holds the listener and is suspended before it accepts: its agent does not answer."""
     agent = SilentListener()
     settings = {**old.config["settings"], "discovery": "pushed"}
     old.write(json.dumps({**old.config, "discovery": agent.address, "settings": settings}))
@@ -157,11 +158,11 @@
 
 @pytest.mark.parametrize("dies", [True, False])
 def test_process_serves_after_sigterm_until_its_successor_serves(dies: bool) -> None:
-    """Regression: it closed its listener at once, and clients waited at a process that did not serve yet."""
-    with Node(Peer("s-1"), change=long_waits) as old:
+    """Regression: the listener closed at once, and clients waited for a process that did not serve yet."""
+    with Node(Peer("s-1"), change=set_longest_deadline) as old:
         client = old.client(opening())
         assert client.read() == "UP r1"
-        with half_begun(old) as new:
+        with suspended_successor(old) as new:
             old.terminate()
             old.wait_log("event=leaves")
             fresh = [old.client(opening(number, d=5000)) for number in range(2, 8)]
@@ -173,8 +174,8 @@
 
 
 def test_requests_waiting_at_a_successor_that_dies_are_answered() -> None:
-    """Regression: the listener's queue ended with the successor, and all clients were reset."""
-    with Node(Peer("s-1"), change=long_waits) as old:
+    """Regression: the listener's queue was lost with the successor, and all waiting clients were reset."""
+    with Node(Peer("s-1"), change=set_longest_deadline) as old:
         client = old.client(opening())
         assert client.read() == "UP r1"
         with old.successor() as dead:
@@ -189,29 +190,29 @@
             assert old.process.wait(PATIENCE) == 0
 
 
-@pytest.mark.parametrize("said", [None, "[]", "nonsense", "{}"])
-def test_start_succeeds_whatever_answers_on_the_handover_path(said: str | None) -> None:
-    """The socket of a process that was killed, or one that answers badly."""
+@pytest.mark.parametrize("answer", [None, "[]", "nonsense", "{}"])
+def test_start_succeeds_whatever_answers_on_the_handover_path(answer: str | None) -> None:
+    """The socket was left by a killed process, or its process sends an invalid message."""
     node, sock = Node(Peer("s-1")), socket.socket(socket.AF_UNIX)
     sock.bind(f"{node.folder}/stepflow-n0")
-    if said is None:
+    if answer is None:
         sock.close()
     else:
         sock.listen()
-        threading.Thread(target=lambda: Line(sock.accept()[0]).send(said), daemon=True).start()
+        threading.Thread(target=lambda: Line(sock.accept()[0]).send(answer), daemon=True).start()
     with node:
         assert node.client(opening()).read() == "UP r1"
 
 
 def stored(policy: Policy, now_us: int) -> dict[str, Any]:
-    """What a policy has learned, as it stands on the channel."""
+    """A policy's snapshot, as it is sent on the channel."""
     snapshot = msgspec.to_builtins(take_snapshot(policy, now_us), str_keys=True)
     message: dict[str, Any] = json.loads(json.dumps(snapshot))
     return message
 
 
-def restore(policy: Policy, told: dict[str, Any], now_us: int) -> None:
-    restore_snapshot(policy, read_snapshot(told), now_us)
+def restore(policy: Policy, learned: dict[str, Any], now_us: int) -> None:
+    restore_snapshot(policy, read_snapshot(learned), now_us)
 
 
 @pytest.mark.parametrize("broken", ["cost_in_means", "mean_load", "class_load", "servers"])
@@ -224,34 +225,34 @@
     old.handle(2_000_000, Request(64, 0, 9_000_000, load=7000.0))
     old.handle(3_000_000, HealthCheckEnded("s-1", AttemptResult.OK, 1000, (0.4, 0.0, 0.4)))
     now = 3_000_000
-    told = stored(old, now)
-    restore(new, told, now)
-    assert stored(new, now) == told != stored(other, now)
-    # Predictions were at 2 where the process before had 0.8: reports came before its sessions had.
+    learned = stored(old, now)
+    restore(new, learned, now)
+    assert stored(new, now) == learned != stored(other, now)
+    # Regression: reports arrived before the sessions, and predictions were 2 rather than 0.8 as before.
     new.handle(3_500_000, HealthCheckEnded("s-1", AttemptResult.OK, 1000, (0.8, 0.0, 0.8)))
-    assert stored(new, now) != told
-    restore(new, told, now)
-    assert stored(new, now)["servers"] == told["servers"]
-    # Its first requests were refused: the plain cost was in the unit of a process that knows no load.
+    assert stored(new, now) != learned
+    restore(new, learned, now)
+    assert stored(new, now)["servers"] == learned["servers"]
+    # Regression: the first requests were refused, as the mean cost was in the unit of a policy without loads.
     assert new.model.mean_kind_cost < 1 > new.model.endpoints["s-1"].predicted_load > 0
     before = stored(other, now)
     with pytest.raises(HandoverMessageError, match=rf"`\$\.{broken}`"):
-        restore(other, {**told, broken: "x"}, now)
+        restore(other, {**learned, broken: "x"}, now)
     assert stored(other, now) == before
 
 
-@pytest.mark.parametrize("apart_s", [-3600, 0, 3600])
-def test_report_ages_hold_across_clocks_that_began_at_other_times(apart_s: int) -> None:
-    """Regression: after a step of the wall clock between two starts each further report failed the policy."""
+@pytest.mark.parametrize("clock_offset_s", [-3600, 0, 3600])
+def test_report_ages_are_restored_when_the_two_clocks_started_at_different_times(clock_offset_s: int) -> None:
+    """Regression: after a step of the wall clock between the starts, each report failed in the policy."""
     settings = parse_node_settings(SETTINGS).policy
     old, new = Policy(settings, 1), Policy(settings, 2)
     entry = Endpoint("s-1", 0, 0, 0, Availability.READY, 1.0, 0)
-    then, now = 5_000_000_000, 5_000_000_000 + apart_s * 1_000_000
+    then, now = 5_000_000_000, 5_000_000_000 + clock_offset_s * 1_000_000
     old.handle(then, EndpointListUpdate(ListUpdateKind.FULL, (entry,)))
     new.handle(now, EndpointListUpdate(ListUpdateKind.FULL, (entry,)))
     old.handle(then + 100_000, HealthCheckEnded("s-1", AttemptResult.OK, 1000, (0.4, 0.0, 0.4)))
-    told = stored(old, then + 600_000)
-    restore(new, told, now + 600_000)
+    learned = stored(old, then + 600_000)
+    restore(new, learned, now + 600_000)
     assert new.model.endpoints["s-1"].reported_us == now + 100_000
     new.handle(now + 700_000, HealthCheckEnded("s-1", AttemptResult.OK, 1000, (0.8, 0.0, 0.8)))
     cost = new.model.endpoints["s-1"].cost
--- a/tests/node/process/test_handover_form.py
+++ b/tests/node/process/test_handover_form.py
@@ -1,6 +1,6 @@
-"""What stands on the channel between a node's two processes, word for word: the other one may be older.
+"""The exact messages between two processes of a node, of which the other one may run an older version.
 
-`tests/data/handover-5fd6943.json` holds what two processes of that commit have said to each other.
+`tests/data/handover-5fd6943.json` holds the messages between two processes of that commit.
 """
 
 from __future__ import annotations
@@ -33,7 +33,7 @@
 
 KEY, GROUP = 0x7F3A9C21E0B4D655, 0x5C0F6E1A2B3D4C59
 SESSION = {
-    "from_client": "M \xc3",  # each byte is one letter of latin-1
+    "from_client": "M \xc3",  # each byte is one character of latin-1
     "from_peer": "M \xe2",
     "owed": 1,
     "id": 0x1D,
@@ -58,7 +58,7 @@
     "group",
     "at",
 ]
-LEARNED_KEYS = [
+SNAPSHOT_KEYS = [
     "loads_told",
     "mean_load",
     "class_load",
@@ -83,31 +83,31 @@
     }
 
 
-def form(value: Any) -> Any:
-    """The keys and the types of what a message holds, without its values."""
+def schema(value: Any) -> Any:
+    """The keys of a message and the types of its values."""
     if isinstance(value, dict):
-        return {key: form(item) for key, item in value.items()}
+        return {key: schema(item) for key, item in value.items()}
     if isinstance(value, list):
-        return [form(item) for item in value]
+        return [schema(item) for item in value]
     return type(value).__name__
 
 
 @pytest.fixture(scope="module")
-def today() -> Recording:
-    """A hand-over between two processes of this text."""
+def current() -> Recording:
+    """A hand-over between two processes of the current code."""
     return record_handover()
 
 
-def test_state_message_form(today: Recording) -> None:
-    [state] = today.messages("list")
-    assert json.loads(today.old[0]) == state
+def test_state_message_has_its_fixed_keys_order_and_types(current: Recording) -> None:
+    [state] = current.messages("list")
+    assert json.loads(current.old[0]) == state
     assert list(state) == ["list", "learned"]
     targets = [target("s-1", "Ready"), target("s-2", "Terminating")]
     assert state["list"] == {"rev": 7, "all": True, "targets": targets}
-    figures = state["learned"]
-    assert list(figures) == LEARNED_KEYS
-    assert [list(row) for row in figures["servers"].values()] == [SERVER_KEYS] * 2
-    assert form(figures) == {
+    snapshot = state["learned"]
+    assert list(snapshot) == SNAPSHOT_KEYS
+    assert [list(row) for row in snapshot["servers"].values()] == [SERVER_KEYS] * 2
+    assert schema(snapshot) == {
         "loads_told": "int",
         "mean_load": "float",
         "class_load": {"view": "float"},
@@ -118,13 +118,13 @@
         "wait_us": "float",
         "probe_wait_us": "float",
     }
-    assert (figures["loads_told"], figures["mean_load"], figures["class_load"]) == (1, 2.0, {"view": 2.0})
-    assert figures["servers"]["s-1"]["report_age_us"] >= 0
-    assert figures["servers"]["s-2"]["report_age_us"] == -1  # nobody has asked it
+    assert (snapshot["loads_told"], snapshot["mean_load"], snapshot["class_load"]) == (1, 2.0, {"view": 2.0})
+    assert snapshot["servers"]["s-1"]["report_age_us"] >= 0
+    assert snapshot["servers"]["s-2"]["report_age_us"] == -1  # it was never checked
 
 
-def test_session_message_form(today: Recording) -> None:
-    [message] = today.messages("session")
+def test_session_message_has_its_fixed_keys_and_order(current: Recording) -> None:
+    [message] = current.messages("session")
     assert list(message) == ["number", "session"] and message["number"] == 1
     session = message["session"]
     assert list(session) == SESSION_KEYS
@@ -132,54 +132,54 @@
     assert {key: session[key] for key in SESSION} == SESSION
 
 
-def test_small_messages_form(today: Recording) -> None:
-    assert today.messages("taken", by="new") == [{"taken": 1, "by_other": True}]
-    assert today.messages("all") == [{"all": True}]
+def test_small_messages_have_their_fixed_keys_and_types(current: Recording) -> None:
+    assert current.messages("taken", by="new") == [{"taken": 1, "by_other": True}]
+    assert current.messages("all") == [{"all": True}]
     for by in ("old", "new"):
-        told = today.messages("descriptors", by)
-        assert told and all(form(message) == {"descriptors": "int"} for message in told)
+        sent = current.messages("descriptors", by)
+        assert sent and all(schema(message) == {"descriptors": "int"} for message in sent)
 
 
-def test_no_other_messages_are_sent_and_descriptors_go_to_the_successor_only(today: Recording) -> None:
-    said = {by: [json.loads(line) for line in getattr(today, by)] for by in ("old", "new")}
-    words = {by: {key for message in messages for key in message} for by, messages in said.items()}
-    assert words == {
+def test_no_other_messages_are_sent_and_descriptors_go_to_the_successor_only(current: Recording) -> None:
+    sent_by = {by: [json.loads(line) for line in getattr(current, by)] for by in ("old", "new")}
+    keys = {by: {key for message in messages for key in message} for by, messages in sent_by.items()}
+    assert keys == {
         "old": {"list", "learned", "descriptors", "number", "session", "all"},
         "new": {"descriptors", "taken", "by_other"},
     }
-    assert (today.old_descriptors, today.new_descriptors) == (3, 0)  # the listener, a client, a peer
+    assert (current.old_descriptors, current.new_descriptors) == (3, 0)  # the listener, a client, an endpoint
 
 
 @pytest.mark.parametrize("by", ["old", "new"])
 @pytest.mark.parametrize("key", ["list", "session", "all", "taken", "descriptors"])
-def test_messages_keep_the_form_that_older_processes_read(today: Recording, key: str, by: str) -> None:
-    before, now = (recording.messages(key, by) for recording in (load_recording(), today))
-    if key == "descriptors":  # as often as there is time
+def test_messages_have_the_same_keys_and_types_as_recorded(current: Recording, key: str, by: str) -> None:
+    before, now = (recording.messages(key, by) for recording in (load_recording(), current))
+    if key == "descriptors":  # repeated while the process serves
         before, now = before[:1], now[:1]
-    assert [form(message) for message in now] == [form(message) for message in before]
+    assert [schema(message) for message in now] == [schema(message) for message in before]
     assert [list(message) for message in now] == [list(message) for message in before]
 
 
 class Replay(NamedTuple):
-    """A node that an older process hands over to, and the far ends of the session that it is passed."""
+    """A node that takes over from an older process, and the remote ends of the session passed to it."""
 
     node: Node
     old: ChannelEnd
     listener: socket.socket
     client: socket.socket
     server: socket.socket
-    state: dict[str, Any]  # as it was told
+    state: dict[str, Any]  # as sent to the node
 
 
 def connected() -> tuple[socket.socket, socket.socket]:
-    """The near and the far end of a connection."""
+    """The local and the remote end of a connection."""
     with socket.create_server(("127.0.0.1", 0)) as listener:
-        far = socket.create_connection(listener.getsockname(), timeout=PATIENCE)
-        return listener.accept()[0], far
+        remote = socket.create_connection(listener.getsockname(), timeout=PATIENCE)
+        return listener.accept()[0], remote
 
 
 def read_line(sock: socket.socket) -> bytes:
-    """One line as it came: it may begin amid a letter."""
+    """One line as bytes: it may start in the middle of a character."""
     line = b""
     while not line.endswith(b"\n") and (byte := sock.recv(1)):
         line += byte
@@ -188,38 +188,38 @@
 
 @contextmanager
 def replayed(learned: dict[str, Any] | None = None, discovery: Discovery | None = None) -> Iterator[Replay]:
-    """Play the recording to a process of this text, which knows no servers but those that it is told.
+    """Replay the recording to a process of the current code, which knows only the endpoints that it is sent.
 
-    `learned` is told in place of the recorded figures.
+    `learned` replaces the recorded snapshot.
     """
     peer = Peer("s-1")
-    told, *rest = (line.replace(RECORDED_PEER, peer.address) for line in load_recording().old)
-    state = json.loads(told)
+    sent, *rest = (line.replace(RECORDED_PEER, peer.address) for line in load_recording().old)
+    state = json.loads(sent)
     if learned is not None:
         state["learned"] = learned
-        told = json.dumps(state)
+        sent = json.dumps(state)
     listener = socket.create_server(("127.0.0.1", 0))
-    (near_client, client), (near_server, server) = connected(), connected()
+    (local_client, client), (local_server, server) = connected(), connected()
     node = Node(discovery=discovery or Discovery(LISTED), change=with_tenants)
-    predecessor = Predecessor(channel_path(node), told, listener)
+    predecessor = Predecessor(channel_path(node), sent, listener)
     with node:
         old = predecessor.end()
         for line in rest:
             if "session" not in json.loads(line):
                 old.send(line)
                 continue
-            old.send(line, near_client.fileno(), near_server.fileno())
+            old.send(line, local_client.fileno(), local_server.fileno())
             assert old.read_kind("taken") == {"taken": 1, "by_other": True}
         node.wait_log("has all sessions.* sessions=1|sessions=1.*has all sessions")
         yield Replay(node, old, listener, client, server, state)
     old.close()
-    for sock in (near_client, near_server, client, server, listener):
+    for sock in (local_client, local_server, client, server, listener):
         sock.close()
     peer.close()
 
 
 def logged_above_info(node: Node) -> list[str]:
-    """The warnings and errors that a node has logged from its start on; it is killed."""
+    """Kill the node, and return the warnings and errors that it has logged since its start."""
     node.process.kill()
     assert node.process.stderr is not None
     log = node.seen + node.process.stderr.read()
@@ -227,7 +227,7 @@
     return re.findall(r'.*(?:level["=: ]+(?:warning|error|critical)|Traceback).*', log)
 
 
-def test_session_of_an_older_process_goes_on() -> None:
+def test_session_passed_by_an_older_process_continues() -> None:
     discovery = Discovery(LISTED)
     with replayed(discovery=discovery) as replay:
         client, server = replay.client, replay.server
@@ -239,7 +239,7 @@
         assert read_line(server) == b"M 1 goes on\r\n"
         server.sendall(b"M 1 goes on\r\n")
         assert read_line(client) == b"M 1 goes on\r\n"
-        # The list, its version, and the listener are the older process's as well.
+        # The endpoint list, its revision and the listener were taken over as well.
         assert discovery.calls.get(timeout=PATIENCE) == "/v1/servers?watch=1&from=7"
         address = replay.listener.getsockname()
         with socket.create_connection(address, timeout=PATIENCE) as fresh:
@@ -249,8 +249,8 @@
 
 
 def test_state_of_an_older_process_is_passed_on_unchanged() -> None:
-    """Each figure comes out under the key that it went in by; s-2 drains, so no step moves its own."""
-    drained = {
+    """Each value keeps its key; s-2 is draining, so no controller step changes its values."""
+    draining = {
         "cost": 0.09,
         "health": 0.5,
         "weight": 1.25,
@@ -258,48 +258,48 @@
         "last_error": -0.25,
         "report_age_us": 5_000_000,
     }
-    usual = {**drained, "cost": 0.07, "weight": 0.75, "report_age_us": 400_000}
+    ready = {**draining, "cost": 0.07, "weight": 0.75, "report_age_us": 400_000}
     learned = {
         "loads_told": 12,
         "mean_load": 3.0,
         "class_load": {"view": 3.5},
         "cost_in_means": {"0": 0.07},
-        "servers": {"s-1": usual, "s-2": drained},
+        "servers": {"s-1": ready, "s-2": draining},
         "wait_us": 140_000.5,
         "probe_wait_us": 700.25,
     }
     with replayed(learned) as replay:
         replay.old.close()
-        next_one = join_as_successor(channel_path(replay.node))
-        state = next_one.read()
-        next_one.send('{"descriptors": 36}')
+        successor = join_as_successor(channel_path(replay.node))
+        state = successor.read()
+        successor.send('{"descriptors": 36}')
         replay.node.terminate()
-        message = next_one.read_kind("session")
+        message = successor.read_kind("session")
         assert message == {"number": 1, "session": message["session"]}
         assert {key: message["session"][key] for key in SESSION} == SESSION
-        passed = [socket.socket(fileno=os.dup(descriptor)) for descriptor in next_one.descriptors]
+        passed = [socket.socket(fileno=os.dup(descriptor)) for descriptor in successor.descriptors]
         assert passed[0].getsockname() == replay.listener.getsockname()
         assert [sock.getpeername() for sock in passed[1:]] == [
             sock.getsockname() for sock in (replay.client, replay.server)
         ]
-        next_one.send('{"taken": 1, "by_other": true}')
-        assert next_one.read_kind("all") == {"all": True}
+        successor.send('{"taken": 1, "by_other": true}')
+        assert successor.read_kind("all") == {"all": True}
         for sock in passed:
             sock.close()
-        assert replay.node.process.wait(PATIENCE) == 0  # it holds nothing of the session any more
-        next_one.close()
+        assert replay.node.process.wait(PATIENCE) == 0  # it holds no part of the session any more
+        successor.close()
         assert logged_above_info(replay.node) == []
     assert state["list"] == replay.state["list"]
-    figures = state["learned"]
-    age = figures["servers"]["s-2"].pop("report_age_us")
+    snapshot = state["learned"]
+    age = snapshot["servers"]["s-2"].pop("report_age_us")
     assert 5_000_000 <= age < 5_000_000 + PATIENCE * 1_000_000
-    assert figures["servers"]["s-2"] == {key: drained[key] for key in SERVER_KEYS[:-1]}
-    for key in set(LEARNED_KEYS) - {"servers"}:
-        assert figures[key] == learned[key], key
+    assert snapshot["servers"]["s-2"] == {key: draining[key] for key in SERVER_KEYS[:-1]}
+    for key in set(SNAPSHOT_KEYS) - {"servers"}:
+        assert snapshot[key] == learned[key], key
 
 
-def test_refused_session_is_answered_as_refused() -> None:
-    """Its class is unknown here; the older process keeps it."""
+def test_session_of_an_unknown_class_is_refused() -> None:
+    """The node doesn't know the class of the session, which the older process keeps."""
     with replayed() as replay:
         [line] = [line for line in load_recording().old if "session" in json.loads(line)]
         other = line.replace('"view"', '"look"').replace('"number": 1', '"number": 2')
--- a/tests/node/process/test_handover_messages.py
+++ b/tests/node/process/test_handover_messages.py
@@ -1,4 +1,4 @@
-"""Messages of the hand-over: what a reader ignores, and what it refuses."""
+"""Reading the messages of the hand-over: what is ignored and what is refused."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 
 def encoded(message: HandoverState | SessionOffer) -> dict[str, Any]:
-    """A message as it stands on the channel."""
+    """A message as it is sent on the channel."""
     return decode_line(encode_message(message))
 
 
@@ -47,9 +47,13 @@
 
 
 def test_unknown_keys_are_ignored() -> None:
-    told = RECORDED[0]["learned"]
-    newer = {**told, "new": 1, "servers": {id: {**row, "new": 1} for id, row in told["servers"].items()}}
-    assert read_snapshot(newer) == read_snapshot(told)
+    learned = RECORDED[0]["learned"]
+    newer = {
+        **learned,
+        "new": 1,
+        "servers": {id: {**row, "new": 1} for id, row in learned["servers"].items()},
+    }
+    assert read_snapshot(newer) == read_snapshot(learned)
     assert read_session({**RECORDED_SESSION, "new": 1}) == read_session(RECORDED_SESSION)
     assert read_state({**RECORDED[0], "new": 1}) == read_state(RECORDED[0])
     assert read_message({"descriptors": 3, "new": 1}) == DescriptorCount(3)
@@ -61,30 +65,30 @@
         ({"taken": 3, "by_other": True}, SessionAnswer(3, True)),
         ({"taken": 3}, SessionAnswer(3, False)),
         ({"all": True}, SessionsComplete()),
-        ({"number": 1, "all": 1}, SessionsComplete(1)),  # any value says that it is all
+        ({"number": 1, "all": 1}, SessionsComplete(1)),  # any value means that the sessions are complete
         ({"descriptors": 36}, DescriptorCount(36)),
         ({"number": 2, "session": None}, SessionOffer(2, None)),
         ({"new": 1}, None),
     ],
 )
-def test_message_kind_is_told_by_its_key(fields: dict[str, Any], message: object) -> None:
+def test_message_kind_is_identified_by_its_key(fields: dict[str, Any], message: object) -> None:
     assert read_message(fields) == message
 
 
 @pytest.mark.parametrize("fields", [{"taken": "3"}, {"descriptors": None}, {"session": {}}])
-def test_message_of_another_type_is_refused(fields: dict[str, Any]) -> None:
+def test_message_with_a_wrong_type_or_without_a_key_is_refused(fields: dict[str, Any]) -> None:
     with pytest.raises(HandoverMessageError):
         read_message(fields)
 
 
 @pytest.mark.parametrize("line", [b"", b"nonsense", b"[]", b"3", b"\xff"])
-def test_line_without_an_object_is_refused(line: bytes) -> None:
+def test_line_that_is_not_a_json_object_is_refused(line: bytes) -> None:
     with pytest.raises(HandoverMessageError):
         decode_line(line)
 
 
 @pytest.mark.parametrize("key", sorted(RECORDED_SESSION))
-def test_session_without_a_key_is_refused_but_for_the_optional_ones(key: str) -> None:
+def test_session_is_refused_without_a_key_unless_the_key_is_optional(key: str) -> None:
     short = {name: value for name, value in RECORDED_SESSION.items() if name != key}
     if key in OPTIONAL_KEYS:
         assert isinstance(read_session(short), SessionTransfer)
--- a/tests/node/process/test_reload.py
+++ b/tests/node/process/test_reload.py
@@ -1,4 +1,4 @@
-"""Reload at SIGHUP: new settings, and files that are refused."""
+"""Reload on SIGHUP: new settings, and files that are refused."""
 
 from __future__ import annotations
 
@@ -15,14 +15,14 @@
 
 
 def changed(change: Change) -> Any:
-    """The settings with this done to them."""
+    """A copy of the settings with a change applied."""
     settings = json.loads(json.dumps(SETTINGS))
     change(settings)
     return settings
 
 
 def test_reload_replaces_a_class_while_sessions_go_on() -> None:
-    """Regression: no settings changed, and clients of the new class got ERR."""
+    """Regression: the settings did not change, and clients of the new class got ERR."""
 
     def rename(settings: Any) -> None:
         settings["classes"][0]["name"] = "look"
@@ -37,9 +37,9 @@
         assert node.client(opening(3).replace("c=view", "c=look")).read() == "UP r1"
         client.send("M 1 unharmed")
         assert client.read() == "M 1 unharmed"
-        figures = node.ops("/v1/metrics")[1].split()
-        assert "edge_gw.requests.view.served:1|c" in figures and "edge_gw.requests.look.served:1|c" in figures
-        assert "edge_gw.reloads_ok:1|c" in figures
+        metrics = node.ops("/v1/metrics")[1].split()
+        assert "edge_gw.requests.view.served:1|c" in metrics and "edge_gw.requests.look.served:1|c" in metrics
+        assert "edge_gw.reloads_ok:1|c" in metrics
 
 
 def test_reload_changes_the_attempt_limit_of_new_requests_only() -> None:
@@ -54,27 +54,27 @@
         node.wait_log("event=reloaded")
         assert peer.lines.get(timeout=PATIENCE).startswith("OPEN 0000000000000001 ")
         client.close()
-        # It may have run, and now must not run twice; one attempt more would say BUSY.
+        # The request may have run, and now must not run twice; after another attempt it would say BUSY.
         assert node.client(opening(2, d=600)).read() == "ERR"
-        seen = [peer.lines.get() for _ in range(peer.lines.qsize())]
-        assert len([line for line in seen if line.startswith("OPEN 0000000000000002 ")]) == 1
+        received = [peer.lines.get() for _ in range(peer.lines.qsize())]
+        assert len([line for line in received if line.startswith("OPEN 0000000000000002 ")]) == 1
 
 
-def holder_of(tree: Any, path: tuple[str, ...]) -> Any:
-    """The object that holds the last key of a path; of a list, its first entry is meant."""
+def parent_of(tree: Any, path: tuple[str, ...]) -> Any:
+    """The object that holds the last key of a path; a list on the way stands for its first entry."""
     for key in path[:-1]:
         tree = tree[0][key] if isinstance(tree, list) else tree[key]
     return tree[0] if isinstance(tree, list) else tree
 
 
 def drop(*path: str) -> Change:
-    """A change that takes a key out."""
-    return lambda tree: holder_of(tree, path).pop(path[-1])
+    """A change that removes a key."""
+    return lambda tree: parent_of(tree, path).pop(path[-1])
 
 
 def put(value: object, *path: str) -> Change:
-    """A change that gives a key another value."""
-    return lambda tree: holder_of(tree, path).update({path[-1]: value})
+    """A change that sets a key to a value."""
+    return lambda tree: parent_of(tree, path).update({path[-1]: value})
 
 
 @pytest.mark.parametrize(
@@ -97,7 +97,7 @@
     ],
 )
 def test_reload_of_a_bad_file_changes_nothing(change: Change) -> None:
-    """Regression: defaults replaced missing keys, and the rest of the file was taken."""
+    """Regression: defaults replaced missing keys, and the rest of the file was applied."""
     second = Discovery()
     with Node(Peer("s-1"), discovery=(discovery := Discovery())) as node:
         assert discovery.calls.get(timeout=PATIENCE)
@@ -107,8 +107,8 @@
         node.reload(json.dumps(tree))
         node.wait_log("the old configuration goes on")
         assert node.client(opening()).read() == "UP r1"
-        figures = node.ops("/v1/metrics")[1].split()
-        assert "edge_gw.reloads_ok:0|c" in figures and "edge_gw.reloads_failed:1|c" in figures
+        metrics = node.ops("/v1/metrics")[1].split()
+        assert "edge_gw.reloads_ok:0|c" in metrics and "edge_gw.reloads_failed:1|c" in metrics
         assert second.calls.empty()
 
 
--- a/tests/node/process/test_snapshot_form.py
+++ b/tests/node/process/test_snapshot_form.py
@@ -1,4 +1,4 @@
-"""The form of a stored snapshot: each key, with the value that it has to hold."""
+"""The stored format of a snapshot: each key, with the value that it must hold."""
 
 from __future__ import annotations
 
@@ -30,10 +30,10 @@
 from tests.node_kit import SETTINGS
 
 SECOND = 1_000_000
-TOLD_AT = 3 * SECOND + 250_000
+TAKEN_AT = 3 * SECOND + 250_000
 RESTORED_AT = 40 * SECOND
 
-# What the events below leave behind, computed by commit 5fd6943. No two values of an endpoint are equal.
+# The snapshot after the events below, as computed by commit 5fd6943. No two values of an endpoint are equal.
 STORED: dict[str, Any] = {
     "loads_told": 2,
     "mean_load": 5.0,
@@ -71,7 +71,7 @@
 
 
 class StoredPolicy:
-    """A policy with its snapshot in the stored form: this alone names what is inside the program."""
+    """A policy and its snapshot in the stored format; no other code here uses the program's own names."""
 
     def __init__(self, *classes: str) -> None:
         settings = json.loads(json.dumps(SETTINGS))
@@ -80,7 +80,7 @@
         self._policy = Policy(parse_node_settings(settings).policy, 1)
 
     def list_endpoints(self, at_us: int, **kinds: int) -> None:
-        """Endpoints s-1 and so on, each with the number of its kind."""
+        """List endpoints (s_1 stands for s-1), each with the number of its kind."""
         ready = Availability.READY
         entries = tuple(
             Endpoint(uid.replace("_", "-"), 0, kind, 0, ready, 1.0 + kind, 0) for uid, kind in kinds.items()
@@ -88,7 +88,7 @@
         self._policy.handle(at_us, EndpointListUpdate(ListUpdateKind.DELTA, entries))
 
     def run_through_events(self) -> None:
-        """Sessions, load reports, controller steps and a failure, at fixed moments."""
+        """Handle sessions, load reports, controller steps and a failure, at fixed times."""
         handle, ok = self._policy.handle, AttemptResult.OK
         handle(SECOND, Started())
         self.list_endpoints(SECOND, s_1=0)
@@ -104,7 +104,7 @@
         handle(3 * SECOND + 100, AttemptEnded(65, 0, "s-2", AttemptResult.CONNECT_FAILED, True, 0))
 
     def take(self, now_us: int) -> Any:
-        """Its snapshot, as the other process reads it."""
+        """Take its snapshot, as the other process reads it."""
         snapshot = take_snapshot(self._policy, now_us)
         return json.loads(json.dumps(msgspec.to_builtins(snapshot, str_keys=True)))
 
@@ -119,21 +119,21 @@
     return policy
 
 
-def flat(value: Any, path: str = "") -> dict[str, Any]:
-    """Each value under the path of its keys."""
+def flatten(value: Any, path: str = "") -> dict[str, Any]:
+    """Return each value under the path of its keys, such as /servers/s-1/cost."""
     if not isinstance(value, dict):
         return {path: value}
-    return {at: figure for key, item in value.items() for at, figure in flat(item, f"{path}/{key}").items()}
+    return {at: leaf for key, item in value.items() for at, leaf in flatten(item, f"{path}/{key}").items()}
 
 
 def test_snapshot_stores_each_value_under_its_key() -> None:
     policy = StoredPolicy("view", "edit")
     policy.run_through_events()
-    stored = policy.take(TOLD_AT)
-    assert list(flat(stored)) == list(flat(STORED))  # in this order, too
-    assert flat(stored) == pytest.approx(flat(STORED), rel=1e-9)
-    assert {path: type(figure) for path, figure in flat(stored).items()} == {
-        path: type(figure) for path, figure in flat(STORED).items()
+    stored = policy.take(TAKEN_AT)
+    assert list(flatten(stored)) == list(flatten(STORED))  # in this order, too
+    assert flatten(stored) == pytest.approx(flatten(STORED), rel=1e-9)
+    assert {path: type(leaf) for path, leaf in flatten(stored).items()} == {
+        path: type(leaf) for path, leaf in flatten(STORED).items()
     }
 
 
@@ -150,13 +150,13 @@
     assert policy.take(now) == STORED
 
 
-# The cost of an endpoint without a report is not restored: it is its kind's.
-RESTORED_PATHS = [path for path in flat(STORED) if path != "/servers/s-3/cost"]
+# The cost of an endpoint without a report is not restored: it has the cost of its kind.
+RESTORED_PATHS = [path for path in flatten(STORED) if path != "/servers/s-3/cost"]
 
 
 @pytest.mark.parametrize("path", RESTORED_PATHS)
 def test_each_key_is_restored_to_its_own_value(path: str) -> None:
-    """One stored value is changed, and this one alone is another in the new process."""
+    """If one stored value is changed, only this value differs in the new process."""
     changed = json.loads(json.dumps(STORED))
     *parents, key = path.strip("/").split("/")
     holder = changed
@@ -164,7 +164,7 @@
         holder = holder[parent]
     holder[key] = holder[key] * 2 if holder[key] != -1 else 5_000
     if path == "/servers/s-3/report_age_us":
-        changed["servers"]["s-3"]["cost"] = 0.0625  # from now on its own
+        changed["servers"]["s-3"]["cost"] = 0.0625  # with a report, the endpoint has a cost of its own
     policy, now = successor("view", "edit"), RESTORED_AT
     policy.restore(changed, now)
     if path == "/cost_in_means/0":
@@ -192,9 +192,9 @@
 
 
 def test_snapshot_of_commit_5fd6943_is_restored_unchanged() -> None:
-    told = json.loads(load_recording().old[0])["learned"]
+    learned = json.loads(load_recording().old[0])["learned"]
     policy, now = StoredPolicy("view"), RESTORED_AT
     policy.list_endpoints(now, s_1=0, s_2=0)
-    policy.restore(told, now)
-    told["servers"]["s-2"]["cost"] = told["cost_in_means"]["0"]  # no report has come of it
-    assert policy.take(now) == told
+    policy.restore(learned, now)
+    learned["servers"]["s-2"]["cost"] = learned["cost_in_means"]["0"]  # no report of it has arrived
+    assert policy.take(now) == learned
--- a/tests/node/process/test_transient_errors.py
+++ b/tests/node/process/test_transient_errors.py
@@ -26,7 +26,7 @@
 EMPTY = '{"rev":1,"all":false,"targets":[]}'
 
 
-def healed_after(machine: Machine, seconds: float) -> threading.Timer:
+def heal_after(machine: Machine, seconds: float) -> threading.Timer:
     timer = threading.Timer(seconds, machine.heal)
     timer.start()
     return timer
@@ -34,12 +34,12 @@
 
 @pytest.mark.parametrize("error", [errno.ENFILE, errno.EMFILE, errno.ENOBUFS, errno.ENOMEM])
 def test_clients_wait_while_accept_lacks_resources(machine: Machine, error: int) -> None:
-    """Regression: at EMFILE all waiting clients were accepted and closed without an answer."""
+    """Regression: on EMFILE, all waiting clients were accepted and closed without an answer."""
     with on(machine, Node(Peer("s-1"))) as node:
         machine.fail(Call.ACCEPT, 1.0, [error])
         clients = [node.client(opening(number)) for number in range(20)]
         expect_silence(0.1, *clients)
-        machine.fail(Call.ACCEPT, 0.5, [error])  # the next call may be the one that succeeds
+        machine.fail(Call.ACCEPT, 0.5, [error])  # the next call may succeed
         time.sleep(0.2)
         machine.heal()
         assert [client.read() for client in clients] == ["UP r1"] * 20
@@ -57,7 +57,7 @@
 
 
 def test_clients_waiting_when_the_listener_closes_are_answered_though_accept_fails(machine: Machine) -> None:
-    """Regression: waiting clients were reset with the listener."""
+    """Regression: waiting clients were reset when the listener closed."""
     with on(machine, Node(Peer("s-1"))) as node:
         node.terminate()
         node.wait_log("event=leaves")
@@ -74,7 +74,7 @@
     """Regression: a request used up its attempts within a millisecond, and endpoints counted as failing."""
     with on(machine, Node(Peer("s-1"), Peer("s-2"))) as node:
         machine.fail(call, 1.0)
-        healed_after(machine, 0.1)
+        heal_after(machine, 0.1)
         client = node.client(opening(d=1000))
         assert client.read() == "UP r1"
         node.wait_counted("retries", 0)
@@ -83,19 +83,19 @@
 def test_node_becomes_ready_though_files_and_sockets_fail_at_the_start(
     machine: Machine, tmp_path: Path
 ) -> None:
-    """Regression: it exited with 1 or 2."""
+    """Regression: the process exited with code 1 or 2."""
     node = on(machine, Node(Peer("s-1")))
     machine.env["STANDIN_FOLDER"] = node.folder
     node.env.update(machine.env)
     machine.fail(Call.OPEN, 1.0)
     machine.fail(Call.SOCKET, 1.0)
-    healed_after(machine, 1.5)
+    heal_after(machine, 1.5)
     with node:
         assert node.client(opening()).read() == "UP r1"
 
 
 def test_reload_reads_an_unreadable_configuration_again(machine: Machine) -> None:
-    """Regression: the reload failed, and the node stayed with its old discovery."""
+    """Regression: the reload failed, and the node kept its old discovery address."""
     node = on(machine, Node(Peer("s-1")))
     machine.env["STANDIN_FOLDER"] = node.folder
     node.env.update(machine.env)
@@ -112,7 +112,7 @@
 
 
 def test_sighup_during_the_start_reloads_the_files(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Regression: the signal was lost, and the node served by the older file."""
+    """Regression: the signal was lost, and the node served with the older file."""
     seen: list[Any] = []
 
     def load(environ: object, before: object = None) -> object:
@@ -134,7 +134,7 @@
 
 
 def test_discovery_is_called_again_after_a_refused_connection() -> None:
-    """Regression: the call's end was lost in an exception, and the node never called again."""
+    """Regression: an exception hid the end of the call, and the node never called again."""
     with socket.create_server(("127.0.0.1", 0)) as taken:
         address = taken.getsockname()
 
@@ -149,11 +149,11 @@
 
 
 def test_no_attempt_starts_for_a_client_whose_end_is_unread(machine: Machine) -> None:
-    """The client's end is read late, behind many other events of a reactor turn."""
+    """The client's end is read late, after many other events of the same reactor turn."""
     with on(machine, Node(peer := Peer("s-1", OPEN="BUSY"))) as node:
         client = node.client(opening(d=1000))
         assert peer.lines.get(timeout=PATIENCE).startswith("OPEN")
-        machine.fail(Call.RECV_ACCEPTED, 1.0, [errno.EAGAIN])  # what clients send is heard of late
+        machine.fail(Call.RECV_ACCEPTED, 1.0, [errno.EAGAIN])  # what clients send is read late
         client.close()
         time.sleep(0.1)
         while not peer.lines.empty():
@@ -165,22 +165,23 @@
 
 
 @pytest.mark.parametrize(
-    ("error", "told"), [(errno.ETIMEDOUT, "MOVE"), (errno.EHOSTUNREACH, "MOVE"), (errno.ECONNRESET, "RESET")]
+    ("error", "answer"),
+    [(errno.ETIMEDOUT, "MOVE"), (errno.EHOSTUNREACH, "MOVE"), (errno.ECONNRESET, "RESET")],
 )
-def test_session_is_migrated_when_its_network_path_breaks(machine: Machine, error: int, told: str) -> None:
-    """Regression: its client got no MOVE, though others were answered. A reset is the endpoint's own."""
+def test_session_is_migrated_when_its_network_path_breaks(machine: Machine, error: int, answer: str) -> None:
+    """Regression: the client got no MOVE, though others were answered. A reset comes from the endpoint."""
     with on(machine, Node(Peer("s-1"))) as node:
         client = node.client(opening())
         assert client.read() == "UP r1"
         machine.fail(Call.RECV_DIALLED, 1.0, [error])
         client.send("M 1")
-        assert client.read() == told
+        assert client.read() == answer
         machine.heal()
         assert node.client(opening(2)).read() == "UP r1"
 
 
 def test_exit_code_is_0_though_signals_come_until_the_end() -> None:
-    """Regression: the interpreter restores default handlers as it ends, and the process died of a SIGHUP."""
+    """Regression: the interpreter restores default handlers as it exits, and a SIGHUP killed the process."""
     with Node(Peer("s-1")) as node:
         node.terminate()
         while node.process.poll() is None:
@@ -189,8 +190,8 @@
         assert node.process.returncode == 0
 
 
-def test_node_serves_and_exits_in_order_with_an_unwritable_log() -> None:
-    """Regression: the first line of the log ended the process."""
+def test_node_serves_and_shuts_down_gracefully_with_an_unwritable_log() -> None:
+    """Regression: the process exited at the first line of the log."""
     with socket.create_server(("127.0.0.1", 0)) as free:
         address = free.getsockname()
     node = Node(Peer("s-1"))
--- a/tests/node/race_kit.py
+++ b/tests/node/race_kit.py
@@ -1,4 +1,4 @@
-"""What tests of races share: changes of the settings, slow and silent listeners, a check of silence."""
+"""Helpers for tests of races: configuration changes, slow and silent listeners, a check for silence."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 def set_class(**settings: Any) -> Callable[[dict[str, Any]], None]:
-    """A change of the configuration that gives its class these settings."""
+    """Return a configuration change that sets these settings of the class."""
 
     def change(config: dict[str, Any]) -> None:
         config["settings"]["classes"][0].update(settings)
@@ -29,7 +29,7 @@
 
 
 def expect_silence(seconds: float, *silent: Line) -> None:
-    """Let this time pass, and fail if anything comes on one of these connections."""
+    """Wait this long, and fail if anything arrives on one of these connections."""
     assert not select.select([line.sock for line in silent], [], [], seconds)[0]
 
 
@@ -46,9 +46,9 @@
 
 
 class LateEndpoint:
-    """A map server's address whose connections come up late: its queue is full until `open` empties it.
+    """An endpoint whose connections are established late: its accept queue is full until `open` empties it.
 
-    The kernel sends a SYN that finds the queue full again a second later, so each connect takes that long.
+    The kernel repeats a SYN that finds the queue full a second later, so each connect takes that long.
     """
 
     def __init__(self, uid: str) -> None:
@@ -61,13 +61,13 @@
         return list_entry(self.uid, self.address, state)
 
     def open(self, patience: float = PATIENCE) -> Line:
-        """Let the next connection come up, and accept it."""
+        """Let the next connection be established, and accept it."""
         self._sock.settimeout(patience)
         self._sock.accept()[0].close()
         return Line(self._sock.accept()[0])
 
     def wait_for_connect(self) -> None:
-        """Wait until the kernel shows a connect that is under way (state 02, SYN_SENT)."""
+        """Wait until the kernel shows a pending connect (state 02, SYN_SENT)."""
         syn_sent = f"0100007F:{int(self.address.rpartition(':')[2]):04X} 02"
         until = time.monotonic() + PATIENCE
         while syn_sent not in Path("/proc/net/tcp").read_text():
@@ -79,14 +79,14 @@
 
 
 def slow_connects(config: dict[str, Any]) -> None:
-    """Change the configuration so that connects may take 8 s, and load reports cause none."""
+    """Change the configuration so that connects may take 8 s, and no load report needs a connect."""
     config["settings"]["policy_limits"].update(connect_timeout_us=8_000_000, probing=False)
     config["settings"]["classes"][0]["give_up_us"] = 9_000_000
 
 
 @contextmanager
 def connecting(endpoint: LateEndpoint) -> Iterator[tuple[Node, Discovery, Line]]:
-    """A node that is connecting to the endpoint for a client."""
+    """Run a node that is connecting to the endpoint for a client; close the endpoint at the end."""
     with Node(discovery=(discovery := Discovery()), change=slow_connects) as node:
         assert discovery.calls.get(timeout=PATIENCE)
         discovery.tell(endpoint.entry())
--- a/tests/node/test_node_configuration.py
+++ b/tests/node/test_node_configuration.py
@@ -12,7 +12,7 @@
 
 
 @pytest.mark.parametrize(
-    ("text", "said"),
+    ("text", "expected"),
     [
         ("", "not JSON"),
         ("[]", "not a JSON object"),
@@ -21,7 +21,7 @@
         ('{"listen":"127.0.0.1:0","discovery":"127.0.0.1:1","settings":{"tick_us":"x"}}', "setting tick_us"),
     ],
 )
-def test_bad_configuration_is_reported_in_one_line(text: str, said: str, tmp_path: object) -> None:
+def test_bad_configuration_is_reported_in_one_line(text: str, expected: str, tmp_path: object) -> None:
     path = f"{tmp_path}/config.json"
     with open(path, "w") as file:
         file.write(text)
@@ -32,12 +32,12 @@
         text=True,
         check=False,
     )
-    assert done.returncode == 2 and said in done.stderr and done.stderr.count("\n") == 1
+    assert done.returncode == 2 and expected in done.stderr and done.stderr.count("\n") == 1
 
 
 @pytest.mark.parametrize("refuse", [0, 1])
 def test_reload_changes_discovery_and_keeps_sessions(refuse: int) -> None:
-    """SIGHUP by default would end the process, and all its sessions."""
+    """Without a handler, SIGHUP would kill the process and end all its sessions."""
     second = Discovery('{"rev":8,"all":false,"targets":[]}', refuse)
     old = Discovery('{"rev":7,"all":false,"targets":[]}')
     with Node(first := Peer("s-1"), Peer("s-2"), discovery=old) as node:
@@ -48,9 +48,9 @@
         node.wait_log("event=reloaded discovery=" + second.address)
         assert second.calls.get(timeout=PATIENCE) == "/v1/servers?watch=1&from=7"
         second.tell(first.entry("Terminating"))
-        second.tell({"uid": "s-9", "state": "Nonsense"})  # ends the watch: the next one is from rev 9
+        second.tell({"uid": "s-9", "state": "Nonsense"})  # ends the watch; the next one is from rev 9
         assert second.calls.get(timeout=PATIENCE) == "/v1/servers?watch=1&from=9"
-        assert node.client(opening(2)).read() == "UP r1" and first.lines.qsize() == 1  # the new one is heeded
+        assert node.client(opening(2)).read() == "UP r1" and first.lines.qsize() == 1  # the update is applied
         client.send("M 1 still here")
         assert client.read() == "M 1 still here"
         node.terminate()
@@ -69,7 +69,7 @@
         node.reload(listen="127.0.0.1:1")
         node.wait_log("can't change while the node runs.* key=listen")
         node.terminate()
-        node.process.send_signal(signal.SIGHUP)  # amid a SIGTERM it changes nothing
+        node.process.send_signal(signal.SIGHUP)  # has no effect after SIGTERM
         assert node.process.wait(PATIENCE) == 0
 
 
--- a/tests/node/test_node_shutdown.py
+++ b/tests/node/test_node_shutdown.py
@@ -1,4 +1,4 @@
-"""Shutdown at SIGTERM over loopback: what is still answered, migrated and passed on."""
+"""Graceful shutdown on SIGTERM over loopback: what is still answered, migrated and relayed."""
 
 from __future__ import annotations
 
@@ -24,19 +24,19 @@
         node.terminate()
         node.wait_log("event=leaves connections=3")
         sessions.append(node.client(opening(9)))
-        assert sessions[-1].read() == "UP r1"  # clients keep coming for a while
+        assert sessions[-1].read() == "UP r1"  # clients keep connecting for a while
         assert [client.read() for client in sessions] == ["MOVE"] * 4
         node.wait_log("counters: .* requests=4 .* served=4 .* moved=4 ")
         assert node.process.wait(PATIENCE) == 0
 
 
 def test_sigterm_serves_a_session_while_there_is_time() -> None:
-    """In a rolling restart a session that is migrated at once meets a node that leaves as well."""
+    """In a rolling restart, a session migrated at once would reach a node that is shutting down as well."""
 
-    def wait_long(config: dict[str, Any]) -> None:
+    def set_longest_deadline(config: dict[str, Any]) -> None:
         config["settings"]["classes"][0]["give_up_us"] = 60_000_000
 
-    with Node(Peer("s-1"), change=wait_long) as node:
+    with Node(Peer("s-1"), change=set_longest_deadline) as node:
         client = node.client(opening())
         assert client.read() == "UP r1"
         node.terminate()
@@ -48,13 +48,13 @@
 
 
 def test_sigterm_answers_requests_in_the_accept_queue() -> None:
-    """The kernel resets what is in the queue of a listener that is closed."""
+    """The kernel resets connections in the queue of a listener that is closed."""
     with Node(Peer("s-1")) as node:
         node.terminate()
         node.wait_log("event=leaves")
         node.freeze()
         waiting = [node.client(opening(number)) for number in range(60)]
-        expect_silence(CLIENT_LINGER.total_seconds() + 0.05, *waiting)  # the listener's end is due
+        expect_silence(CLIENT_LINGER.total_seconds() + 0.05, *waiting)  # the listener is due to close
         node.thaw()
         assert [(line.read(), line.read()) for line in waiting] == [("BUSY", "")] * 60
         assert node.process.wait(PATIENCE) == 0
@@ -62,7 +62,7 @@
 
 @pytest.mark.parametrize("effect", ["once", "by_key"])
 def test_sigterm_does_not_reject_a_request_that_may_have_taken_effect(effect: str) -> None:
-    """BUSY says that a retry is harmless, but its endpoint may have the request."""
+    """BUSY says that a retry is safe, but the endpoint may have the request."""
     change = set_class(effect=effect, key_scope="cell", key_ttl_us=5_000_000, give_up_us=3_000_000)
     with Node(peer := Peer("s-1", OPEN=None), change=change) as node:
         taken, left = node.client(opening(1, d=3000)), node.client(opening(2, d=3000))
@@ -88,7 +88,7 @@
 
 @pytest.mark.parametrize("part", ["", "PING\r\n", "OPEN 00"])
 def test_sigterm_answers_unopened_clients_without_a_reset(part: str) -> None:
-    """A request may be on its way when the process exits."""
+    """A request may be in transit when the process exits."""
     with Node(Peer("s-1")) as node:
         unopened = node.client()
         unopened.sock.sendall(part.encode())
@@ -105,24 +105,24 @@
     with Node(peer := Peer("s-1", X=None)) as node:
         client = node.client(opening())
         assert client.read() == "UP r1"
-        pieces = peer.standing.get(timeout=PATIENCE)
-        pieces.sock.sendall(b"X ha")
+        endpoint = peer.standing.get(timeout=PATIENCE)
+        endpoint.sock.sendall(b"X ha")
         assert client.sock.recv(4) == b"X ha"
         node.terminate()
         node.wait_log("listens no more")
-        expect_silence(0.9, client)  # the last moves are over, the exit is not
-        pieces.sock.sendall(b"lf\r\n")
+        expect_silence(0.9, client)  # the last migrations are over, the exit is not due yet
+        endpoint.sock.sendall(b"lf\r\n")
         assert [client.read(), client.read(), client.read()] == ["lf", "MOVE", ""]
         assert node.process.wait(PATIENCE) == 0
 
 
 def test_sigterm_exits_before_the_kill_with_short_deadlines() -> None:
-    """At 200 ms SIGKILL may come after 0.9 s; a client that does not read must not delay the exit."""
+    """At 200 ms, SIGKILL may come after 0.9 s; a client that does not read must not delay the exit."""
     with Node(Peer("s-1"), change=set_class(give_up_us=200_000)) as node:
         client = node.client(opening(d=2000))
         assert client.read() == "UP r1"
         node.terminate()
-        assert node.process.wait(0.9) == 0  # the client holds its side open
+        assert node.process.wait(0.9) == 0  # the client keeps its side open
         assert client.read() == "MOVE"
 
 
@@ -138,7 +138,7 @@
 
 
 def test_sigterm_before_listening_exits_at_once() -> None:
-    """Its agent never answers, so it does not listen for half a second."""
+    """The agent never answers, so the node does not listen for the first half second."""
     agent = SilentListener()
     node = Node(change=lambda config: config["settings"].update(discovery="pushed"))
     node.write(json.dumps({**node.config, "discovery": agent.address}))
@@ -150,7 +150,7 @@
     ) as process:
         agent.called.get(timeout=PATIENCE)
         process.send_signal(signal.SIGTERM)
-        said = process.communicate(timeout=PATIENCE)[1]
-    assert process.returncode == 0 and "listens address" not in said and " faults=0" in said
+        log = process.communicate(timeout=PATIENCE)[1]
+    assert process.returncode == 0 and "listens address" not in log and " faults=0" in log
     agent.close()
     rmtree(node.folder)
--- a/tests/node/test_suspended_process.py
+++ b/tests/node/test_suspended_process.py
@@ -1,6 +1,6 @@
-"""A process that was suspended: what came in time counts, though its timer has expired.
+"""A suspended process: data that arrived in time counts, even if its timer expired meanwhile.
 
-The process is stopped by SIGSTOP. A timer expires meanwhile, and the bytes that cancel it are in the kernel.
+SIGSTOP suspends the process. A timer expires meanwhile, while the bytes that cancel it wait in the kernel.
 """
 
 from __future__ import annotations
@@ -11,8 +11,8 @@
 from tests.node_kit import PATIENCE, Discovery, Line, Node, Peer, opening
 
 
-def held_attempt(node: Node) -> Line:
-    """The connection of the attempt that waits for an answer, whichever endpoint has it."""
+def pending_attempt(node: Node) -> Line:
+    """Return the connection of the pending attempt, whichever endpoint it goes to."""
     while True:
         for peer in node.peers:
             try:
@@ -22,7 +22,7 @@
 
 
 def test_first_line_that_came_in_time_is_accepted() -> None:
-    """The client must not be answered ERR too slow."""
+    """Otherwise the client would be answered ERR too slow."""
     with Node(Peer("s-1")) as node:
         client = node.client("PING")
         assert client.read() == "PONG"
@@ -34,7 +34,7 @@
 
 
 def test_endpoint_whose_echo_came_in_time_does_not_count_as_hung() -> None:
-    """Else all sessions of all endpoints would be migrated after a halt of 2 s."""
+    """Otherwise all sessions of all endpoints would be migrated after a suspension of 2 s."""
     with Node(peer := Peer("s-1", X=None)) as node:
         client = node.client(opening())
         assert client.read() == "UP r1"
@@ -51,11 +51,11 @@
 
 
 def test_attempt_whose_answer_came_in_time_is_not_cancelled() -> None:
-    """Else an established session would be cut off, and its client rejected."""
+    """Otherwise an established session would be closed, and its client rejected."""
     change = set_class(give_up_us=3_000_000)
     with Node(Peer("s-1", OPEN=None), Peer("s-2", OPEN=None), change=change) as node:
         client = node.client(opening(d=3000))
-        attempt = held_attempt(node)
+        attempt = pending_attempt(node)
         node.freeze()
         attempt.send("UP r7")
         expect_silence(1.6, client)
@@ -64,7 +64,7 @@
 
 
 def test_watch_with_unread_data_is_not_renewed() -> None:
-    """After a halt of the machine all nodes would renew theirs at once."""
+    """Otherwise all nodes would renew their watches at once after the machine was suspended."""
     discovery = Discovery()
     with Node(Peer("s-1"), discovery=discovery) as node:
         assert discovery.calls.get(timeout=PATIENCE)
@@ -78,8 +78,8 @@
         node.wait_log("counters: .* lists=2 lists_failed=0 ")
 
 
-def test_client_that_left_after_the_connect_has_nothing_sent() -> None:
-    """The node reads both in one turn, the connect first."""
+def test_no_request_is_sent_for_a_client_that_left_after_the_connect() -> None:
+    """The node handles both events in one reactor turn, the connect first."""
     endpoint = LateEndpoint("s-1")
     with connecting(endpoint) as (node, _, client):
         node.freeze()
