--- a/stepflow/node/process/build.py
+++ b/stepflow/node/process/build.py
@@ -70,7 +70,7 @@
 
 
 class Process(HandoverProcess, StoppableProcess, Protocol):
-    """The process, as its parts use it."""
+    """The interface that the parts need from their process."""
 
 
 def build_parts(config: NodeConfig, reactor: Reactor, process: Process) -> NodeParts:
--- a/stepflow/node/process/channel_transport.py
+++ b/stepflow/node/process/channel_transport.py
@@ -17,7 +17,7 @@
 
 from stepflow.node.runtime.transports import Connector, Port, Reactor, Transport, has_unread
 
-MAX_READS = 10_000  # a message takes two reads at the most; the rest is not read without bound
+MAX_READS = 10_000  # two for each message at the most; data beyond this is taken to have no end
 BACKLOG = 50
 
 
@@ -42,11 +42,11 @@
 
 
 class _AcceptedChannel(_ChannelTransport, unix.Server):
-    """The channel at the process that listened."""
+    """The channel's transport in the process that listened."""
 
 
 class _DialedChannel(_ChannelTransport, unix.Client):
-    """The channel at the process that connected."""
+    """The channel's transport in the process that connected."""
 
 
 class _ChannelPort(unix.Port):
--- a/stepflow/node/process/descriptors.py
+++ b/stepflow/node/process/descriptors.py
@@ -13,7 +13,7 @@
 
 # For discovery, listeners, standard streams, the reactor, operators' calls.
 RESERVED = 24 + MAX_CALLS
-RESERVED_FOR_HEALTH_CHECKS = 24  # the minimum
+RESERVED_FOR_HEALTH_CHECKS = 24  # even if fewer are open
 
 
 def session_slots(limit: int) -> int:
@@ -28,7 +28,7 @@
         self._limit, self._core, self._upstreams, self._handover = limit, core, upstreams, handover
 
     def free(self, client_count: int) -> int:
-        """Return how many are left with this many clients, once each open request has its endpoint's."""
+        """Return how many are left with this many clients, counting one more for each open request."""
         upstreams = self._upstreams
         attempts = max(upstreams.attempts, self._core.open_requests)
         health_checks = max(upstreams.health_check_connections, RESERVED_FOR_HEALTH_CHECKS)
--- a/stepflow/node/process/handover.py
+++ b/stepflow/node/process/handover.py
@@ -39,7 +39,8 @@
 log = get_logger()
 
 SEARCH_TIMEOUT = timedelta(seconds=2)  # how long a starting process waits for the predecessor's state
-DESCRIPTORS_INTERVAL = timedelta(milliseconds=100)  # between two reports of the count
+# Between two reports of the open descriptors: the other process's count is this old at the most.
+DESCRIPTORS_INTERVAL = timedelta(milliseconds=100)
 LISTEN_RETRY_DELAY = timedelta(seconds=1)  # after listening on the path failed
 MAX_PATH_BYTES = 100  # slightly less than the address of a Unix socket can hold
 SOCKET_MODE = 0o600
@@ -50,7 +51,7 @@
 
 
 class HandoverProcess(Protocol):
-    """The process, as the hand-over uses it."""
+    """The interface that the hand-over needs from its process."""
 
     def handover_state(self) -> tuple[int, HandoverState]:
         """Return the listening socket's descriptor, and the state for a successor."""
@@ -89,7 +90,7 @@
         self._channel: HandoverChannel | None = None
         self._port: Port | None = None
         self._search_timer: Timer | None = None
-        self._closed = False  # whether the process is shutting down, and accepts no successor
+        self._refuses_successors = False  # whether the process is shutting down
         self.has_successor = False  # whether a successor is connected
         self.successor_serves = False  # whether the successor has reported that it serves
         self.other_descriptors = 0  # how many the other process holds, as last reported
@@ -111,14 +112,14 @@
         else:
             self._send_descriptor_count()
 
-    def stop_waiting(self) -> None:
-        """Accept no successor any more, since the process is shutting down; a connected successor is kept."""
-        self._closed = True
+    def refuse_successors(self) -> None:
+        """Refuse new successors, since the process is shutting down; a connected one is kept."""
+        self._refuses_successors = True
         self._stop_listening()
 
     def close(self) -> None:
         """Close the channel and the listening socket, since the process exits."""
-        self.stop_waiting()
+        self.refuse_successors()
         if self._channel is not None:
             self._channel.close()
 
@@ -138,7 +139,7 @@
 
     def channel_connected(self, channel: HandoverChannel) -> None:
         """Handle a new channel, to the predecessor or from a successor."""
-        if self._channel is not None or self._closed:
+        if self._channel is not None or self._refuses_successors:
             channel.close()
             return
         self._channel = channel
@@ -197,7 +198,7 @@
             self._await_successor()
 
     def _await_successor(self) -> None:
-        if not self._path or self._closed or self._port is not None or self._channel is not None:
+        if not self._path or self._refuses_successors or self._port is not None or self._channel is not None:
             return
         with suppress(OSError):
             os.unlink(self._path)  # a socket that a killed process left behind
--- a/stepflow/node/process/service.py
+++ b/stepflow/node/process/service.py
@@ -1,4 +1,4 @@
-"""The process of a node: its start, its side of the hand-over, its service, and its end.
+"""The process of a node: its start, its side of the hand-over, its service and its shutdown.
 
 Responsible for the order in which the parts start and stop (build.py connects them, reload.py replaces their
 settings, shutdown.py runs the graceful shutdown). Owns the parts, the client listener and the exit code.
@@ -44,7 +44,7 @@
         self, config: NodeConfig, operator_file: OperatorFile, reactor: Reactor, read_files: ReadFiles
     ) -> None:
         self.name = config.name
-        self._config, self._reactor = config, reactor  # the configuration of the start
+        self._config, self._reactor = config, reactor  # the configuration at the start
         self._parts = build_parts(config, reactor, self)
         self._reloader = Reloader(self._parts, config, operator_file, read_files)
         self._listener: ClientListener | None = None
@@ -58,7 +58,7 @@
         """Return the time of the node's clock."""
         return self._parts.clock.now()
 
-    # The start.
+    # Start.
 
     def start(self) -> None:
         """Listen for operators, and look for the predecessor."""
@@ -185,7 +185,7 @@
         """Handle the successor's answer to the offer with this number."""
         self._parts.shutdown.session_answered(number, accepted)
 
-    # The end.
+    # Shutdown.
 
     def terminate(self, signalled_at: timedelta) -> None:
         """Begin the graceful shutdown, timed from when the signal arrived."""
--- a/stepflow/node/process/shutdown.py
+++ b/stepflow/node/process/shutdown.py
@@ -45,7 +45,7 @@
 
 
 class StoppableProcess(Protocol):
-    """The process, as the shutdown uses it."""
+    """The interface that the shutdown needs from its process."""
 
     @property
     def name(self) -> str:
@@ -93,7 +93,7 @@
             return
         self._listener = listener
         self._timers.at(signalled_at + self._schedule().sessions_end, self._end_sessions)
-        self._handover.stop_waiting()
+        self._handover.refuse_successors()
         self._check_successor()
 
     def time_left(self) -> timedelta:
@@ -183,8 +183,8 @@
         self._core.reject_pending()
         self._close_listener()
         # A session is served here until it is migrated, and a client that is migrated early may find no other
-        # node: in a rolling restart, the nodes that restarted earlier are back before this one exits. So the
-        # migrations are spread over all the time left.
+        # node: in a rolling restart, the nodes that restarted earlier may still be starting, but are back
+        # before this one exits. So the migrations use all the time left.
         left = self._signalled_at + self._schedule().sessions_end - self._clock.now()
         sessions = self._core.established_sessions()
         delays = migration_delays(left, len(sessions), MIGRATION_START_SHARE)
--- a/stepflow/node/process/start.py
+++ b/stepflow/node/process/start.py
@@ -1,7 +1,7 @@
 """Starts a node's process: reads its two files, sets up the logs, and runs the node.
 
-Responsible for exit code 2 if a file is invalid, and for signals that arrive before the node runs. A file
-that can't be read for a transient error is read again (stepflow/errors.py).
+Responsible for exit code 2 if a file is invalid, and for signals that arrive before the node runs. If reading
+a file fails with a transient error, it is read again (stepflow/errors.py).
 """
 
 from __future__ import annotations
