--- a/stepflow/node/admin/__init__.py
+++ b/stepflow/node/admin/__init__.py
@@ -1,1 +1,1 @@
-"""The operators' HTTP address: readiness and metrics."""
+"""The admin HTTP address for operators: readiness and metrics."""
--- a/stepflow/node/admin/metrics.py
+++ b/stepflow/node/admin/metrics.py
@@ -1,7 +1,7 @@
-"""The node's metrics as operators fetch them: statsd lines.
+"""Formats the node's metrics as statsd lines for operators.
 
-Responsible for the names of the metrics, which never change (docs/operations.md), and for which gauges there
-are. Owns nothing. Counts are since the process's start; gauges hold at the moment of the call.
+Defines the names of the metrics, which never change (docs/operations.md), and the set of gauges. Owns no
+state. Counters count from the start of the process; gauges have the values at the time of the call.
 """
 
 from __future__ import annotations
@@ -16,22 +16,24 @@
 from stepflow.policy import EndpointState
 
 PREFIX = "edge_gw"
-EXCLUDED_BELOW_HEALTH = 0.1  # an endpoint with less of its weight is as good as left out
-# Counters that are shown under the names of their fields.
+EXCLUDED_BELOW_HEALTH = 0.1  # below this fraction of its weight an endpoint gets next to no requests
+# Counters that are reported under the names of their fields.
 PLAIN_COUNTERS = ("overdue", "retries", "clock_steps", "late_deadlines", "truncated", "outlived")
-_RESERVED = re.compile(r"[^\w.-]", re.ASCII)  # a class's name must hold none of the separators of a line
+_RESERVED = re.compile(
+    r"[^\w.-]", re.ASCII
+)  # characters of a class's name that could be separators of a line
 
 
 class Gauges(NamedTuple):
-    """What holds at this moment; the fields are named as the metrics."""
+    """The current values; each field has the name of its metric."""
 
-    in_flight: int  # connections taken and not yet ended
+    in_flight: int  # accepted connections that have not ended
     map_servers_known: int  # in the endpoint list
-    map_servers_excluded: int  # of them, those that get nothing new now
+    map_servers_excluded: int  # listed endpoints that get no new requests, or next to none
 
 
 def count_excluded(endpoints: Iterable[EndpointState]) -> int:
-    """How many listed endpoints get nothing new now, or next to nothing: those that drain or fail."""
+    """Count the listed endpoints that get no new requests, or next to none, since they drain or fail."""
     return sum(_is_excluded(endpoint) for endpoint in endpoints if endpoint.availability != Availability.GONE)
 
 
@@ -40,7 +42,7 @@
 
 
 def render(counters: Counters, gauges: Gauges) -> bytes:
-    """All metrics, one a line."""
+    """Return all metrics, one per line."""
     return "".join(f"{PREFIX}.{line}\n" for line in _lines(counters, gauges)).encode()
 
 
--- a/stepflow/node/admin/site.py
+++ b/stepflow/node/admin/site.py
@@ -1,8 +1,8 @@
-"""The operators' HTTP address: whether the node can serve, and its metrics.
+"""The admin HTTP server for operators: the node's readiness and its metrics.
 
-Responsible for answering `/v1/readyz` and `/v1/metrics`, one call a connection (h11 holds it to HTTP/1.1, RFC
-9112), and for bounding the callers and their time. Owns the callers' connections. Spans are timedeltas.
-Errors: what is no call gets the status that h11 hints at; another path gets 404, another method 405.
+Answers `/v1/readyz` and `/v1/metrics`, one request per connection, and limits the number of connections and
+their duration. h11 enforces HTTP/1.1 (RFC 9112). Owns these connections. Durations are timedeltas.
+Errors: a malformed request gets the status that h11 suggests, an unknown path 404, an unknown method 405.
 """
 
 from __future__ import annotations
@@ -20,23 +20,28 @@
 from stepflow.node.runtime.timers import Timer, Timers
 from stepflow.node.runtime.transports import Port, Reactor, Transport
 
-MAX_CALLS = 12  # at a time; as many descriptors are reserved for them
-CALL_TIMEOUT = timedelta(seconds=2)  # from the connection to the call's end, however slowly its bytes come
+MAX_CALLS = 12  # concurrent connections; this many descriptors are reserved for them
+REQUEST_TIMEOUT = timedelta(seconds=2)  # from connecting to the end of the response, at any transfer rate
 BACKLOG = 256
 
-OK, NOT_FOUND, METHOD_NOT_ALLOWED, UNAVAILABLE = 200, 404, 405, 503  # http.HTTPStatus is not loaded for these
+OK, NOT_FOUND, METHOD_NOT_ALLOWED, UNAVAILABLE = (
+    200,
+    404,
+    405,
+    503,
+)  # literals, to avoid importing http.HTTPStatus
 METHODS = (b"GET", b"HEAD")
 
 
-class Answer(NamedTuple):
-    """What a call is answered."""
+class HttpResponse(NamedTuple):
+    """The status and the body of a response."""
 
     status: int
     body: bytes
 
 
-class _Call(Protocol):
-    """One caller's connection, for one call."""
+class _HttpConnection(Protocol):
+    """An HTTP connection, which serves one request."""
 
     def __init__(self, site: AdminSite) -> None:
         self._site = site
@@ -47,26 +52,26 @@
         return cast(Transport, self.transport)
 
     def connectionMade(self) -> None:
-        """Take the place of a caller, for a while."""
-        self._timeout: Timer = self._site.timers.after(CALL_TIMEOUT, self.abort)
-        self._site.calls[self] = None
+        """Register the connection and start its timeout."""
+        self._timeout: Timer = self._site.timers.after(REQUEST_TIMEOUT, self.abort)
+        self._site.connections[self] = None
 
     def dataReceived(self, data: bytes) -> None:
-        """Answer once the request is whole."""
+        """Send the response once the request is complete."""
         if self._http.our_state is not h11.IDLE:
-            return  # it has its answer
+            return  # the response was sent
         self._http.receive_data(data)
         try:
             event = self._http.next_event()
         except h11.RemoteProtocolError as error:
-            self._send(b"GET", Answer(error.error_status_hint, b""))
+            self._send(b"GET", HttpResponse(error.error_status_hint, b""))
             return
         if isinstance(event, h11.Request):
-            self._send(event.method, self._site.answer(event.method, event.target))
+            self._send(event.method, self._site.response(event.method, event.target))
 
-    def _send(self, method: bytes, answer: Answer) -> None:
-        """Answer and close: whoever has more to ask calls again."""
-        status, body = answer
+    def _send(self, method: bytes, response: HttpResponse) -> None:
+        """Send the response and close; there is no keep-alive."""
+        status, body = response
         headers = [
             ("content-type", "text/plain; charset=utf-8"),
             ("content-length", str(len(body))),
@@ -81,47 +86,49 @@
         self._wire.loseConnection()
 
     def abort(self) -> None:
-        """Close at once: in the reactor's next turn, the turn's other callers would have no descriptor."""
+        """Close at once; closing in the next turn would leave this turn's connections no descriptor."""
         self._wire.abortConnection()
         self._wire.connectionLost(Failure(ConnectionAborted()))  # type: ignore[no-untyped-call]
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:
-        """Give the place back."""
+        """Cancel the timeout and unregister the connection."""
         self._timeout.cancel()
-        self._site.calls.pop(self, None)
+        self._site.connections.pop(self, None)
 
 
 class AdminSite(Factory):
-    """The two calls; no more than MAX_CALLS callers at a time, the oldest of them making room."""
+    """The factory of HTTP connections; above MAX_CALLS connections the oldest one is closed."""
 
     noisy = False
 
     def __init__(self, timers: Timers, can_serve: Callable[[], bool], metrics: Callable[[], bytes]) -> None:
         self.timers, self._can_serve = timers, can_serve
-        self.calls: dict[_Call, None] = {}  # the oldest first
-        self._paths: dict[bytes, Callable[[], Answer]] = {
+        self.connections: dict[_HttpConnection, None] = {}  # the oldest first
+        self._paths: dict[bytes, Callable[[], HttpResponse]] = {
             b"/v1/readyz": self._readyz,
-            b"/v1/metrics": lambda: Answer(OK, metrics()),
+            b"/v1/metrics": lambda: HttpResponse(OK, metrics()),
         }
 
-    def buildProtocol(self, addr: object) -> _Call:
-        """Take a caller in the place of the oldest, where all places are taken."""
-        # A whole call is answered in the turn that reads it, so whoever is still here has sent nothing whole.
-        if len(self.calls) >= MAX_CALLS:
-            next(iter(self.calls)).abort()
-        return _Call(self)
+    def buildProtocol(self, addr: object) -> _HttpConnection:
+        """Create a connection; close the oldest one first if MAX_CALLS are open."""
+        # A request is answered in the turn that reads it, so open connections have no complete request.
+        if len(self.connections) >= MAX_CALLS:
+            next(iter(self.connections)).abort()
+        return _HttpConnection(self)
 
-    def answer(self, method: bytes, target: bytes) -> Answer:
-        """What a call is answered; a query after the path is ignored."""
+    def response(self, method: bytes, target: bytes) -> HttpResponse:
+        """Return the response to a request; a query after the path is ignored."""
         path = self._paths.get(target.partition(b"?")[0])
         if path is None:
-            return Answer(NOT_FOUND, b"no such path\n")
-        return path() if method in METHODS else Answer(METHOD_NOT_ALLOWED, b"ask with GET\n")
+            return HttpResponse(NOT_FOUND, b"no such path\n")
+        return path() if method in METHODS else HttpResponse(METHOD_NOT_ALLOWED, b"ask with GET\n")
 
-    def _readyz(self) -> Answer:
-        return Answer(OK, b"ready\n") if self._can_serve() else Answer(UNAVAILABLE, b"not ready\n")
+    def _readyz(self) -> HttpResponse:
+        return (
+            HttpResponse(OK, b"ready\n") if self._can_serve() else HttpResponse(UNAVAILABLE, b"not ready\n")
+        )
 
 
 def listen(reactor: Reactor, address: Address, site: AdminSite) -> Port:
-    """Open the address; the port lasts until the process exits."""
+    """Listen at the address; the port stays open until the process exits."""
     return reactor.listenTCP(address.port, site, backlog=BACKLOG, interface=address.host)
--- a/stepflow/node/clients/__init__.py
+++ b/stepflow/node/clients/__init__.py
@@ -1,1 +1,1 @@
-"""Client connections: the listener, the line protocol toward clients, admission by descriptors."""
+"""Client connections: the listener, the line protocol toward clients, and admission by file descriptors."""
--- a/stepflow/node/clients/admission.py
+++ b/stepflow/node/clients/admission.py
@@ -1,11 +1,12 @@
-"""Admission of client connections by file descriptors, and the order in which unopened ones are evicted.
+"""Admission of client connections by file descriptors, and eviction of unopened connections.
 
-A connection that has not sent a whole OPEN line yet costs a descriptor and brings nothing. When descriptors
-get scarce these are evicted, so that a crowd of silent connections can't keep real clients out. This module
-owns the count of open client connections and the list of the unopened ones; the connections own their sockets
-and close them themselves. Units are descriptors. It raises no errors of its own.
+An unopened connection has not sent a complete OPEN line yet. It uses a descriptor and carries no session, so
+unopened connections are evicted when descriptors run low; otherwise many silent connections could keep real
+clients out. This module owns the count of open client connections and the list of unopened ones. The
+connections own their sockets and close them themselves. Units are descriptors. This module raises no errors
+of its own.
 
-The source of the rule is docs/design.md; docs/endings.md lists what an evicted client is still owed.
+Sources: docs/design.md for the rule, docs/endings.md for what is sent to an evicted client.
 """
 
 from __future__ import annotations
@@ -17,73 +18,74 @@
 from stepflow.node.runtime.counters import Counters
 from stepflow.node.runtime.transports import Transport, has_unread
 
-EVICTION_THRESHOLD = 4  # with fewer descriptors left, unopened connections are evicted
+EVICTION_THRESHOLD = 4  # below this number of free descriptors, unopened connections are evicted
 
 
 class UnopenedClient(Protocol):
-    """A client connection as admission sees it."""
+    """The part of a client connection that admission uses."""
 
     @property
     def wire(self) -> Transport:
-        """Its transport."""
+        """The connection's transport."""
 
     @property
     def at_end(self) -> bool:
-        """Whether its last line is complete, so that it isn't writing one just now."""
+        """Whether the received bytes end between two lines, not within one."""
 
     def evict(self) -> None:
-        """Close it at once; it calls `remove_candidate` before this returns."""
+        """Close the connection at once; calls `remove_candidate` before it returns."""
 
     def reject(self, retry_after: timedelta) -> None:
-        """Answer BUSY and close it."""
+        """Answer BUSY and close the connection."""
 
 
 class DescriptorAdmission:
-    """Counts client connections, and evicts unopened ones while few descriptors are left.
+    """Counts client connections, and evicts unopened ones while few descriptors are free.
 
-    `free_descriptors` tells how many are left if each open request also has one for its endpoint's socket.
+    `free_descriptors` returns the number of free descriptors after one is set aside for the endpoint socket
+    of each open request.
     """
 
     def __init__(self, free_descriptors: Callable[[], int], counters: Counters) -> None:
         self.open_connections = 0
         self._free_descriptors, self._counters = free_descriptors, counters
-        # Dictionaries as ordered sets. Between lines: the oldest connection first. Amid a line: the one that
-        # has sent nothing for the longest time first.
-        self._idle: dict[UnopenedClient, None] = {}
-        self._writing: dict[UnopenedClient, None] = {}
+        # Dictionaries serve as ordered sets of unopened clients. Those between lines are ordered by age, the
+        # oldest first; those within a line by the time of their last data, the earliest first.
+        self._between_lines: dict[UnopenedClient, None] = {}
+        self._within_line: dict[UnopenedClient, None] = {}
 
     def connection_made(self, client: UnopenedClient) -> None:
-        """Count a new connection, which may be evicted from now on."""
+        """Count a new connection and make it a candidate for eviction."""
         self.open_connections += 1
-        self._idle[client] = None
+        self._between_lines[client] = None
 
     def connection_lost(self, client: UnopenedClient) -> None:
-        """Take note that a connection is closed."""
+        """Stop counting a connection that was closed."""
         self.open_connections -= 1
         self.remove_candidate(client)
 
     def data_received(self, client: UnopenedClient) -> None:
-        """Move an unopened client that is amid a line to the end of the eviction order."""
-        if not client.at_end and (client in self._idle or client in self._writing):
+        """Move an unopened client that is within a line to the end of the eviction order."""
+        if not client.at_end and (client in self._between_lines or client in self._within_line):
             self.remove_candidate(client)
-            self._writing[client] = None
+            self._within_line[client] = None
 
     def remove_candidate(self, client: UnopenedClient) -> None:
-        """Never evict this client: it has opened, or is being closed anyway."""
-        self._idle.pop(client, None)
-        self._writing.pop(client, None)
+        """Exclude a client from eviction, since it has opened or is being closed."""
+        self._between_lines.pop(client, None)
+        self._within_line.pop(client, None)
 
     def eviction_order(self) -> tuple[UnopenedClient, ...]:
-        """All clients that have not opened, the first to be evicted first.
+        """Return all unopened clients in the order in which they are evicted.
 
-        Those amid a line come last: each may be a real client that writes slowly.
+        Clients within a line come last, since each may be a real client that writes slowly.
         """
-        return (*self._idle, *self._writing)
+        return (*self._between_lines, *self._within_line)
 
     def ensure_descriptor(self) -> bool:
-        """Evict a client if descriptors are scarce; return whether one is left for another connection.
+        """Evict a client if few descriptors are free; return whether one is free for another connection.
 
-        Clients with unread bytes are passed over: closing over those would send a reset, which could
+        Clients with unread bytes are skipped: closing a socket with unread bytes sends a reset, which could
         overtake the answer.
         """
         if self._free_descriptors() < EVICTION_THRESHOLD:
--- a/stepflow/node/clients/connection.py
+++ b/stepflow/node/clients/connection.py
@@ -1,15 +1,15 @@
-"""One client's connection: the platform's line protocol on the wire, a `Downstream` for the core.
+"""A client's connection: speaks the platform's line protocol, and is the core's `Downstream`.
 
-A connection goes through these stages:
+A connection passes through these stages:
 
-1. Unopened: PING lines are answered PONG, and an OPEN line is waited for, for `FIRST_LINE_TIMEOUT` at most.
-2. Waiting: the core has the request. Anything that the client sends now is malformed.
-3. Established: after UP a `Relay` passes bytes on both ways and owns the socket.
-4. Answered: BUSY, ERR or the endpoint's own answer went out, and the sending has ended. What the client still
-   sends is read and dropped for `CLOSE_TIMEOUT` at most, so that no reset overtakes the answer.
+1. Unopened: PING lines are answered with PONG. The OPEN line must arrive within `FIRST_LINE_TIMEOUT`.
+2. Waiting: the core handles the request. Any data from the client is malformed.
+3. Established: after UP, a `Relay` forwards bytes in both directions and owns the socket.
+4. Answered: BUSY, ERR or the endpoint's answer was sent, followed by a FIN. Further data of the client is
+   read and discarded for `CLOSE_TIMEOUT` at most, so that no reset overtakes the answer.
 
-Lines end in CR LF. A line that can't be parsed is answered `ERR malformed`; an exception while bytes of a
-client are taken is logged, counted and answered `ERR`.
+Lines end in CR LF. A line that can't be parsed is answered `ERR malformed`. An exception while a client's
+data is processed closes an established session; at earlier stages it is logged, counted and answered `ERR`.
 """
 
 from __future__ import annotations
@@ -37,20 +37,20 @@
 from stepflow.node.session_transfer import BYTES_ENCODING, SessionTransfer
 from stepflow.node.upstreams.attempt import UpstreamAttempt
 
-# Counted from the connection's first moment: neither single bytes nor PINGs extend it, or a crowd that sends
-# those would hold the node's descriptors. Real clients may write for 2 s; bad ones are owed an answer within
-# 3.
+# Counted from the time of connection. Neither single bytes nor PINGs extend it, since many clients that send
+# those could hold all of the node's descriptors. Real clients may take 2 s to write their line; bad clients
+# must get an answer within 3 s.
 FIRST_LINE_TIMEOUT = timedelta(seconds=2.6)
-CLOSE_TIMEOUT = timedelta(milliseconds=600)  # the most that a client takes to read its answer
-MAX_PINGS = 8  # on one connection
-MAX_DISCARDED_BYTES = 1 << 18  # read of a client after its answer; then its sending has to wait
+CLOSE_TIMEOUT = timedelta(milliseconds=600)  # for the client to read its answer and close
+MAX_PINGS = 8  # per connection
+MAX_DISCARDED_BYTES = 1 << 18  # after the answer; then reading is paused
 
 log = get_logger()
 
 
 @dataclass(frozen=True, slots=True)
 class ClientServices:
-    """The parts of the node that client connections use."""
+    """The services of the node that client connections use."""
 
     core: Core
     clock: Clock
@@ -61,10 +61,10 @@
 
 
 class ClientConnection(LineProtocol):
-    """The protocol of one client connection; owns its socket until the relay does.
+    """The protocol of one client connection; owns the socket until a relay takes it over.
 
-    `request_ids` holds the ids of all open requests of the node, to which the connection adds its own.
-    `parse` parses an OPEN line by the settings of that moment.
+    `request_ids` holds the ids of all open requests of the node; the connection adds the id of its own.
+    `parse` parses an OPEN line by the current settings.
     """
 
     def __init__(
@@ -80,33 +80,33 @@
         self._open_request: OpenRequest | None = None
         self._context: RequestContext | None = None
         self._relay: Relay | None = None
-        self._timer: Timer | None = None  # the first line's, later the close's
+        self._timer: Timer | None = None  # first for the first line, later for the close
         self._answered = False
         self._pings = self._discarded_bytes = 0
-        self._id: int | None = None  # what it has added to `request_ids`
+        self._id: int | None = None  # the id that this connection has added to `request_ids`
 
     @property
     def request_id(self) -> str:
-        """The id that the client gave, once it has opened."""
+        """The id in the client's OPEN line; empty before that line."""
         return "" if self._open_request is None else self._open_request.client_request_id
 
-    # What Twisted calls.
+    # Callbacks of Twisted and `LineProtocol`.
 
     def connectionMade(self) -> None:
-        """Begin to wait for the first line."""
+        """Start the timeout of the first line."""
         super().connectionMade()
         self._admission.connection_made(self)
         self._services.counters.clients += 1
         self._timer = self._services.timers.after(FIRST_LINE_TIMEOUT, self._first_line_timed_out)
 
     def dataReceived(self, data: bytes) -> None:
-        """Take bytes of the client; an exception costs this connection alone."""
+        """Process data of the client; an exception ends this connection only."""
         try:
             super().dataReceived(data)
         except Exception:
             if self._relay is not None:
-                raise  # Twisted closes the session: no answer may stand amid its lines
-            # Twisted would close the connection, and the request that was read is owed an answer.
+                raise  # Twisted closes the session; an answer must not appear between its lines
+            # Twisted would close the connection without an answer to the request that was read.
             self._services.counters.faults += 1
             log.exception("a client's bytes could not be taken")
             self._release_request()
@@ -115,17 +115,17 @@
         self._admission.data_received(self)
 
     def lineReceived(self, line: memoryview) -> None:
-        """Take a line before UP: a PING or the OPEN line."""
+        """Handle a line before UP: a PING or the OPEN line."""
         if line.tobytes() == b"PING":
             self._ping_received()
             return
         try:
-            opening = self._parse(bytes(line))  # a copy, since every attempt sends it
+            opening = self._parse(bytes(line))  # a copy, since it is kept for all attempts
         except MalformedRequestError:
             self._malformed()
             return
-        # No client may send anything before its answer: bytes behind the line could only go on to the
-        # endpoint as if they were the session's.
+        # A client must not send data before its answer: bytes after the OPEN line would have to be forwarded
+        # to the endpoint as if they belonged to the session.
         if not self.at_end or opening.numeric_id in self._request_ids:
             self._malformed()
             return
@@ -134,30 +134,30 @@
         self._open(opening)
 
     def lineLengthExceeded(self) -> None:
-        """Answer an overlong first line."""
+        """Answer `ERR malformed` to an overlong first line."""
         self._malformed()
 
     def rawDataReceived(self, data: bytes) -> None:
-        """Take bytes behind the OPEN line."""
+        """Process data after the OPEN line."""
         if self._relay is not None:
             self._relay.data_from_client(data)
-        elif not self._answered:  # a client has to wait for its answer
+        elif not self._answered:  # a client must not send data before its answer
             self._release_request()
             self._malformed()
         else:
             self._discarded_bytes += len(data)
-            if self._discarded_bytes > MAX_DISCARDED_BYTES:  # it may send without end, and has its answer
+            if self._discarded_bytes > MAX_DISCARDED_BYTES:  # an answered client may send without end
                 self.wire.pauseProducing()
 
     def input_ended(self) -> bool:
-        """Pass the client's FIN on to its session; before there is one, the client has left with it."""
+        """Forward the client's FIN to the session; without a session the FIN ends the connection."""
         if self._relay is None:
             return False
         self._relay.client_ended()
         return True
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:
-        """Free what the connection holds; end the endpoint's side of a session in the same way."""
+        """Release the request and the timer; end the endpoint's side of a session in the same way."""
         self._admission.connection_lost(self)
         self._cancel_timer()
         self._log_closed(reason)
@@ -165,39 +165,42 @@
             self._request_ids.discard(self._id)
         if self._relay is not None:
             self._relay.client_lost(reset=was_reset(reason))
-            # Both refer to this connection: reference counting alone would free none of the three.
+            # Both refer to this connection: reference counting could not free these three objects.
             self._relay = self._context = None
         else:
             self._release_request()
 
-    # What admission calls.
+    # Called by admission.
 
     def evict(self) -> None:
-        """Close an unopened connection at once: its descriptor is needed."""
+        """Close an unopened connection at once, since its descriptor is needed."""
         self._end_unopened_stage()
         self._answered = True
-        self.wire.write(b"BUSY\r\n")  # in case that its OPEN line is on its way
+        self.wire.write(b"BUSY\r\n")  # in case its OPEN line is already on the way
         flush(self.wire)
-        # Twisted's own methods close in the reactor's next turn, but one turn accepts many clients.
+        # Twisted's closing methods take effect in the reactor's next turn, but one turn accepts many clients.
         self.wire.connectionLost(Failure(ConnectionDone()))  # type: ignore[no-untyped-call]
 
-    # The hand-over to another process and from one.
+    # Hand-over of sessions between processes.
 
     def prepare_transfer(self) -> SessionTransfer | None:
-        """What another process must know to go on with this session, once its sockets can be passed."""
+        """Return the state that another process needs to continue this session.
+
+        None while there is no session, or its sockets can't be passed yet.
+        """
         if (
             self._relay is None
             or self._context is None
-            or (passing := self._relay.prepare_transfer()) is None
+            or (transfer := self._relay.prepare_transfer()) is None
         ):
             return None
         request = self._context.request
         return SessionTransfer(
-            client_descriptor=passing.client_descriptor,
-            endpoint_descriptor=passing.endpoint_descriptor,
-            from_client=passing.from_client.decode(BYTES_ENCODING),
-            from_endpoint=passing.from_endpoint.decode(BYTES_ENCODING),
-            echoes_owed=passing.echoes_owed,
+            client_descriptor=transfer.client_descriptor,
+            endpoint_descriptor=transfer.endpoint_descriptor,
+            from_client=transfer.from_client.decode(BYTES_ENCODING),
+            from_endpoint=transfer.from_endpoint.decode(BYTES_ENCODING),
+            echoes_owed=transfer.echoes_owed,
             request_id=cast(int, self._id),
             class_name=self._services.core.class_name(request.class_index),
             tenant=self._services.core.tenant_name(request.tenant),
@@ -208,33 +211,33 @@
         )
 
     def transfer_answered(self, by_other: bool) -> None:
-        """Take note whether the other process goes on with the session that was offered to it."""
+        """Tell the relay whether the other process has taken the session that was offered to it."""
         if self._relay is not None:
             self._relay.transfer_answered(by_other)
 
     def adopt_request(self, context: RequestContext, id: int) -> None:
-        """Hold the request of a session that the process before this one has handed over."""
+        """Register the request of a session that the predecessor has handed over."""
         self._end_unopened_stage()
         self.setRawMode()
         self._request_ids.add(id)
         self._id, self._context = id, context
 
     def resume_transferred(self, session: SessionTransfer) -> None:
-        """Give the relay of an adopted session the half lines and echoes that its predecessor told."""
+        """Pass the half lines and the number of owed echoes from the predecessor to the relay."""
         if self._relay is not None:
             self._relay.resume_transferred(*session.half_lines(), session.echoes_owed)
 
     def check_disconnected(self) -> None:
-        """Tell the core now if the client has left, though Twisted has not read its end yet."""
+        """Tell the core if the client has disconnected, even if Twisted has not read its FIN yet."""
         if not self._answered and self._relay is None and has_ended(self.wire):
             self._release_request()
 
     def opening_line(self, wait: timedelta) -> bytes:
-        """The OPEN line for an attempt that waits so long."""
+        """Return the OPEN line for an attempt with this timeout."""
         return b"" if self._open_request is None else self._open_request.line_for_attempt(wait)
 
     def session_established(self, attempt: Attempt) -> None:
-        """Send the endpoint's UP, and join both sides in a relay."""
+        """Send the endpoint's UP line, and connect both sides with a relay."""
         upstream = cast(UpstreamAttempt, attempt)
         context = cast(RequestContext, self._context)
         self.wire.write(upstream.up_line)
@@ -242,7 +245,7 @@
         upstream.attach_relay(self._relay)
 
     def reject(self, retry_after: timedelta) -> None:
-        """Answer BUSY, with the milliseconds to wait before a retry unless that is zero."""
+        """Answer BUSY, with the milliseconds to wait before a retry if they are above zero."""
         wait = millis(retry_after)
         self._answer(b"BUSY %d\r\n" % wait if wait > 0 else b"BUSY\r\n")
 
@@ -251,25 +254,25 @@
         self._answer(b"ERR\r\n")
 
     def complete(self, answer: bytes) -> None:
-        """Pass on the answer of an endpoint that served the request without a session."""
+        """Forward the answer of an endpoint that served the request without a session."""
         self._answer(answer)
 
     def migrate(self) -> None:
-        """Send MOVE at the end of the line, and end the session."""
+        """Send MOVE after the current line, and end the session."""
         if self._relay is not None:
             self._relay.migrate()
 
-    # Steps of these.
+    # Internal helpers.
 
     def _ping_received(self) -> None:
         self._pings += 1
-        if self._pings > MAX_PINGS or not self.at_end:  # a client has to wait for its answer
+        if self._pings > MAX_PINGS or not self.at_end:  # a client must wait for each PONG
             self._malformed()
         else:
             self.wire.write(b"PONG\r\n")
 
     def _open(self, opening: OpenRequest) -> None:
-        """Hand a request to the core, if there is a descriptor for its endpoint's socket."""
+        """Pass a request to the core, if a descriptor is free for the socket to its endpoint."""
         core, name = self._services.core, opening.client_request_id
         if not self._admission.ensure_descriptor():
             self._services.counters.table_full += 1
@@ -292,13 +295,16 @@
             self._answer(b"ERR malformed\r\n")
 
     def _release_request(self) -> None:
-        """Tell the core that the client is owed no answer any more."""
+        """Tell the core that the request no longer needs an answer."""
         if self._context is not None:
             context, self._context = self._context, None
             self._services.core.client_disconnected(context)
 
     def _end_unopened_stage(self) -> None:
-        """The client has opened, or its lines are no longer read: never evict it, and stop its timer."""
+        """Exclude the connection from eviction and cancel its timer.
+
+        Called when the client has opened, or its lines are no longer read.
+        """
         self._admission.remove_candidate(self)
         self._cancel_timer()
 
@@ -313,9 +319,10 @@
             self._timer.cancel()
 
     def _answer(self, line: bytes) -> None:
-        """Answer once, end the sending, and wait a little for the client's own end.
+        """Send the answer and a FIN, and wait up to `CLOSE_TIMEOUT` for the client to close.
 
-        Closing with bytes of the client unread would send a reset, which could overtake the answer.
+        Only the first answer is sent. Closing a socket with unread bytes would send a reset, which could
+        overtake the answer.
         """
         if self._answered:
             return
@@ -327,7 +334,7 @@
         self._timer = self._services.timers.after(CLOSE_TIMEOUT, self._close)
 
     def _close(self) -> None:
-        """End the connection of a client that did not end it after its answer."""
+        """Close the connection of a client that did not close it after its answer."""
         log = self._services.log
         log.ending(self.request_id, Side.CLIENT, "answered")
         self._timer = log.watch(self.request_id, Side.CLIENT, self.wire, self._services.clock.now())
--- a/stepflow/node/clients/factory.py
+++ b/stepflow/node/clients/factory.py
@@ -1,8 +1,8 @@
-"""Makes the protocols of client connections: of new ones, and of sessions that another process hands over.
+"""Creates the protocols of client connections, both new ones and those of sessions from a predecessor.
 
-It owns what all client connections of the node share: their admission by descriptors, the ids of open
-requests, and the names that clients may use. A connection that can't be admitted is closed by the listener; a
-session that can't be taken over stays with the process that offered it.
+The factory owns what all client connections of the node share: admission by descriptors, the ids of open
+requests, and the names of classes and tenants. The listener closes a connection that can't be admitted. A
+session that can't be adopted stays with the process that offered it.
 """
 
 from __future__ import annotations
@@ -25,11 +25,11 @@
 
 
 class ClientFactory(Factory):
-    """Twisted's factory of client connections, as many as there are descriptors for.
+    """Twisted's factory of client connections, limited by the free descriptors.
 
     `classes` and `tenants` map the names that clients may use to their indices in the settings; a reload
-    replaces them. `free_descriptors` tells how many descriptors are left if each open request has one for its
-    endpoint.
+    replaces them. `free_descriptors` returns the number of free descriptors after one is set aside for the
+    endpoint socket of each open request.
     """
 
     noisy = False
@@ -46,19 +46,19 @@
         self.classes, self.tenants = classes, tenants
         self._services, self._reactor, self._upstreams = services, reactor, upstreams
         self._admission = DescriptorAdmission(free_descriptors, services.counters)
-        self._request_ids: set[int] = set()  # of the requests that are open
-        # Bound once for all connections: each would hold a bound method of its own else.
+        self._request_ids: set[int] = set()  # of open requests
+        # Bound once and shared, or each connection would hold a bound method of its own.
         self._parse_line: Callable[[bytes], OpenRequest] = self._parse
 
     @property
     def open_connections(self) -> int:
-        """Client connections that are open."""
+        """The number of open client connections."""
         return self._admission.open_connections
 
     def buildProtocol(self, addr: IAddress | None) -> ClientConnection | None:
-        """Make the protocol of an accepted connection.
+        """Create the protocol of an accepted connection.
 
-        None has the listener close the socket: with no descriptor left there is none to answer BUSY on.
+        None makes the listener close the socket: without a free descriptor the connection can't answer BUSY.
         """
         if not self._admission.ensure_descriptor():
             self._services.counters.table_full += 1
@@ -66,12 +66,13 @@
         return self._new_connection()
 
     def adopt(self, session: SessionTransfer, client: int, peer: int) -> bool:
-        """Take a session over from the process before; False leaves it there, as does an OSError.
+        """Adopt a session from the predecessor; return whether it was adopted.
 
-        `client` and `peer` are the descriptors of its two sockets.
+        A session that is not adopted stays with the predecessor, as it does after an OSError. `client` and
+        `peer` are the descriptors of the client's and the endpoint's socket.
 
         Raises:
-            OSError: There is no descriptor left for its sockets.
+            OSError: There is no descriptor left for the sockets.
         """
         class_index = self.classes.get(session.class_name.encode())
         if class_index is None or not self._admission.ensure_descriptor():
@@ -81,7 +82,7 @@
             0, class_index, 0, session.load, tenant, session.idempotency_key, session.affinity_group
         )
         connection = self._new_connection()
-        # Ahead of the core, which would keep what can't be gone on with: there may be no descriptor for them.
+        # Before the core adopts the session: if no descriptor is left, the core would keep a dead session.
         client_socket, endpoint_socket = duplicate_sockets(client, peer)
         context = self._services.core.adopt_session(request, connection, session.endpoint)
         if context is None:
@@ -96,7 +97,7 @@
         return True
 
     def reject_unopened(self) -> None:
-        """Answer BUSY to all clients that have not opened: a request may be on its way."""
+        """Answer BUSY to all unopened clients, since an OPEN line of theirs may be on the way."""
         for client in self._admission.eviction_order():
             client.reject(timedelta(0))
 
@@ -104,5 +105,5 @@
         return ClientConnection(self._services, self._admission, self._request_ids, self._parse_line)
 
     def _parse(self, line: bytes) -> OpenRequest:
-        """Parse an OPEN line by the settings as they are now."""
+        """Parse an OPEN line by the current settings."""
         return parse_open_request(line, self._services.clock.now(), self.classes, self.tenants)
--- a/stepflow/node/clients/listener.py
+++ b/stepflow/node/clients/listener.py
@@ -1,11 +1,11 @@
-"""The listening socket: accepts clients whatever accept(2) fails with, and closes without resetting any.
+"""The listening socket: keeps accepting clients after errors of accept(2), and closes without resets.
 
-It owns the listening socket, which two processes may hold during a hand-over. A failure of accept(2) that
-concerns one connection is passed over; any other is counted as `accept_failures`, and accepting goes on after
-`ACCEPT_RETRY_DELAY`. An exception while a client's protocol is made is logged and counted as a fault, and
-costs this client alone. `listen` raises OSError where the address can't be bound.
+The port owns the listening socket, which two processes may share during a hand-over. An error of accept(2)
+that concerns a single connection is ignored; any other one is counted as `accept_failures`, and accepting
+resumes after `ACCEPT_RETRY_DELAY`. An exception while a client's protocol is created is logged and counted as
+a fault, and ends only that client's connection. `listen` raises OSError if the address can't be bound.
 
-docs/endings.md lists what is owed to clients that wait in the kernel's queue when the socket closes.
+Source for clients in the kernel's accept queue when the socket closes: docs/endings.md.
 """
 
 # Twisted's ports have no type annotations.
@@ -33,42 +33,42 @@
 
 log = get_logger()
 
-BACKLOG = 4096  # connections; all clients of a node that died come at once
-MAX_ACCEPTS_PER_TURN = 200  # of the reactor, which has other sockets to serve too
+BACKLOG = 4096  # connections; all clients of a failed node reconnect at once
+MAX_ACCEPTS_PER_TURN = 200  # of the reactor, which also serves other sockets
 
 
 class ClientListener(Protocol):
-    """A listening socket, as the rest of the node sees it."""
+    """The listening socket's interface to the rest of the node."""
 
     def getHost(self) -> Any:
-        """Twisted's address of the socket, with its `port`."""
+        """Return Twisted's address of the socket, which has a `port`."""
 
     def fileno(self) -> int:
-        """Its descriptor."""
+        """Return the socket's file descriptor."""
 
     def stop_accepting(self) -> None:
-        """Accept no more, but keep the socket open."""
+        """Stop accepting clients, but keep the socket open."""
 
     def close_gracefully(self, on_closed: Callable[[], None]) -> None:
-        """Accept all clients that wait in the kernel's queue, close the socket, then call `on_closed`."""
+        """Accept all clients in the kernel's accept queue, close the socket, then call `on_closed`."""
 
     def close_now(self) -> None:
         """Close the socket in this turn of the reactor."""
 
 
 class ClientPort(tcp.Port):
-    """Twisted's port with an accept loop of its own.
+    """A Twisted port with a different accept loop.
 
     Twisted's loop closes clients without an answer when descriptors run out, and retries without a delay when
-    memory does.
+    memory runs out.
     """
 
-    counters: Counters  # set by `listen`, since Twisted makes the port
-    is_accepting = True  # False once this process has stopped accepting: another may hold the socket too
+    counters: Counters  # set by `listen`, since Twisted creates the port
+    is_accepting = True  # False after `stop_accepting`; another process may still accept
     _is_paused = False
 
     def doRead(self) -> None:
-        """Accept the clients that wait; the reactor calls this when the socket is readable."""
+        """Accept waiting clients; the reactor calls this when the socket is readable."""
         for _ in range(MAX_ACCEPTS_PER_TURN):
             try:
                 accepted, address = self.socket.accept()
@@ -82,12 +82,12 @@
             try:
                 self._serve(accepted, address)
             except Exception:
-                # The reactor would close the listener for an exception that reaches it.
+                # The reactor would close the listener on an exception.
                 self.counters.faults += 1
                 log.exception("a client could not be taken")
 
     def _serve(self, accepted: socket.socket, address: tuple[Any, ...]) -> None:
-        """Connect an accepted socket to a protocol of the factory; close it where the factory makes none."""
+        """Connect an accepted socket to a protocol of the factory; close it if the factory returns None."""
         protocol: Any = cast(Factory, self.factory).buildProtocol(self._buildAddr(address[:2]))
         if protocol is None:
             accepted.close()
@@ -109,15 +109,15 @@
             self.startReading()
 
     def stop_accepting(self) -> None:
-        """Accept no more: the clients that wait go to another process that holds the socket."""
+        """Stop accepting, so that waiting clients go to another process that holds the socket."""
         self.is_accepting = False
         self.stopReading()
 
     def close_gracefully(self, on_closed: Callable[[], None]) -> None:
-        """Accept all clients that wait in the kernel's queue, close the socket, then call `on_closed`.
+        """Accept all clients in the kernel's accept queue, close the socket, then call `on_closed`.
 
-        The kernel resets connections that are in the queue at the close. While a shortage keeps accept(2)
-        from succeeding, this is tried again every `ACCEPT_RETRY_DELAY`, and `on_closed` waits.
+        The kernel resets connections that are still in the queue when the socket closes. While accept(2)
+        fails because of a shortage, it is retried every `ACCEPT_RETRY_DELAY`, which delays `on_closed`.
         """
         while self.connected and has_unread(self):
             accepted_before = self.sessionno
@@ -129,7 +129,7 @@
         on_closed()
 
     def close_now(self) -> None:
-        """Close in this turn of the reactor: clients that come after the last accept are reset."""
+        """Close in this turn of the reactor; clients that connected after the last accept are reset."""
         if self.connected:
             self.is_accepting = False
             self.stopReading()
@@ -139,19 +139,19 @@
 def listen(
     reactor: Reactor, address: Address, factory: Factory, counters: Counters, inherited: int | None = None
 ) -> ClientListener:
-    """Accept clients at the address, from the listening socket `inherited` if there is one.
+    """Start accepting clients at the address, on the listening socket `inherited` if there is one.
 
-    `inherited` is a descriptor that the process before has passed; it is closed here once it is duplicated.
+    `inherited` is a descriptor passed by the predecessor; it is closed after it has been duplicated.
 
     Raises:
-        OSError: the address can't be bound.
+        OSError: The address can't be bound.
     """
     family = socket.AF_INET6 if ":" in address.host else socket.AF_INET
     bound = _bind(address, family) if inherited is None else socket.socket(fileno=os.dup(inherited))
     with bound:
         bound.setblocking(False)
-        # Twisted shuts down a socket that it has made itself when it closes it, and that would end the
-        # listening of another process that holds it too. One that it adopts it only closes.
+        # Twisted shuts down a listening socket of its own before closing it, which would also stop another
+        # process that shares the socket. An adopted socket is only closed.
         port = ClientPort._fromListeningDescriptor(reactor, bound.fileno(), family, factory)
     port.counters = counters
     port.startListening()
@@ -161,11 +161,11 @@
 
 
 def _bind(address: Address, family: int) -> socket.socket:
-    """A new socket that listens at the address."""
+    """Return a new socket that listens at the address."""
     sock = socket.socket(family)
     try:
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-        # A next process that got no socket handed over binds the same address while this one still listens.
+        # A successor that was passed no socket binds the same address while this process still listens.
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
         sock.bind((address.host, address.port))
         sock.listen(BACKLOG)
--- a/stepflow/node/recording.py
+++ b/stepflow/node/recording.py
@@ -1,7 +1,7 @@
-"""Records the node's traffic while the operator's file asks for it.
+"""Records the node's traffic while the operator's file configures a recording.
 
-Connects the core with the recorder (`stepflow.traffic`), whose files a thread of its own writes. A failure of
-the recorder or of the disk ends the recording; the node goes on.
+Connects the core to the recorder (`stepflow.traffic`), which writes its files in a separate thread. A failure
+of the recorder or of the disk ends the recording, but not the node.
 """
 
 from __future__ import annotations
@@ -19,13 +19,13 @@
 
 log = get_logger()
 
-DISK_WAIT = timedelta(seconds=CLOSE_TIMEOUT_S)  # the longest that the end of a recording waits for the disk
-FLUSH_INTERVAL = timedelta(milliseconds=500)  # a process that is killed loses no more than this
+DISK_WAIT = timedelta(seconds=CLOSE_TIMEOUT_S)  # the longest wait for the disk at the end of a recording
+FLUSH_INTERVAL = timedelta(milliseconds=500)  # a killed process loses at most the records of this time
 US_PER_MS = 1000
 
 
 class Recording:
-    """Begins, updates and ends the recording that the operator's file asks for; there is one at a time."""
+    """Starts, updates and ends the recording that the operator's file configures; one at a time."""
 
     def __init__(self, core: Core, clock: Clock, timers: Timers, node: str) -> None:
         self._core, self._clock, self._timers, self._node = core, clock, timers, node
@@ -35,9 +35,9 @@
         self._flush_timer: Timer | None = None
 
     def follow(self, config: Record | None, settings: Settings) -> None:
-        """Record by this configuration from now on; None ends the recording.
+        """Apply the configuration of a recording; None ends the recording.
 
-        A recording whose configuration stays the same goes on in its file.
+        A recording with an unchanged configuration continues in its file.
         """
         if config == self._config:
             if self._recorder is not None:
@@ -46,10 +46,10 @@
         self.end()
         self._config = config
         if config is not None:
-            self._begin(config, settings)
+            self._start(config, settings)
 
     def end(self, wait: timedelta = DISK_WAIT) -> None:
-        """End the recording, if there is one, and write the pending rows, as far as the disk takes them."""
+        """End the recording, if any; write the pending rows within `wait`, unless the disk fails."""
         self._core.record_events(None)
         if self._flush_timer is not None:
             self._flush_timer.cancel()
@@ -59,7 +59,7 @@
             recorder.end(self._now_us())
             writer.close(wait.total_seconds())
 
-    def _begin(self, config: Record, settings: Settings) -> None:
+    def _start(self, config: Record, settings: Settings) -> None:
         writer = Writer(config.folder, config.segments, lambda: self._now_us() // US_PER_MS)
         recorder = Recorder(writer, config.key, self._node, self._now_us(), settings, config.segment)
         for endpoint in self._core.endpoints():
@@ -76,7 +76,7 @@
             return
         try:
             self._recorder.take(now_us, event, actions)
-        except Exception:  # whatever it is, it must not end the request at hand
+        except Exception:  # no failure of the recorder may fail the current request
             log.exception("the recorder failed, and ends")
             self.end()
 
