--- a/stepflow/__main__.py
+++ b/stepflow/__main__.py
@@ -1,6 +1,6 @@
-"""The program's entry: without a command it runs one node, with one the command line.
+"""The entry point: runs one node if there is no command, or else the command line.
 
-A node loads nothing of the command line: two hundred of them share a machine.
+A node doesn't import the command line, to save memory: two hundred nodes share a machine.
 """
 
 from __future__ import annotations
@@ -9,7 +9,7 @@
 
 
 def main() -> int:
-    """Run the command of the program's arguments; returns its exit code."""
+    """Run the command in the program's arguments and return its exit code."""
     arguments = sys.argv[1:]
     if arguments in ([], ["run"]):
         from stepflow.node import run_node
--- a/stepflow/address.py
+++ b/stepflow/address.py
@@ -1,4 +1,4 @@
-"""Network addresses, to listen on or to connect to."""
+"""Network addresses to listen on or to connect to."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 
 
 class AddressError(ValueError):
-    """A value that is no address; its text is one line, and shows the value."""
+    """A value is not an address; the message is one line that shows the value."""
 
 
 class Address(NamedTuple):
-    """A host and a port, written HOST:PORT; the host may be any name or number without further checks."""
+    """A host and a port, written HOST:PORT. The host may be any name or number; it is not checked."""
 
     host: str
     port: int
@@ -22,10 +22,10 @@
 
     @classmethod
     def parse(cls, text: object) -> Address:
-        """Read HOST:PORT.
+        """Parse HOST:PORT.
 
         Raises:
-            AddressError: It is no text of that form, or the port is out of range.
+            AddressError: `text` is not a string of that form, or the port is out of range.
         """
         if not isinstance(text, str):
             raise AddressError(f"{text!r} is not HOST:PORT")
--- a/stepflow/cli/__init__.py
+++ b/stepflow/cli/__init__.py
@@ -1,8 +1,8 @@
-"""The command line: the group of all commands, and how errors become lines and exit codes.
+"""The command line: the group of all commands, and the conversion of errors to messages and exit codes.
 
-Responsible for arguments and printing; the packages below do the work, and a command imports what it needs
-when it runs. Owns nothing. Errors: bad input is one line and exit code 2, a missing extra one line and exit
-code 1.
+Handles arguments and output only; a command imports the packages that do the work when it runs. Owns no
+state. Errors: invalid input prints one line and exits with code 2, a missing extra prints one line and exits
+with code 1.
 """
 
 from __future__ import annotations
@@ -15,11 +15,11 @@
 from stepflow import __version__
 from stepflow.cli.check import EXIT_BAD_INPUT, check
 from stepflow.cli.fleet import fleet
-from stepflow.cli.fleet_studies import EXIT_FAILED  # which adds its commands to the group
+from stepflow.cli.fleet_studies import EXIT_FAILED  # importing it adds its commands to the group
 from stepflow.errors import InputError
 
-EXIT_INTERRUPTED = 130  # as a shell tells of a program that SIGINT has ended
-EXTRA_PACKAGES = ("numpy", "pyarrow", "scipy")  # what the extra `fleet` brings
+EXIT_INTERRUPTED = 130  # the code of shells for a program that was ended by SIGINT
+EXTRA_PACKAGES = ("numpy", "pyarrow", "scipy")  # installed by the extra `fleet`
 
 
 @click.group(
@@ -28,12 +28,12 @@
 )
 @click.version_option(__version__, prog_name="stepflow", message="%(prog)s %(version)s")
 def stepflow() -> None:
-    """A TCP balancer for long-lived map sessions. Without a word, runs one node."""
+    """A TCP balancer for long-lived map sessions. Without a command, runs one node."""
 
 
 @stepflow.command()
 def run() -> None:
-    """Run one node, as its configuration in $GW_CONFIG says."""
+    """Run one node with the configuration file that $GW_CONFIG names."""
     from stepflow.node import run_node
 
     sys.exit(run_node())
@@ -44,7 +44,7 @@
 
 
 def main(arguments: Sequence[str]) -> int:
-    """Carry out a command and return its exit code; bad input gets one line and exit code 2."""
+    """Run a command and return its exit code; invalid input prints one line and returns 2."""
     try:
         result = stepflow.main(list(arguments), prog_name="stepflow", standalone_mode=False)
     except InputError as error:
@@ -60,4 +60,4 @@
     except click.ClickException as error:
         error.show()
         return error.exit_code
-    return result if isinstance(result, int) else 0  # the code of an Exit
+    return result if isinstance(result, int) else 0  # the code of `click.exceptions.Exit`
--- a/stepflow/cli/check.py
+++ b/stepflow/cli/check.py
@@ -1,6 +1,6 @@
-"""`stepflow check`: whether a file would be taken, before a node is asked to.
+"""`stepflow check`: checks whether a node would accept a file.
 
-Responsible for its printing and exit code; the file is read as a node reads it. Errors: printed, one line a
+Handles output and exit code; the file is read by the code that a node uses. Errors are printed, one line per
 file.
 """
 
@@ -20,11 +20,11 @@
 
 @click.command()
 @click.argument("files", nargs=-1, required=True, type=click.Path())
-@click.option("--json", "as_json", is_flag=True, help="One JSON object a line, for programs.")
+@click.option("--json", "as_json", is_flag=True, help="Print one JSON object per line.")
 def check(files: tuple[str, ...], as_json: bool) -> None:
-    """Read FILES as a node would: the platform's JSON (*.json), or an operator's file (any other name).
+    """Check FILES as a node reads them: the platform's JSON (*.json), or an operator's file (any other name).
 
-    Exit code 0 where all would be taken, 2 where one would not; each gets one line.
+    Prints one line per file. Exits with 0 if a node would accept all files, with 2 otherwise.
     """
     errors = [(file, find_error(file)) for file in files]
     for file, error in errors:
@@ -37,7 +37,7 @@
 
 
 def find_error(file: str) -> str | None:
-    """What is wrong with a file; None where it would be taken."""
+    """Return the error message of a file; None if a node would accept it."""
     try:
         if file.endswith(".json"):
             load_config({**os.environ, "GW_CONFIG": file})
--- a/stepflow/cli/fleet.py
+++ b/stepflow/cli/fleet.py
@@ -1,7 +1,7 @@
-"""`stepflow fleet`: the group of its commands, and those that make and read traces.
+"""`stepflow fleet`: the command group, and the commands that create and read traces.
 
-Responsible for arguments and printing; stepflow.fleet does the work, and is imported by each command, since
-the extra `fleet` may be missing. Commands that play scenarios are in fleet_studies.py. Errors: InputError.
+Handles arguments and output; stepflow.fleet does the work. Each command imports it when it runs, since the
+extra `fleet` may be missing. Commands that run scenarios are in fleet_studies.py. Errors: InputError.
 """
 
 from __future__ import annotations
@@ -32,14 +32,14 @@
 
 @click.group()
 def fleet() -> None:
-    """Traces of recorded traffic, for the model of the fleet (needs the extra `fleet`)."""
+    """Process traces of recorded traffic, and run the model of the fleet (needs the extra `fleet`)."""
 
 
 @fleet.command()
 @click.argument("sources", nargs=-1, required=True, type=click.Path(exists=True))
-@click.option("-o", "--out", required=True, type=click.Path(), help="The trace's folder, a new one.")
+@click.option("-o", "--out", required=True, type=click.Path(), help="The new folder of the trace.")
 def convert(sources: tuple[str, ...], out: str) -> None:
-    """Make a trace of journals: of files, or of folders that a node's recorder writes to."""
+    """Convert journals to a trace; SOURCES are journal files, or folders that a node's recorder writes to."""
     from stepflow.fleet import convert as make
 
     paths: list[str] = []
@@ -58,9 +58,9 @@
 
 @fleet.command()
 @click.argument("trace", type=click.Path())
-@click.option("--json", "as_json", is_flag=True, help="One JSON object, for programs.")
+@click.option("--json", "as_json", is_flag=True, help="Print one JSON object.")
 def inspect(trace: str, as_json: bool) -> None:
-    """Show what is in TRACE: its classes, its servers, and what is missing."""
+    """Summarize TRACE: its classes, its endpoints, and missing data."""
     from stepflow.fleet import Trace
     from stepflow.fleet.trace import summary as summarize
 
@@ -68,7 +68,7 @@
     if as_json:
         print_json(summary)
         return
-    click.echo("connect, life and load: the 10%, 50% and 90% points; censored: still stood at the end")
+    click.echo("connect, life and load: 10%, 50% and 90% quantiles; censored: still established at the end")
     nodes = ", ".join(summary["nodes"]) or "no node"
     size = f"{summary['servers']} servers, {summary['groups']} groups"
     click.echo(f"{summary['seconds']:.1f} s of {nodes}: {size}")
@@ -83,11 +83,11 @@
 
 @fleet.command()
 @click.argument("scenario", type=click.Path())
-@click.option("-o", "--out", required=True, type=click.Path(), help="The journals' folder, a new one.")
+@click.option("-o", "--out", required=True, type=click.Path(), help="The new folder of the journals.")
 @click.option("--seed", default=1, show_default=True, type=click.IntRange(0))
 @click.option("--policy", default="present", show_default=True, help="A policy's name, as for compare.")
 def synth(scenario: str, out: str, seed: int, policy: str) -> None:
-    """Make the journals of a day of SCENARIO, as its nodes would record it, where there is no trace yet."""
+    """Simulate a day of SCENARIO and write its nodes' journals, for use until there is a recorded trace."""
     from stepflow.fleet.policy_specs import policy_factory
     from stepflow.fleet.scenario import load
     from stepflow.fleet.synth import synth as make
@@ -99,10 +99,15 @@
 
 @fleet.command()
 @click.argument("trace", type=click.Path())
-@click.option("-o", "--out", type=click.Path(), help="The scenario's file; else it is only told.")
-@click.option("--json", "as_json", is_flag=True, help="One JSON object, for programs.")
+@click.option(
+    "-o",
+    "--out",
+    type=click.Path(),
+    help="The new file of the scenario; without it, the estimates are only printed.",
+)
+@click.option("--json", "as_json", is_flag=True, help="Print one JSON object.")
 def fit(trace: str, out: str | None, as_json: bool) -> None:
-    """Estimate a scenario from TRACE: rates, lives, loads and speeds, with how surely they are known."""
+    """Estimate a scenario from TRACE: rates, lifetimes, loads and speeds, with their 95% intervals."""
     from stepflow.fleet import Trace
     from stepflow.fleet.fitting import fit as estimate
     from stepflow.fleet.fitting import scenario_text
@@ -124,14 +129,14 @@
 
 
 def _flaws(journal: Any) -> list[str]:
-    """What is missing of a journal."""
+    """Describe what is missing from a journal."""
     cut = journal.cut or ("" if journal.ended else "not ended in order")
     lost = f"{journal.lost} rows were dropped" if journal.lost else ""
     return [flaw for flaw in (cut, lost) if flaw]
 
 
 def _class_row(cls: dict[str, Any]) -> Row:
-    """The cells of CLASS_COLUMNS."""
+    """Return the cells of CLASS_COLUMNS for a class."""
     rate = "-" if cls["per_s"] is None else f"{cls['per_s']:.2f}"
     counts = (str(cls["connections"]), str(cls["stood"]), rate, str(cls["moved"]))
     quantiles = (_format_quantiles(cls["connect_ms"]), _format_quantiles(cls["life_s"]))
--- a/stepflow/cli/fleet_studies.py
+++ b/stepflow/cli/fleet_studies.py
@@ -1,7 +1,7 @@
-"""`stepflow fleet`: the commands that play scenarios, to compare policies, audit rules and check predictions.
+"""`stepflow fleet`: the commands that run scenarios, to compare policies, audit rules and check predictions.
 
-Responsible for arguments and printing; stepflow.fleet does the work, and is imported by each command, since
-the extra `fleet` may be missing. Errors: InputError; `audit` exits with 1 where a rule is broken.
+Handles arguments and output; stepflow.fleet does the work. Each command imports it when it runs, since the
+extra `fleet` may be missing. Errors: InputError; `audit` exits with code 1 if a rule is broken.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 
 
 class FigureComparison(NamedTuple):
-    """One figure of two sides, with their difference; each has its interval."""
+    """A figure of both sides and their difference, each with its confidence interval."""
 
     a: Interval
     b: Interval
@@ -34,11 +34,11 @@
 
     @classmethod
     def of(cls, found: Comparison, name: str) -> FigureComparison:
-        """The figure of this name in what a comparison has found."""
+        """Return the figure of this name from a comparison."""
         return cls(found.interval_of(0, name), found.interval_of(1, name), found.difference(name))
 
     def as_json(self) -> dict[str, float]:
-        """The means, and the interval of the difference."""
+        """Return the means, and the interval of the difference."""
         return {
             "a": self.a.mean,
             "b": self.b.mean,
@@ -48,29 +48,35 @@
         }
 
     def row(self, name: str) -> Row:
-        """The cells of a table's row."""
-        less = self.difference
-        interval = f"{less.low:+.4f} to {less.high:+.4f}"
-        verdict = "no difference seen" if less.includes_zero else ""
-        return (name, f"{self.a.mean:.4f}", f"{self.b.mean:.4f}", f"{less.mean:+.4f}", interval, verdict)
+        """Return the cells of a table row."""
+        delta = self.difference
+        interval = f"{delta.low:+.4f} to {delta.high:+.4f}"
+        verdict = "no difference seen" if delta.includes_zero else ""
+        return (name, f"{self.a.mean:.4f}", f"{self.b.mean:.4f}", f"{delta.mean:+.4f}", interval, verdict)
 
 
 @fleet.command()
 @click.argument("a")
 @click.argument("b")
-@click.option("-s", "--scenario", required=True, type=click.Path(), help="The scenario of both.")
-@click.option("--scenario-b", type=click.Path(), help="Another one for B, to compare two fleets.")
+@click.option("-s", "--scenario", required=True, type=click.Path(), help="The scenario of A and B.")
+@click.option("--scenario-b", type=click.Path(), help="A different scenario for B, to compare two fleets.")
 @click.option(
-    "--runs", default=20, show_default=True, type=click.IntRange(2, 1000), help="Of the first stage."
+    "--runs",
+    default=20,
+    show_default=True,
+    type=click.IntRange(2, 1000),
+    help="Number of runs in the first stage.",
 )
 @click.option(
-    "--width", type=click.FloatRange(1e-4), help="Wanted width of the interval: as many runs as it takes."
+    "--width",
+    type=click.FloatRange(1e-4),
+    help="Target width of the interval; runs are added to reach it, up to 1000 in all.",
 )
 @click.option("--level", default=0.95, show_default=True, type=click.FloatRange(0.5, 0.999))
 @click.option("--seed", default=1, show_default=True, type=click.IntRange(0))
-@click.option("--jobs", type=click.IntRange(1, 256), help="Processes; as many as there are cores.")
-@click.option("-o", "--out", type=click.Path(), help="Folder where the runs are kept, with a manifest.")
-@click.option("--json", "as_json", is_flag=True, help="One JSON object, for programs.")
+@click.option("--jobs", type=click.IntRange(1, 256), help="Number of processes; by default, one per core.")
+@click.option("-o", "--out", type=click.Path(), help="Folder for the runs and their manifest.")
+@click.option("--json", "as_json", is_flag=True, help="Print one JSON object.")
 def compare(
     a: str,
     b: str,
@@ -84,10 +90,10 @@
     out: str | None,
     as_json: bool,
 ) -> None:
-    """Play A and B on the same days, and tell B's difference with its interval.
+    """Simulate A and B on the same days, and show B's difference from A with its interval.
 
-    A and B each name a policy: present, random, rev:REVISION, or NAME=FIGURE for one of its figures (several,
-    and a revision, with commas: rev:main,KP=0.3).
+    A and B each name a policy: present, random, rev:REVISION, or NAME=VALUE for one of its constants
+    (several, and a revision, separated by commas: rev:main,KP=0.3).
     """
     from stepflow.fleet.compare import FIGURES, Plan, Side, save
     from stepflow.fleet.compare import compare as play
@@ -116,9 +122,9 @@
 
 @fleet.command()
 @click.argument("folder", type=click.Path())
-@click.option("-o", "--out", required=True, type=click.Path(), help="The page, one HTML file.")
+@click.option("-o", "--out", required=True, type=click.Path(), help="The HTML file of the page.")
 def report(folder: str, out: str) -> None:
-    """Show the comparisons that `compare -o FOLDER` kept as one page with tables and charts."""
+    """Write the comparisons saved by `compare -o FOLDER` to one page with tables and charts."""
     from stepflow.fleet.report import write
 
     click.echo(f"{out}: {write(folder, out)} comparisons")
@@ -126,17 +132,19 @@
 
 @fleet.command()
 @click.argument("scenarios", nargs=-1, required=True, type=click.Path())
-@click.option("--runs", default=5, show_default=True, type=click.IntRange(1, 1000), help="Days of each.")
-@click.option("--seed", default=1, show_default=True, type=click.IntRange(0), help="Of the first day.")
+@click.option(
+    "--runs", default=5, show_default=True, type=click.IntRange(1, 1000), help="Number of days per scenario."
+)
+@click.option("--seed", default=1, show_default=True, type=click.IntRange(0), help="Seed of the first day.")
 @click.option("--policy", default="present", show_default=True, help="A policy's name, as for compare.")
-@click.option("--jobs", type=click.IntRange(1, 256), help="Processes; as many as there are cores.")
-@click.option("--json", "as_json", is_flag=True, help="One JSON object, for programs.")
+@click.option("--jobs", type=click.IntRange(1, 256), help="Number of processes; by default, one per core.")
+@click.option("--json", "as_json", is_flag=True, help="Print one JSON object.")
 def audit(
     scenarios: tuple[str, ...], runs: int, seed: int, policy: str, jobs: int | None, as_json: bool
 ) -> None:
-    """Play SCENARIOS under a referee: is each rule kept, and how near a bound does it come?
+    """Simulate SCENARIOS and check whether each rule is kept, and by which margin.
 
-    Exits with 1 where a rule is broken, with the days that broke it; each can be played again by its seed.
+    Exits with 1 if a rule is broken, after printing the days that broke it; a day's seed repeats it.
     """
     from stepflow.fleet.audit import MAX_DAYS_SHOWN, Day, check
     from stepflow.fleet.audit import audit as play
@@ -161,16 +169,20 @@
 @fleet.command()
 @click.argument("scenario", type=click.Path())
 @click.option(
-    "--runs", default=3, show_default=True, type=click.IntRange(1, 100), help="On sockets, one a seed."
+    "--runs",
+    default=3,
+    show_default=True,
+    type=click.IntRange(1, 100),
+    help="Number of runs on sockets, each with its own seed.",
 )
 @click.option("--predict", "models", default=24, show_default=True, type=click.IntRange(3, 1000))
 @click.option("--level", default=0.95, show_default=True, type=click.FloatRange(0.5, 0.999))
 @click.option("--seed", default=1, show_default=True, type=click.IntRange(0))
-@click.option("--json", "as_json", is_flag=True, help="One JSON object a run, for programs.")
+@click.option("--json", "as_json", is_flag=True, help="Print one JSON object per run.")
 def replay(scenario: str, runs: int, models: int, level: float, seed: int, as_json: bool) -> None:
-    """Predict SCENARIO's service, then play it with real nodes and stand-ins on loopback.
+    """Predict SCENARIO's service, then run it with real nodes and stand-ins on loopback.
 
-    Needs a checkout: the stand-ins are no part of an installed stepflow. A run takes the scenario's own time.
+    Needs a checkout, since stepflow installs no stand-ins. A run takes as long as the scenario.
     """
     from stepflow.fleet.replay import LATE, Prediction, check
     from stepflow.fleet.scenario import load
@@ -178,7 +190,7 @@
     try:
         from standins.live import play
     except ModuleNotFoundError:
-        raise click.ClickException("no stand-ins here: run it from a checkout's root") from None
+        raise click.ClickException("stand-ins not found; run this command from a checkout's root") from None
 
     def on_run(run: Check) -> None:
         if as_json:
@@ -188,11 +200,11 @@
 
     found = check(load(scenario), play, range(seed, seed + runs), Prediction(models, level=level), on_run)
     if not as_json:
-        click.echo(f"{sum(run.within for run in found)} of {len(found)} within their bars")
+        click.echo(f"{sum(run.within for run in found)} of {len(found)} within their intervals")
 
 
 def _read_scenario(path: str) -> str:
-    """The text of a scenario's file; InputError names what is wrong with it."""
+    """Return the text of a scenario's file; raises InputError if it is invalid."""
     from stepflow.fleet.scenario import load
 
     load(path)
@@ -200,8 +212,8 @@
 
 
 def _print_findings(findings: Sequence[Finding], days: int, kept: bool, max_days: int) -> None:
-    """Print how near each rule has come to its bound, and up to `max_days` days that broke one."""
-    rows: list[Row] = [("rule", "may be", "was", "margin", "least on", "")]
+    """Print each rule's smallest margin to its bound, and up to `max_days` days that broke each rule."""
+    rows: list[Row] = [("rule", "bound", "worst", "margin", "worst day", "")]
     for finding in findings:
         bound, worst = f"{finding.bound:.3g}", f"{finding.worst:.3g}"
         day = f"{Path(finding.file).name} seed {finding.seed}" if finding.worst else "-"
--- a/stepflow/cli/output.py
+++ b/stepflow/cli/output.py
@@ -1,7 +1,7 @@
-"""What the commands print and write in the same way: tables, JSON, new files.
+"""Output shared by the commands: tables, JSON and new files.
 
-Responsible for the form of output, none of its content. Owns nothing. Errors: InputError for a file that
-can't be written.
+Defines the form of the output, not its content. Owns no state. Errors: InputError for a file that can't be
+written.
 """
 
 from __future__ import annotations
@@ -17,19 +17,19 @@
 
 
 def print_table(rows: Sequence[Row]) -> None:
-    """Print rows of as many cells each, in columns that are flush right."""
+    """Print rows of equal length in right-aligned columns."""
     widths = [max(map(len, column)) for column in zip(*rows, strict=True)]
     for row in rows:
         click.echo("  ".join(cell.rjust(width) for cell, width in zip(row, widths, strict=True)).rstrip())
 
 
 def print_json(value: object) -> None:
-    """Print one JSON object on a line."""
+    """Print a value as one line of JSON."""
     click.echo(msgspec.json.encode(value))
 
 
 def write_new_file(path: str, text: str) -> None:
-    """Write a new file; one that is there is not touched."""
+    """Write a new file; raises InputError if it exists or can't be written."""
     try:
         with open(path, "x") as file:
             file.write(text)
@@ -38,5 +38,5 @@
 
 
 def format_counts(counts: dict[str, int]) -> str:
-    """Counts by name in one line."""
+    """Format counts by name in one line."""
     return ", ".join(f"{name or 'none yet'} {count}" for name, count in sorted(counts.items())) or "none"
--- a/stepflow/daemon/__init__.py
+++ b/stepflow/daemon/__init__.py
@@ -1,4 +1,4 @@
-"""The operator's file: its lines (`lines`), and the validated model of what it may say (`model`)."""
+"""The operator's file: its syntax (`lines`) and its validated model (`model`)."""
 
 from stepflow.daemon.lines import Directive, FileError, parse
 from stepflow.daemon.model import Log, OperatorFile, Record, read, read_text
--- a/stepflow/daemon/lines.py
+++ b/stepflow/daemon/lines.py
@@ -1,4 +1,4 @@
-"""The lines of the operator's file: directives with values, in blocks at most one deep.
+"""Parses the syntax of the operator's file: directives with values, in blocks that can't be nested.
 
     # a comment, up to the line's end
     log {
@@ -7,8 +7,8 @@
     }
     record "/var/lib/step flow"       # a value with a space
 
-A word is written alone or in double quotes; `{` ends a line that opens a block, and `}` is a line of its own.
-What directives there are is not known here (`stepflow.daemon.model`).
+A word may be put in double quotes. `{` is the last word of a line that opens a block, and `}` is a line of
+its own. The known directives are defined in `stepflow.daemon.model`.
 """
 
 from __future__ import annotations
@@ -18,18 +18,18 @@
 
 from stepflow.errors import InputError
 
-MOST_BYTES = 1 << 20  # of a file
+MOST_BYTES = 1 << 20  # per file
 
 
 class FileError(InputError):
-    """What is wrong with a file, in one line that names the file, the line (0: none) and the directive."""
+    """A file is invalid; the message is one line with the file, the line (0: none) and the directive."""
 
     def __init__(self, file: str, line: int, message: str) -> None:
         super().__init__(f"{file}:{line}: {message}" if line else f"{file}: {message}")
 
 
 class Directive(NamedTuple):
-    """One directive: its values, and the directives in its block if it has one."""
+    """A directive with its values, and the directives of its block if it has one."""
 
     name: str
     values: tuple[str, ...]
@@ -38,7 +38,7 @@
 
 
 def parse(text: str, file: str) -> tuple[Directive, ...]:
-    """The directives of a file, in order; a FileError names the first line that can't be read."""
+    """Return the directives of a file, in order; FileError names the first invalid line."""
     parser = _Parser(file)
     for line, raw in enumerate(text.splitlines(), 1):
         if words := parser.split_words(raw, line):
@@ -56,7 +56,7 @@
         self._block_directives: list[Directive] = []  # of the open block
 
     def split_words(self, raw: str, line: int) -> list[str]:
-        """The words of a line, without quotes and comment."""
+        """Split a line into words, without quotes and comment."""
         lexer = shlex.shlex(raw, posix=True)
         lexer.whitespace_split, lexer.quotes, lexer.escape = True, '"', ""
         try:
@@ -65,7 +65,7 @@
             raise FileError(self._file, line, "a quote that is never closed") from None
 
     def add(self, words: list[str], line: int) -> None:
-        """Take in the words of a line, at least one."""
+        """Add the words of a line; there is at least one."""
         name, *values = words
         if name == "}":
             self._close_block(values, line)
@@ -80,7 +80,7 @@
             siblings.append(Directive(name, tuple(values), line))
 
     def finish(self) -> tuple[Directive, ...]:
-        """All directives, after the last line."""
+        """Return all directives; call it after the last line."""
         if self._open_block is not None:
             message = f"{self._open_block.name}: its block is never closed"
             raise FileError(self._file, self._open_block.line, message)
--- a/stepflow/daemon/model.py
+++ b/stepflow/daemon/model.py
@@ -1,7 +1,7 @@
-"""What the operator's file may say, as a validated model.
+"""The validated model of the operator's file.
 
-msgspec holds the values to the model's types and bounds. Its errors name the path of a value, such as
-`record.segment`; here they are given the file and the line as well.
+msgspec checks the values against the model's types and bounds. Its errors name the path of a value, such as
+`record.segment`; this module adds the file and the line.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 _NUMBER = re.compile(r"[0-9]{1,12}")
 _SIZE = re.compile(r"([0-9]{1,12})([KMG]?)")
 _BYTES_OF_UNIT = {"": 1, "K": 1 << 10, "M": 1 << 20, "G": 1 << 30}
-# In msgspec's messages: the path at their end, and the name of a key that the model lacks.
+# Parts of msgspec's messages: the path at the end, and the name of an unknown key.
 _PATH_IN_MESSAGE = re.compile(r" - at `\$\.?([^`]*)`$")
 _UNKNOWN_FIELD = re.compile(r"unknown field `([^`]*)`")
 
@@ -27,16 +27,16 @@
 
 
 class Log(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """The log's form, and the lowest level in it."""
+    """The form of the log, and the lowest level that is logged."""
 
     form: Literal["text", "json"] = "text"
     level: Literal["debug", "info", "warning", "error"] = "info"
 
 
 class Record(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """The traffic recorder: the folder of its journals, and the key by which affinity groups are hashed.
+    """The traffic recorder: the folder of its journals, and the key for hashing affinity groups.
 
-    `segment` is the size of a file in bytes, `segments` the number of files that are kept.
+    `segment` is the size of a journal file in bytes, `segments` the number of files that are kept.
     """
 
     folder: Annotated[str, msgspec.Meta(min_length=1)]
@@ -46,14 +46,14 @@
 
 
 class OperatorFile(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """The complete file; a part that it doesn't name is off, or as by default."""
+    """The complete file. Without `record`, nothing is recorded; other missing values have their defaults."""
 
     log: Log = Log()
     record: Record | None = None
 
 
 def read(path: str) -> OperatorFile:
-    """Read the file; a FileError names what is wrong with it."""
+    """Read and validate a file; raises FileError if it can't be read or is invalid."""
     try:
         with open(path, "rb") as file:
             data = file.read(MOST_BYTES + 1)
@@ -68,7 +68,7 @@
 
 
 def read_text(text: str, file: str) -> OperatorFile:
-    """The model of a file's text; a FileError names what is wrong with it."""
+    """Return the model of a file's text; raises FileError if the text is invalid."""
     directives = parse(text, file)
     tree: dict[str, Any] = {}
     directive_at: dict[str, Directive] = {}  # by path
@@ -84,13 +84,13 @@
         return msgspec.convert(tree, OperatorFile)
     except msgspec.ValidationError as error:
         first_line = directives[0].line if directives else 1
-        raise _with_line(error, directive_at, first_line, file) from None
+        raise _add_line(error, directive_at, first_line, file) from None
 
 
 def _block_values(
     directives: Iterable[Directive], path: str, file: str, directive_at: dict[str, Directive]
 ) -> dict[str, Any]:
-    """The values of a block by name; each directive is noted in `directive_at`."""
+    """Return the values of a block by name; adds each directive to `directive_at`."""
     values: dict[str, Any] = {}
     for directive in directives:
         key = f"{path}.{directive.name}"
@@ -100,12 +100,12 @@
             message = f"{key}: takes one value, not {len(directive.values)}"
             raise FileError(file, directive.line, message)
         directive_at[key] = directive
-        values[directive.name] = _value(directive, key, file)
+        values[directive.name] = _convert_value(directive, key, file)
     return values
 
 
-def _value(directive: Directive, key: str, file: str) -> str | int:
-    """The one value of a directive, as a number where the model has one."""
+def _convert_value(directive: Directive, key: str, file: str) -> str | int:
+    """Return the single value of a directive, as a number where the model has a number."""
     text = directive.values[0]
     if directive.name in SIZE_DIRECTIVES:
         if found := _SIZE.fullmatch(text):
@@ -118,14 +118,14 @@
     return text
 
 
-def _with_line(
+def _add_line(
     error: msgspec.ValidationError, directive_at: dict[str, Directive], first_line: int, file: str
 ) -> FileError:
-    """An error of msgspec with its line; for a block that is at fault as a whole, that of its name."""
+    """Convert an error of msgspec to a FileError with its line; an error of a block has its first line."""
     text = str(error)
     found = _PATH_IN_MESSAGE.search(text)
     path, message = (found[1], text[: found.start()]) if found else ("", text)
-    if unknown := _UNKNOWN_FIELD.search(message):  # the path is that of the block here
+    if unknown := _UNKNOWN_FIELD.search(message):  # here the path is that of the block
         path, message = f"{path}.{unknown[1]}".lstrip("."), "no such directive"
     line = directive_at[path].line if path in directive_at else first_line
     return FileError(file, line, f"{path}: {message}" if path else message)
--- a/stepflow/errors.py
+++ b/stepflow/errors.py
@@ -1,8 +1,8 @@
-"""Errors of what operators give the program, and reading files that can't be read for a moment.
+"""Errors in the operators' input, and retries of file reads that fail with a transient error.
 
-`InputError` is the base of such errors in all packages: its text is one line that names the file, and the
-process ends with exit code 2. One that may pass (a machine short of descriptors, a network file system that
-is away) is marked `is_transient`, so that a starting process reads again for a while.
+`InputError` is the base class of such errors in all packages: its message is one line that names the file,
+and the process exits with code 2. An error that may pass (a shortage of descriptors, an unavailable network
+file system) is marked `is_transient`, so that a starting process retries the read for a limited time.
 """
 
 from __future__ import annotations
@@ -16,28 +16,28 @@
 T = TypeVar("T")
 
 READ_RETRY_DELAY_S = 0.05
-READ_RETRY_LIMIT_S = 10.0  # of the 30 s within which a process has to be ready
+READ_RETRY_LIMIT_S = 10.0  # a process has to be ready within 30 s
 
 
 class InputError(Exception):
-    """A file or a value that can't be used."""
+    """A file or a value is unusable."""
 
-    is_transient = False  # the file could not be read just now, and may be readable a moment later
+    is_transient = False  # the file could not be read, but may be readable a moment later
 
 
 def mark_read_error(error: InputError, cause: OSError) -> InputError:
-    """Return the error of a file that could not be read, marked by whether its cause may pass."""
+    """Set `is_transient` of the error of an unreadable file by its cause, and return the error."""
     error.is_transient = cause.errno in TRANSIENT_FILE_ERRORS
     return error
 
 
 def read_with_retries(read: Callable[[], T]) -> T:
-    """Return what `read` returns; while it fails with a transient error, call it again for a while.
+    """Return the result of `read`; repeat it while it fails with a transient error, for a limited time.
 
-    It blocks between two calls, so it is for the start only, before the reactor runs.
+    Blocks between two calls, so it may only be used at the start, before the reactor runs.
 
     Raises:
-        InputError: The error is not transient, or did not pass in time.
+        InputError: The error is not transient, or lasted longer than `READ_RETRY_LIMIT_S`.
     """
     give_up_at = time.monotonic() + READ_RETRY_LIMIT_S
     while True:
--- a/stepflow/lazy_imports.py
+++ b/stepflow/lazy_imports.py
@@ -1,11 +1,11 @@
-"""Lazy imports: puts off modules that libraries import in passing and a node never calls, to save memory.
+"""Lazy imports: defers modules that libraries import but a node never uses, to save memory.
 
-structlog imports asyncio, pickle and helpers for its own tests; Twisted imports a cookie jar, and with it a
-mail parser, for one name that it exports. Two hundred nodes on one machine pay for each module 200 times.
-`install` puts such modules off until something asks for one of their names; then they load in full. No
-library is changed, and programs that don't call `install` are not affected.
+structlog imports asyncio, pickle and its test helpers; Twisted imports a cookie jar, and with it a mail
+parser, for one name that it exports. With two hundred nodes on one machine, each module is in memory 200
+times. `install` defers such modules until one of their names is accessed; then they load in full. No library
+is changed, and programs that don't call `install` are not affected.
 
-`python -m benchmarks.footprint` measures what is saved; a test limits the count of modules that `run` loads.
+`python -m benchmarks.footprint` measures the saving; a test limits the number of modules that `run` loads.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 from importlib.util import LazyLoader, module_from_spec
 from types import ModuleType
 
-# No importer reads a name of these while it is imported itself, so that an empty module will do until later.
+# No importer reads a name of these modules during its own import, so an empty module is enough at first.
 LAZY_MODULES = frozenset(
     {
         "hashlib",
@@ -32,7 +32,7 @@
         "structlog.twisted",
     }
 )
-# The names that Twisted takes from asyncio while it is imported, and the submodules that define them.
+# The names of asyncio that Twisted reads during its import, and the submodules that define them.
 ASYNCIO_SUBMODULES = {
     "AbstractEventLoop": "asyncio.events",
     "Future": "_asyncio",
@@ -41,13 +41,13 @@
 
 
 class LazyFinder:
-    """A finder of `sys.meta_path` that gives the lazy modules a loader that waits for the first name."""
+    """A finder for `sys.meta_path` whose loader loads a lazy module at the first access to a name."""
 
     @classmethod
     def find_spec(
         cls, name: str, path: Sequence[str] | None = None, target: ModuleType | None = None
     ) -> ModuleSpec | None:
-        """Return a lazy module's spec; None for other modules, which the next finder then looks for."""
+        """Return the spec of a lazy module; None for other modules, which leaves them to the next finder."""
         if name not in LAZY_MODULES:
             return None
         spec = PathFinder.find_spec(name, path, target)
@@ -57,7 +57,7 @@
 
 
 class LazyAsyncio(ModuleType):
-    """asyncio, whose known names and submodules are imported one by one; any other name loads it in full."""
+    """asyncio, loaded lazily: known names and submodules one by one, any other name loads it in full."""
 
     def __getattr__(self, name: str) -> object:
         spec = self.__spec__
@@ -67,7 +67,7 @@
             return getattr(import_module(submodule), name)
         if PathFinder.find_spec(f"{spec.name}.{name}", self.__path__) is not None:
             return import_module(f"{spec.name}.{name}")
-        # An unforeseen name: from here on this is the package itself.
+        # For any other name, this object becomes the full package.
         self.__class__ = ModuleType  # type: ignore[assignment]
         assert spec.loader is not None
         spec.loader.exec_module(self)
@@ -75,7 +75,7 @@
 
 
 def install() -> None:
-    """Put the lazy modules off; those that are loaded already stay. Call it before they are imported."""
+    """Defer the lazy modules; call it before they are imported, since loaded modules are not affected."""
     if "asyncio" not in sys.modules and (spec := PathFinder.find_spec("asyncio")) is not None:
         package = module_from_spec(spec)
         package.__class__ = LazyAsyncio
--- a/stepflow/logs.py
+++ b/stepflow/logs.py
@@ -1,11 +1,11 @@
-"""Sets up the logs: structured events on standard error, as key=value lines or as JSON.
+"""Sets up logging: structured events on standard error, as key=value lines or as JSON.
 
-Elsewhere a module has `log = get_logger()` and calls `log.info("what happened", key=value)`: the event is a
-fixed text, and what varies stands in keys. Single requests are logged at level debug only, single lines of a
-connection not at all.
+Other modules define `log = get_logger()` and call `log.info("what happened", key=value)`: the event is a
+fixed text, and variable data is in the keys. Single requests are logged at level debug only, single lines of
+a connection never.
 
-Logging neither fails nor waits: what standard error doesn't take, because of a full disk, or a pipe that is
-closed or that nobody reads, is lost.
+Logging neither raises errors nor blocks. Output that standard error can't accept is lost: on a full disk, or
+a pipe that is closed or not read.
 """
 
 from __future__ import annotations
@@ -21,20 +21,25 @@
 import structlog
 from twisted.logger import ILogObserver, LogLevel, formatEvent, globalLogBeginner
 
-LEVELS = {"debug": 10, "info": 20, "warning": 30, "error": 40}  # by name, as Python's `logging` counts them
+LEVELS = {
+    "debug": 10,
+    "info": 20,
+    "warning": 30,
+    "error": 40,
+}  # by name, with the numbers of Python's `logging`
 FORMS = ("text", "json")
-# Letters in one write. A pipe counts as writable while it has room for a page, and a letter may have 4 bytes.
+# Characters per write, of up to 4 bytes each. A pipe polls as writable while it has room for a page.
 WRITE_LENGTH = 1024
-# Not 0: a poll that a signal interrupts would tell that the stream takes nothing.
+# Not 0: a poll interrupted by a signal would report the stream as not writable.
 WRITABLE_TIMEOUT_MS = 1
 
-# Parts of Twisted whose events are of no use to operators: mostly each factory's start and end.
+# Parts of Twisted whose events don't help operators: mostly the start and stop of each factory.
 _IGNORED_TWISTED_SOURCES = ("twisted.web.client", "twisted.internet.protocol")
-_LEVEL_OF_TWISTED = {LogLevel.warn: "warning", LogLevel.error: "error", LogLevel.critical: "error"}
+_LEVEL_BY_TWISTED_LEVEL = {LogLevel.warn: "warning", LogLevel.error: "error", LogLevel.critical: "error"}
 
 
 class _Threshold:
-    """The lowest level that is logged, as a number of `LEVELS`."""
+    """Holds the lowest level that is logged, a number from `LEVELS`."""
 
     level = LEVELS["info"]
 
@@ -43,17 +48,17 @@
 
 
 def get_logger() -> Any:
-    """A logger; it may be made before `set_up`, since it takes its configuration at each event."""
+    """Return a logger; it may be created before `set_up`, since it reads its configuration at each event."""
     return structlog.get_logger()
 
 
 def debugging() -> bool:
-    """Whether events of level debug are logged: to be asked where it costs something to make one."""
+    """Return whether level debug is logged; check it before building an expensive event."""
     return _threshold.level <= LEVELS["debug"]
 
 
 def set_up(form: str = "text", level: str = "info") -> None:
-    """Log to standard error in a form of `FORMS`, from a level of `LEVELS` on; may be called again."""
+    """Log to standard error in a form of `FORMS`, from a level of `LEVELS` up; may be called repeatedly."""
     _threshold.level = LEVELS[level]
     renderer: Any = (
         structlog.processors.LogfmtRenderer(bool_as_flag=False)
@@ -75,26 +80,26 @@
 
 
 def print_plainly(text: str) -> None:
-    """Print a line on standard error that is no event of the log."""
+    """Print a line on standard error that is not a log event."""
     stream = _LossyStream(sys.stderr)
     stream.write(text + "\n")
     stream.flush()
 
 
 def close() -> None:
-    """Drop what standard error did not take: the interpreter would exit with an error for it."""
+    """Discard unwritten output of standard error, which would make the interpreter exit with an error."""
     try:
         sys.stderr.flush()
     except (OSError, ValueError):
-        sys.stderr = open(os.devnull, "w")  # noqa: SIM115 (it lasts until the exit)
+        sys.stderr = open(os.devnull, "w")  # noqa: SIM115 (it stays open until the exit)
 
 
 def take_twisted() -> None:
-    """Log Twisted's own warnings and errors; else an error in a Deferred would be lost."""
+    """Log Twisted's warnings and errors; otherwise an error in a Deferred would be lost."""
     log = get_logger()
 
     def observe(event: dict[str, Any]) -> None:
-        level = _LEVEL_OF_TWISTED.get(cast(Any, event.get("log_level")))
+        level = _LEVEL_BY_TWISTED_LEVEL.get(cast(Any, event.get("log_level")))
         source = str(event.get("log_namespace"))
         if level is None or source in _IGNORED_TWISTED_SOURCES:
             return
@@ -106,7 +111,7 @@
 
 
 class _LossyStream:
-    """A stream that loses what can't be written now, in place of an error or a wait."""
+    """A stream that discards what can't be written at once, instead of raising an error or blocking."""
 
     def __init__(self, stream: TextIO) -> None:
         self._stream = stream
@@ -125,7 +130,7 @@
 
 
 def _is_writable(stream: TextIO) -> bool:
-    """Whether a write would not wait; true of what is no file, as in a test."""
+    """Return whether a write would not block; true for a stream without a descriptor, as in a test."""
     try:
         descriptor = stream.fileno()
     except (OSError, ValueError):
@@ -136,7 +141,7 @@
 
 
 def _order_and_simplify(logger: object, method: str, event: MutableMapping[str, Any]) -> Mapping[str, Any]:
-    """Put time, level and event first, and show values that are neither text nor numbers as text."""
+    """Put time, level and event first, and convert values other than text, numbers and None to text."""
     ordered = {key: event.pop(key) for key in ("timestamp", "level", "event")}
     for key, value in event.items():
         ordered[key] = value if isinstance(value, str | int | float | bool | None) else str(value)
@@ -144,5 +149,5 @@
 
 
 def _encode_json(event: object, **options: object) -> str:
-    """JSONRenderer's serializer; its options are those of `json.dumps`, which msgspec has no use for."""
+    """Serialize for JSONRenderer; ignores its options, which are those of `json.dumps`."""
     return msgspec.json.encode(event).decode()
