--- a/stepflow/__init__.py
+++ b/stepflow/__init__.py
@@ -1,4 +1,4 @@
-"""stepflow: the decisions of a balancer for long-lived connections."""
+"""stepflow: a balancer for long-lived connections; exports `Policy`, which makes its decisions."""
 
 from stepflow.policy import Policy
 
--- a/stepflow/daemon/model.py
+++ b/stepflow/daemon/model.py
@@ -17,7 +17,7 @@
 
 _NUMBER = re.compile(r"[0-9]{1,12}")
 _SIZE = re.compile(r"([0-9]{1,12})([KMG]?)")
-_BYTES_OF_UNIT = {"": 1, "K": 1 << 10, "M": 1 << 20, "G": 1 << 30}
+_BYTES_PER_UNIT = {"": 1, "K": 1 << 10, "M": 1 << 20, "G": 1 << 30}
 # Parts of msgspec's messages: the path at the end, and the name of an unknown key.
 _PATH_IN_MESSAGE = re.compile(r" - at `\$\.?([^`]*)`$")
 _UNKNOWN_FIELD = re.compile(r"unknown field `([^`]*)`")
@@ -109,7 +109,7 @@
     text = directive.values[0]
     if directive.name in SIZE_DIRECTIVES:
         if found := _SIZE.fullmatch(text):
-            return int(found[1]) * _BYTES_OF_UNIT[found[2]]
+            return int(found[1]) * _BYTES_PER_UNIT[found[2]]
         raise FileError(file, directive.line, f"{key}: {text!r} is not a size, such as 64M")
     if directive.name in NUMBER_DIRECTIVES:
         if _NUMBER.fullmatch(text):
--- a/stepflow/node/clients/connection.py
+++ b/stepflow/node/clients/connection.py
@@ -83,7 +83,7 @@
         self._timer: Timer | None = None  # first for the first line, later for the close
         self._answered = False
         self._pings = self._discarded_bytes = 0
-        self._id: int | None = None  # the id that this connection has added to `request_ids`
+        self._registered_id: int | None = None  # the id that this connection has added to `request_ids`
 
     @property
     def request_id(self) -> str:
@@ -120,22 +120,22 @@
             self._ping_received()
             return
         try:
-            opening = self._parse(bytes(line))  # a copy, since it is kept for all attempts
+            open_request = self._parse(bytes(line))  # a copy, since it is kept for all attempts
         except MalformedRequestError:
-            self._malformed()
+            self._answer_malformed()
             return
         # A client must not send data before its answer: bytes after the OPEN line would have to be forwarded
         # to the endpoint as if they belonged to the session.
-        if not self.at_end or opening.numeric_id in self._request_ids:
-            self._malformed()
+        if not self.at_end or open_request.numeric_id in self._request_ids:
+            self._answer_malformed()
             return
         self.setRawMode()
         self._end_unopened_stage()
-        self._open(opening)
+        self._open(open_request)
 
     def lineLengthExceeded(self) -> None:
         """Answer `ERR malformed` to an overlong first line."""
-        self._malformed()
+        self._answer_malformed()
 
     def rawDataReceived(self, data: bytes) -> None:
         """Process data after the OPEN line."""
@@ -143,7 +143,7 @@
             self._relay.data_from_client(data)
         elif not self._answered:  # a client must not send data before its answer
             self._release_request()
-            self._malformed()
+            self._answer_malformed()
         else:
             self._discarded_bytes += len(data)
             if self._discarded_bytes > MAX_DISCARDED_BYTES:  # an answered client may send without end
@@ -161,11 +161,11 @@
         self._admission.connection_lost(self)
         self._cancel_timer()
         self._log_closed(reason)
-        if self._id is not None:
-            self._request_ids.discard(self._id)
+        if self._registered_id is not None:
+            self._request_ids.discard(self._registered_id)
         if self._relay is not None:
             self._relay.client_lost(reset=was_reset(reason))
-            # Both refer to this connection: reference counting could not free these three objects.
+            # Both refer to this connection; reference counting could free none of the three objects.
             self._relay = self._context = None
         else:
             self._release_request()
@@ -201,7 +201,7 @@
             from_client=transfer.from_client.decode(BYTES_ENCODING),
             from_endpoint=transfer.from_endpoint.decode(BYTES_ENCODING),
             echoes_owed=transfer.echoes_owed,
-            request_id=cast(int, self._id),
+            request_id=cast(int, self._registered_id),
             class_name=self._services.core.class_name(request.class_index),
             tenant=self._services.core.tenant_name(request.tenant),
             load=self._services.core.session_load(self._context),
@@ -220,13 +220,15 @@
         self._end_unopened_stage()
         self.setRawMode()
         self._request_ids.add(id)
-        self._id, self._context = id, context
+        self._registered_id, self._context = id, context
 
     def resume_transferred(self, session: SessionTransfer) -> None:
         """Pass the half lines and the number of owed echoes from the predecessor to the relay."""
         if self._relay is not None:
             self._relay.resume_transferred(*session.half_lines(), session.echoes_owed)
 
+    # `Downstream`, called by the core and its attempts.
+
     def check_disconnected(self) -> None:
         """Tell the core if the client has disconnected, even if Twisted has not read its FIN yet."""
         if not self._answered and self._relay is None and has_ended(self.wire):
@@ -267,21 +269,21 @@
     def _ping_received(self) -> None:
         self._pings += 1
         if self._pings > MAX_PINGS or not self.at_end:  # a client must wait for each PONG
-            self._malformed()
+            self._answer_malformed()
         else:
             self.wire.write(b"PONG\r\n")
 
-    def _open(self, opening: OpenRequest) -> None:
+    def _open(self, open_request: OpenRequest) -> None:
         """Pass a request to the core, if a descriptor is free for the socket to its endpoint."""
-        core, name = self._services.core, opening.client_request_id
+        core, name = self._services.core, open_request.client_request_id
         if not self._admission.ensure_descriptor():
             self._services.counters.table_full += 1
-            core.reject_unaccepted(opening.request, name, "no descriptor")
+            core.reject_unaccepted(open_request.request, name, "no descriptor")
             self.reject(timedelta(0))
             return
-        self._request_ids.add(opening.numeric_id)
-        self._id, self._open_request = opening.numeric_id, opening
-        self._context = core.accept(opening.request, self, opening.previous_endpoint, name)
+        self._request_ids.add(open_request.numeric_id)
+        self._registered_id, self._open_request = open_request.numeric_id, open_request
+        self._context = core.accept(open_request.request, self, open_request.previous_endpoint, name)
         if self._context is None:
             self.reject(timedelta(0))
 
@@ -289,7 +291,7 @@
         self._services.counters.malformed += 1
         self._answer(b"ERR too slow\r\n")
 
-    def _malformed(self) -> None:
+    def _answer_malformed(self) -> None:
         if not self._answered:
             self._services.counters.malformed += 1
             self._answer(b"ERR malformed\r\n")
--- a/stepflow/node/clients/factory.py
+++ b/stepflow/node/clients/factory.py
@@ -82,7 +82,7 @@
             0, class_index, 0, session.load, tenant, session.idempotency_key, session.affinity_group
         )
         connection = self._new_connection()
-        # Before the core adopts the session: if no descriptor is left, the core would keep a dead session.
+        # Duplicated first: if no descriptor is left, the core must not keep a session that can't continue.
         client_socket, endpoint_socket = duplicate_sockets(client, peer)
         context = self._services.core.adopt_session(request, connection, session.endpoint)
         if context is None:
--- a/stepflow/node/clients/listener.py
+++ b/stepflow/node/clients/listener.py
@@ -64,7 +64,7 @@
     """
 
     counters: Counters  # set by `listen`, since Twisted creates the port
-    is_accepting = True  # False after `stop_accepting`; another process may still accept
+    is_accepting = True  # False once stopped or closed; another process may still accept
     _is_paused = False
 
     def doRead(self) -> None:
