--- a/stepflow/fleet/attempts.py
+++ b/stepflow/fleet/attempts.py
@@ -1,7 +1,7 @@
-"""Attempts and health checks: from a node's action to what its server answers.
+"""Attempts and health checks: from a node's action to the server's answer.
 
-Owns which attempts are in flight, the beginning and end of sessions, and the session store, which all set-ups
-pass one after the other.
+Owns the attempts in flight, the start and end of sessions, and the session store, which handles all session
+set-ups one at a time.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 
 
 class Attempts:
-    """The attempts in flight, and the sessions that are established."""
+    """The attempts in flight and the established sessions."""
 
     def __init__(self, simulation: SimulationContext) -> None:
         self._simulation, self._day = simulation, simulation.scenario.day
@@ -73,7 +73,7 @@
             measurements.attempts_at_degraded_by_chance += degraded / len(ready)
 
     def _reach_server(self, client: Client, attempt: int, server: Server) -> None:
-        """The request is at the server, which accepts or rejects it."""
+        """Handle an attempt that reached its server, which accepts or rejects the session."""
         if client.attempt_id != attempt:
             return
         simulation, day = self._simulation, self._day
@@ -98,21 +98,21 @@
         if server.is_overloaded_by(simulation.now, client.load, day.fall_times, int(day.fall_s * SECOND)):
             simulation.faults.crash(server)
             return
-        # The session store serves one call after the other.
-        gap = SECOND / (day.store * day.rate)
-        self._store_free_us = max(self._store_free_us + gap, float(simulation.now))
-        store = self._store_free_us - simulation.now + 5000
+        # The session store handles one set-up at a time.
+        interval_us = SECOND / (day.store * day.rate)
+        self._store_free_us = max(self._store_free_us + interval_us, float(simulation.now))
+        store_delay_us = self._store_free_us - simulation.now + 5000
         ready = (
             server.wait_s(simulation.now) * SECOND
             + work / (server.speed * server.speed_share) * SECOND
-            + store
+            + store_delay_us
         )
         simulation.after(ready + day.trip_us, partial(self._establish, client, attempt, server, work))
 
     def _establish(self, client: Client, attempt: int, server: Server, work: float) -> None:
         simulation, node = self._simulation, client.node
-        silent = node is None or simulation.faults.unreachable_since(node, server) is not None
-        if client.attempt_id != attempt or not server.is_running or silent:
+        unreachable = node is None or simulation.faults.unreachable_since(node, server) is not None
+        if client.attempt_id != attempt or not server.is_running or unreachable:
             if simulation.is_counting:
                 simulation.measurements.wasted_work += work
             return
@@ -135,7 +135,7 @@
             self._simulation.sessions_by_class[server][client.class_index] += 1
 
     def remove_session(self, client: Client) -> None:
-        """Count a session at its server no longer."""
+        """Stop counting a session at its server."""
         server = client.server
         if server is not None:
             server.advance(self._simulation.now)
@@ -147,29 +147,36 @@
             self.end(client, result)
 
     def end(self, client: Client, result: AttemptResult, answered: bool = False) -> None:
-        """End an attempt, before its session is established or after: all ends pass here."""
-        node, server, up, request = client.node, client.server, client.established, client.request_id
-        if up:
+        """End an attempt, before or after its session is established; every attempt ends here."""
+        node, server, was_established, request = (
+            client.node,
+            client.server,
+            client.established,
+            client.request_id,
+        )
+        if was_established:
             self.remove_session(client)
         client.attempt_id, client.established = NO_ATTEMPT, False
         if node is None or server is None:
             return
-        if up:
+        if was_established:
             node.clients.pop(request, None)
         wait = self._simulation.now - client.sent_us
-        outcome = AttemptEnded(request, client.attempt_number, server.id, result, up or answered, wait)
-        self._simulation.handle_event(node, outcome)
+        event = AttemptEnded(
+            request, client.attempt_number, server.id, result, was_established or answered, wait
+        )
+        self._simulation.handle_event(node, event)
 
     def break_off(self, client: Client, result: AttemptResult = AttemptResult.RESET) -> None:
-        """End an attempt or a session by a fault; the client of a session comes back."""
-        up = client.established
-        self._simulation.measurements.broken_sessions += self._simulation.is_counting and up
+        """End an attempt or a session because of a fault; the client of a session reconnects."""
+        was_established = client.established
+        self._simulation.measurements.broken_sessions += self._simulation.is_counting and was_established
         self.end(client, result)
-        if up:
+        if was_established:
             self._simulation.clients.reconnect(client)
 
     def migrate(self, node: Node, request: int) -> None:
-        """Migrate a session: end it, and have its client come back."""
+        """Migrate a session: end it, and have its client reconnect."""
         client = node.clients.get(request)
         if client is not None and client.established:
             self._simulation.measurements.migrations += self._simulation.is_counting
@@ -188,41 +195,47 @@
         return rho * noise, server.wait_s(self._simulation.now), min(1.0, rho * noise)
 
     def check_health(self, node: Node, action: StartHealthCheck) -> None:
-        """Ask a server for its load report."""
+        """Check a server's health by fetching its load report."""
         simulation, day = self._simulation, self._day
-        server, life, now = simulation.servers_by_id[str(action.endpoint)], node.incarnation, simulation.now
+        server, incarnation, now = (
+            simulation.servers_by_id[str(action.endpoint)],
+            node.incarnation,
+            simulation.now,
+        )
         simulation.measurements.health_checks += simulation.is_counting
         server.health_checks += 1
-        silent = simulation.faults.unreachable_since(node, server) is not None
-        if not server.is_running or silent:
-            result = AttemptResult.TIMEOUT if silent else AttemptResult.CONNECT_FAILED
-            wait = HEALTH_CHECK_TIMEOUT_US if silent else 2 * day.trip_us
-            simulation.after(wait, partial(self._health_check_ended, node, life, server, result, (), now))
+        unreachable = simulation.faults.unreachable_since(node, server) is not None
+        if not server.is_running or unreachable:
+            result = AttemptResult.TIMEOUT if unreachable else AttemptResult.CONNECT_FAILED
+            wait = HEALTH_CHECK_TIMEOUT_US if unreachable else 2 * day.trip_us
+            simulation.after(
+                wait, partial(self._health_check_ended, node, incarnation, server, result, (), now)
+            )
             return
         server.add_work(now, day.probe_us / SECOND)
         low, high = day.report_s
-        # A report is as old as its last refresh.
-        late = float(self._report_draws.uniform(0, (low + high) / 2)) * SECOND
-        took = 2 * day.trip_us + server.wait_s(now) * SECOND
-        if not server.report or now - server.report_us > late:
+        # The report is as old as its last refresh.
+        max_age_us = float(self._report_draws.uniform(0, (low + high) / 2)) * SECOND
+        duration_us = 2 * day.trip_us + server.wait_s(now) * SECOND
+        if not server.report or now - server.report_us > max_age_us:
             server.report, server.report_us = self._report(server), now
-        result = AttemptResult.OK if took <= HEALTH_CHECK_TIMEOUT_US else AttemptResult.TIMEOUT
+        result = AttemptResult.OK if duration_us <= HEALTH_CHECK_TIMEOUT_US else AttemptResult.TIMEOUT
         answer = server.report if result == AttemptResult.OK else ()
         simulation.after(
-            min(took, HEALTH_CHECK_TIMEOUT_US),
-            partial(self._health_check_ended, node, life, server, result, answer, now),
+            min(duration_us, HEALTH_CHECK_TIMEOUT_US),
+            partial(self._health_check_ended, node, incarnation, server, result, answer, now),
         )
 
     def _health_check_ended(
         self,
         node: Node,
-        life: int,
+        incarnation: int,
         server: Server,
         result: AttemptResult,
         report: tuple[float, ...],
-        asked: int,
+        started_us: int,
     ) -> None:
-        if node.incarnation == life:
+        if node.incarnation == incarnation:
             self._simulation.handle_event(
-                node, HealthCheckEnded(server.id, result, self._simulation.now - asked, report)
+                node, HealthCheckEnded(server.id, result, self._simulation.now - started_us, report)
             )
--- a/stepflow/fleet/clients.py
+++ b/stepflow/fleet/clients.py
@@ -1,7 +1,7 @@
-"""The clients: how they arrive, choose a node, take its answers and come back.
+"""The clients: how they arrive, choose a node, handle its answers and reconnect.
 
-Owns the clients that need a session now, and what each does next. A client's draws come from the traffic, by
-its number, so they are the same whatever the policies decide.
+Owns the clients that need a session now and schedules their next steps. A client's random draws come from
+`Traffic`, by the client's number, so they are the same whatever the policies decide.
 """
 
 from __future__ import annotations
@@ -24,25 +24,25 @@
     SessionReportKind,
 )
 
-MAX_RETRIES = 12  # beside those of the scenario, before a client gives up
-LOAD_UNIT = 1000.0  # of a mean session's load as servers report it
-HUNG_SHARE = 0.1  # of its sessions' loads that a hung server reports
-BACKOFF_US = 60_000  # a client's first wait after a rejection or failure; doubled each time
+MAX_RETRIES = 12  # added to the scenario's `retries`; a client gives up after the sum
+LOAD_UNIT = 1000.0  # load that servers report for a mean session
+HUNG_SHARE = 0.1  # share of its sessions' loads that a hung server reports
+BACKOFF_US = 60_000  # a client's first backoff after a rejection or failure; doubled each time
 MAX_DOUBLINGS = 5
-# What a client's draws are used for, by their index; those from RETRY_DRAWS on serve its waits in turn.
+# Use of a client's random draws, by index. Those from RETRY_DRAWS on are used in turn for its waits.
 LEAVE_DRAW, LEAVE_TIME_DRAW, NOTICE_DRAW, RETRY_DRAWS = 0, 1, 2, 3
 
 
 class Clients:
-    """All clients that need a session now."""
+    """The clients that need a session now."""
 
     def __init__(self, simulation: SimulationContext) -> None:
         self._simulation, self._day, self._traffic = simulation, simulation.scenario.day, simulation.traffic
         self.active: dict[Client, None] = {}
         self._requests = 0
         self._node_draws = stream(simulation.seed, "front")
-        spread = stream(simulation.seed, "shares").lognormal(0.0, self._day.skew, self._day.nodes)
-        self._shares = [float(share) for share in spread]
+        shares = stream(simulation.seed, "shares").lognormal(0.0, self._day.skew, self._day.nodes)
+        self._shares = [float(share) for share in shares]
 
     def _create(self, number: int) -> Client:
         traffic, now = self._traffic, self._simulation.now
@@ -58,12 +58,12 @@
         return client
 
     def add_established(self, number: int, server: Server) -> None:
-        """Add a client whose session is established when the run begins."""
+        """Add a client whose session is already established when the run begins."""
         client = self._create(number)
         node = self._choose_by_share(self._in_zone(client, self._simulation.nodes))
         client.server, client.node, client.requests_sent = server, node, 1
         self._requests += 1
-        self._simulation.measurements.requests += 1  # it counts as a first request too
+        self._simulation.measurements.requests += 1  # an established client counts as one first request
         client.request_id, client.attempt_number, client.established = self._requests, 0, True
         client.attempt_id = ESTABLISHED_ATTEMPT
         node.clients[client.request_id] = client
@@ -77,30 +77,34 @@
         self._send_request(self._create(number))
 
     def _in_zone(self, client: Client, nodes: list[Node]) -> list[Node]:
-        """The nodes of the client's zone."""
+        """Return the nodes that are in the client's zone."""
         if self._day.zones <= 1:
             return nodes
         zone = int(self._traffic.zone[client.number])
         return [node for node in nodes if node.zone == zone]
 
     def _choose_by_share(self, nodes: list[Node]) -> Node:
-        """One of some nodes, by their shares."""
+        """Choose one of the nodes at random, weighted by their shares of the clients."""
         if not self._day.skew:
             return nodes[int(self._node_draws.integers(len(nodes)))]
         sums = list(accumulate(self._shares[node.number] for node in nodes))
         return nodes[min(bisect(sums, float(self._node_draws.random()) * sums[-1]), len(nodes) - 1)]
 
     def _choose_node(self, client: Client) -> Node | None:
-        """Choose a node for a client; a node that is down is chosen until that is noticed."""
+        """Choose a node for a client; a node that is down is still chosen until clients notice it."""
         low, high = self._day.front_s
-        notice = int((low + (high - low) * self._traffic.draws[client.number, NOTICE_DRAW]) * SECOND)
-        since = self._simulation.now - notice
-        known = [n for n in self._simulation.nodes if n.down_since_us == RUNNING or n.down_since_us > since]
-        known = self._in_zone(client, known)
-        return self._choose_by_share(known) if known else None
+        notice_delay_us = int((low + (high - low) * self._traffic.draws[client.number, NOTICE_DRAW]) * SECOND)
+        unnoticed_from_us = self._simulation.now - notice_delay_us
+        candidates = [
+            n
+            for n in self._simulation.nodes
+            if n.down_since_us == RUNNING or n.down_since_us > unnoticed_from_us
+        ]
+        candidates = self._in_zone(client, candidates)
+        return self._choose_by_share(candidates) if candidates else None
 
     def _send_request(self, client: Client) -> None:
-        """Send a new request to some node."""
+        """Choose a node and send it a new request."""
         if client.finished:
             return
         simulation, cls = self._simulation, self._simulation.classes[client.class_index]
@@ -135,8 +139,8 @@
         )
         self._simulation.handle_event(node, event)
 
-    def request_answered(self, node: Node, request: int, failed: bool, advice_us: int) -> None:
-        """A node rejected or failed a request."""
+    def request_answered(self, node: Node, request: int, failed: bool, retry_after_us: int) -> None:
+        """Handle a node's rejection or failure of a request."""
         client, simulation = node.clients.get(request), self._simulation
         if client is None or client.established:
             return
@@ -147,19 +151,19 @@
         if client.attempt_id:
             simulation.attempts.end(client, AttemptResult.CANCELLED, answered=True)
         node.clients.pop(request, None)
-        simulation.after(self._day.trip_us, partial(self._retry_later, client, request, advice_us))
+        simulation.after(self._day.trip_us, partial(self._retry_later, client, request, retry_after_us))
 
-    def _retry_later(self, client: Client, request: int, advice_us: int) -> None:
-        """Schedule a new request after a rejection, a failure or a node that is down."""
+    def _retry_later(self, client: Client, request: int, retry_after_us: int) -> None:
+        """Schedule a new request after a rejection, a failure, or because no node took the request."""
         if client.finished or client.request_id != request or client.established:
             return
         client.backoffs += 1
         if client.backoffs > self._day.retries + MAX_RETRIES:
             return
         wait = BACKOFF_US * 2 ** min(client.backoffs - 1, MAX_DOUBLINGS)
-        chance = self._retry_draw(client, client.backoffs)
+        draw = self._retry_draw(client, client.backoffs)
         client.request_id = -1
-        self._simulation.after(max(advice_us, wait * (0.5 + chance)), partial(self._send_request, client))
+        self._simulation.after(max(retry_after_us, wait * (0.5 + draw)), partial(self._send_request, client))
 
     def reconnect(self, client: Client) -> None:
         """Schedule a new request after a session broke or was migrated."""
@@ -168,17 +172,17 @@
         low, high = self._day.back_ms
         client.backoffs = 0
         client.is_migrated, client.request_id = True, -1
-        chance = self._retry_draw(client, client.requests_sent)
-        self._simulation.after(1000 * (low + (high - low) * chance), partial(self._send_request, client))
+        draw = self._retry_draw(client, client.requests_sent)
+        self._simulation.after(1000 * (low + (high - low) * draw), partial(self._send_request, client))
 
     def _retry_draw(self, client: Client, count: int) -> float:
-        """The client's draw for one of its waits, uniform from 0 to 1."""
+        """Return the client's random draw for one of its waits, uniform from 0 to 1."""
         return float(
             self._traffic.draws[client.number, RETRY_DRAWS + count % (DRAWS_PER_CLIENT - RETRY_DRAWS)]
         )
 
     def _finish(self, client: Client) -> None:
-        """End a client that needs its session no more."""
+        """Remove a client that no longer needs its session; end its session or request."""
         client.finished = True
         self.active.pop(client, None)
         node = client.node
@@ -194,7 +198,7 @@
             node.clients.pop(request, None)
 
     def apply_load(self, client: Client, request: int, number: int) -> None:
-        """Give a session its load of that number, report it, and schedule the next one."""
+        """Apply load `number` of a session's loads, report it, and schedule the next one."""
         if client.finished or client.request_id != request or not client.established or client.server is None:
             return
         simulation, server = self._simulation, client.server
@@ -210,7 +214,7 @@
             simulation.after(span, partial(self.apply_load, client, request, number + 1))
 
     def report_load(self, client: Client, request: int) -> None:
-        """Report the work done for a session to its node: next to nothing while the server hangs."""
+        """Report the work done for a session to its node: HUNG_SHARE of its load while the server hangs."""
         node, server = client.node, client.server
         if client.established and client.request_id == request and node is not None and server is not None:
             load = client.load * LOAD_UNIT * (HUNG_SHARE if server.hung else 1.0)
--- a/stepflow/fleet/context.py
+++ b/stepflow/fleet/context.py
@@ -1,7 +1,8 @@
-"""What the parts of the simulation offer each other.
+"""Protocols by which the parts of the simulation call each other.
 
-Clients, attempts, the endpoint list and faults call each other in circles. Each part knows the others by
-these protocols alone, and none imports another; `simulation.py` makes them and is the context of all.
+Clients, attempts, the endpoint list and faults depend on each other in cycles. Each part therefore uses the
+others only through these protocols and imports none of them; `simulation.py` creates the parts and passes
+itself to each as its context.
 """
 
 from __future__ import annotations
@@ -20,43 +21,43 @@
 
 
 class ClientOperations(Protocol):
-    """What the clients offer the other parts."""
+    """Operations of the clients that the other parts call."""
 
     @property
     def active(self) -> dict[Client, None]:
-        """The clients that want a session now."""
+        """The clients that need a session now."""
         ...
 
     def reconnect(self, client: Client) -> None:
-        """A session broke, or was migrated: its client comes again."""
+        """Schedule a new request after a session broke or was migrated."""
         ...
 
     def apply_load(self, client: Client, request: int, number: int) -> None:
-        """Give the session its load of that number, and schedule the next one."""
+        """Apply load `number` of the session's loads, report it, and schedule the next one."""
         ...
 
     def report_load(self, client: Client, request: int) -> None:
-        """Report the session's load to its node."""
+        """Report the load of a session to its node."""
         ...
 
 
 class AttemptOperations(Protocol):
-    """What the attempts offer the other parts."""
+    """Operations of the attempts that the other parts call."""
 
     def add_session(self, client: Client) -> None:
         """Count a session at its server."""
         ...
 
     def remove_session(self, client: Client) -> None:
-        """Count it there no longer."""
+        """Stop counting a session at its server."""
         ...
 
     def end(self, client: Client, result: AttemptResult, answered: bool = False) -> None:
-        """End an attempt, before its session is established or after."""
+        """End an attempt, before or after its session is established."""
         ...
 
     def break_off(self, client: Client, result: AttemptResult = AttemptResult.RESET) -> None:
-        """End an attempt or a session by a fault."""
+        """End an attempt or a session because of a fault."""
         ...
 
     def migrate(self, node: Node, request: int) -> None:
@@ -65,65 +66,65 @@
 
 
 class EndpointListOperations(Protocol):
-    """What the endpoint list offers the other parts."""
+    """Operations of the endpoint list that the other parts call."""
 
     def schedule_update(self, server: Server) -> None:
-        """Publish what has changed of a server, some seconds later."""
+        """Publish a server's state after a delay of some seconds."""
         ...
 
     def start_outage(self, span_us: float) -> None:
-        """Be out of reach for a time."""
+        """Make discovery unavailable for a time."""
         ...
 
 
 class FaultOperations(Protocol):
-    """What the faults offer the other parts."""
+    """Operations and state of the faults that the other parts use."""
 
     @property
     def reset_share(self) -> float:
-        """The share of attempts that are reset at their server."""
+        """The share of attempts that are reset when they reach their server."""
         ...
 
     @property
     def any_unreachable(self) -> bool:
-        """Whether nodes are cut off from servers now."""
+        """Whether any node is cut off from any server now; servers that hang do not count."""
         ...
 
     def unreachable_since(self, node: Node, server: Server) -> int | None:
-        """Since when nothing comes from a server to a node; None where it answers."""
+        """Return the time since when a node gets nothing from a server, or None if it is reachable."""
         ...
 
     def crash(self, server: Server) -> None:
-        """Stop a server for good."""
+        """Crash a server; it is not restarted."""
         ...
 
 
 class SimulationContext(Protocol):
-    """The simulation as its parts see it: the clock, the state that they share, and each other."""
+    """The simulation as its parts see it: the clock, the shared state, and the other parts."""
 
     @property
     def scenario(self) -> Scenario:
-        """What is simulated."""
+        """The scenario of this run."""
         ...
 
     @property
     def seed(self) -> int:
-        """The seed of all random draws but the policies' own."""
+        """The seed of all random draws except the policies' own."""
         ...
 
     @property
     def traffic(self) -> Traffic:
-        """The draws of the clients."""
+        """The clients of this run, drawn before it starts."""
         ...
 
     @property
     def classes(self) -> list[Class]:
-        """The classes of requests, by their index."""
+        """The request classes, by index."""
         ...
 
     @property
     def servers(self) -> list[Server]:
-        """All servers, also those that are gone."""
+        """All servers, including those that are gone."""
         ...
 
     @property
@@ -133,17 +134,17 @@
 
     @property
     def sessions_by_class(self) -> dict[Server, list[int]]:
-        """How many sessions of each class each server has."""
+        """The number of sessions of each class at each server."""
         ...
 
     @property
     def nodes(self) -> list[Node]:
-        """All nodes, also those whose process is down."""
+        """All nodes, including those whose process is down."""
         ...
 
     @property
     def measurements(self) -> Measurements:
-        """What the run counts."""
+        """The measurements of this run."""
         ...
 
     @property
@@ -173,7 +174,7 @@
 
     @property
     def now(self) -> int:
-        """Microseconds since the run began."""
+        """The time in microseconds since the run began."""
         ...
 
     def at(self, due: int, call: Callable[[], None]) -> None:
@@ -181,11 +182,11 @@
         ...
 
     def after(self, delay: float, call: Callable[[], None]) -> None:
-        """Schedule a call so many microseconds from now."""
+        """Schedule a call after a delay in microseconds."""
         ...
 
     def handle_event(self, node: Node, event: Event) -> None:
-        """Hand an event to a node's policy and carry out its actions."""
+        """Pass an event to a node's policy and carry out its actions."""
         ...
 
     def start_node(self, node: Node) -> None:
@@ -193,7 +194,7 @@
         ...
 
     def reload_settings(self) -> None:
-        """Reload the settings of all nodes that run."""
+        """Reload the settings of all running nodes."""
         ...
 
     def make_server(self, kind: int, uid: str, zone: int, rng: np.random.Generator) -> Server:
--- a/stepflow/fleet/faults.py
+++ b/stepflow/fleet/faults.py
@@ -1,7 +1,7 @@
-"""Faults and operations of a scenario: what goes wrong with servers, nodes and zones, or is done to them.
+"""Faults and operations of a scenario, applied to servers, nodes and zones.
 
-Owns the state of faults that concern no single server: the zone that is cut off, the share of attempts that
-are reset. Each fault draws from a stream of its own.
+Owns the state of faults that do not belong to a single server: the zone that is cut off and the share of
+attempts that are reset. Each fault draws from a random stream of its own.
 """
 
 from __future__ import annotations
@@ -18,44 +18,44 @@
 from stepflow.fleet.streams import stream
 from stepflow.interface import Availability
 
-RESTART_S = (0.8, 2.0)  # until a killed node's process is back
-REPORT_WITHIN_US = 3 * SECOND  # within which a hung server's sessions have all reported their loads
-SHUTDOWN_S = 2.0  # that a node takes to migrate its sessions at SIGTERM
+RESTART_S = (0.8, 2.0)  # time until a killed node's new process starts, drawn from this range
+REPORT_WITHIN_US = 3 * SECOND  # all sessions of a hung server report their loads within this time
+SHUTDOWN_S = 2.0  # time a node takes to migrate its sessions at SIGTERM
 
 
 class Faults:
-    """Applies a scenario's faults as their times come, and ends them."""
+    """Begins and ends the faults of a scenario at their times."""
 
     def __init__(self, simulation: SimulationContext) -> None:
         self._simulation = simulation
         self.reset_share = 0.0
-        self._isolated_zone: int | None = None  # the zone that no other zone's nodes reach
+        self._isolated_zone: int | None = None  # the zone that is cut off from all others
         self._isolated_since_us = 0
         self._servers_replaced = 0
 
     def unreachable_since(self, node: Node, server: Server) -> int | None:
-        """Since when nothing comes from a server to a node; None where it answers."""
+        """Return the time since when a node gets nothing from a server, or None if it is reachable."""
         if server.hung:
             return server.hung_us
-        parted = (
+        cut_off = (
             self._isolated_zone is not None
             and node.zone != server.zone
             and self._isolated_zone in (node.zone, server.zone)
         )
-        return self._isolated_since_us if parted else None
+        return self._isolated_since_us if cut_off else None
 
     @property
     def any_unreachable(self) -> bool:
-        """Whether nodes are cut off from servers now; servers that hang don't count."""
+        """Whether any node is cut off from any server now; servers that hang do not count."""
         return self._isolated_zone is not None
 
     def begin(self, number: int, fault: Fault) -> None:
-        """Begin a fault whose time has come; `number` is its place in the scenario."""
+        """Begin a fault; `number` is its index in the scenario and selects its random stream."""
         simulation, rng = self._simulation, stream(self._simulation.seed, "fault", number)
         duration_us = fault.lasts * SECOND
         match fault.what:
             case "burst":
-                pass  # it is in the traffic's draws already
+                pass  # the drawn traffic contains the burst already
             case "list-down":
                 simulation.endpoint_list.start_outage(duration_us)
             case "restart":
@@ -76,30 +76,32 @@
                     self._apply_to_server(server, fault, duration_us)
 
     def _begin_for_nodes(self, fault: Fault, rng: np.random.Generator, call: Callable[[Node], None]) -> None:
-        for place, node in self._in_batches(fault, rng):
-            self._simulation.after(fault.lasts * SECOND * place, partial(call, node))
+        for position, node in self._in_batches(fault, rng):
+            self._simulation.after(fault.lasts * SECOND * position, partial(call, node))
 
     def _replace_in_turn(self, servers: Sequence[Server], fault: Fault) -> None:
-        for place, server in enumerate(servers):
-            delay = fault.lasts * SECOND * place / len(servers)
+        for position, server in enumerate(servers):
+            delay = fault.lasts * SECOND * position / len(servers)
             self._simulation.after(delay, partial(self._replace, server, fault.drain_s))
 
     def _isolate_zone(self, zone: int, duration_us: float) -> None:
-        """Cut a zone off from nodes of all others, and theirs from its servers."""
+        """Cut a zone's servers and nodes off from the nodes and servers of all other zones."""
         self._isolated_zone, self._isolated_since_us = zone, self._simulation.now
         self._simulation.after(duration_us, partial(setattr, self, "_isolated_zone", None))
 
     def _in_batches(self, fault: Fault, rng: np.random.Generator) -> list[tuple[float, Node]]:
-        """The nodes that restart, each with its place in the fault's time, from 0 to 1."""
+        """Return the nodes to restart, each with its start as a fraction (0 to 1) of the fault's duration."""
         nodes = self._simulation.nodes
         count = max(1, round(fault.part * len(nodes)))
-        batch = max(1, round(fault.at_once * len(nodes)))
-        steps = -(-count // batch)
+        batch_size = max(1, round(fault.at_once * len(nodes)))
+        batch_count = -(-count // batch_size)
         order = rng.permutation(len(nodes))[:count]
-        return [(place // batch / steps, nodes[int(node)]) for place, node in enumerate(order)]
+        return [
+            (position // batch_size / batch_count, nodes[int(node)]) for position, node in enumerate(order)
+        ]
 
     def _chosen_servers(self, fault: Fault, rng: np.random.Generator) -> Sequence[Server]:
-        """The servers that a fault concerns, in random order: all of a zone where one is lost."""
+        """Return the servers that a fault affects, in random order; for `zone`, all of a random zone."""
         simulation = self._simulation
         running = [
             s
@@ -112,33 +114,33 @@
         count = min(len(running), max(1, round(fault.part * len(simulation.servers))))
         return [running[int(pick)] for pick in rng.permutation(len(running))[:count]]
 
-    def _apply_to_server(self, server: Server, fault: Fault, end: float) -> None:
-        """Begin a fault of one server, and schedule its end in so many microseconds."""
+    def _apply_to_server(self, server: Server, fault: Fault, duration_us: float) -> None:
+        """Begin a fault of one server, and schedule its end after `duration_us`."""
         simulation = self._simulation
         if fault.what in ("hang", "cut"):
             server.hung, server.hung_us = True, simulation.now
-            self._report_loads(server, int(end))
-            simulation.after(end, partial(self._recover, server))
+            self._report_loads(server, int(duration_us))
+            simulation.after(duration_us, partial(self._recover, server))
         elif fault.what == "errors":
             server.errors = fault.share
-            simulation.after(end, partial(setattr, server, "errors", 0.0))
+            simulation.after(duration_us, partial(setattr, server, "errors", 0.0))
         elif fault.what == "slow":
             self._set_speed(server, fault.share)
-            simulation.after(end, partial(self._set_speed, server, 1.0))
+            simulation.after(duration_us, partial(self._set_speed, server, 1.0))
         elif fault.what == "crash":
             self.crash(server)
         elif fault.what == "drain":
-            self._drain(server, end)
-        else:  # it is lost, and starts anew
+            self._drain(server, duration_us)
+        else:  # `start` or `zone`: the server stops and restarts
             self._stop(server)
-            simulation.after(end, partial(self._start, server))
+            simulation.after(duration_us, partial(self._start, server))
 
     def _recover(self, server: Server) -> None:
         server.hung = False
         self._report_loads(server, SECOND)
 
     def _report_loads(self, server: Server, within: int) -> None:
-        """Schedule reports of its sessions' loads, which change as it hangs and as it recovers."""
+        """Schedule load reports of a server's sessions, whose loads change when it hangs or recovers."""
         rng = stream(self._simulation.seed, "told loads", server.id, self._simulation.now)
         for node in self._simulation.nodes:
             for request, client in node.clients.items():
@@ -153,7 +155,7 @@
         server.speed_share = share
 
     def crash(self, server: Server) -> None:
-        """Stop a server for good, and its sessions with it."""
+        """Crash a server, which breaks its sessions; it is not restarted."""
         server.crashed = True
         self._simulation.measurements.crashed_servers += 1
         self._stop(server)
@@ -178,19 +180,19 @@
         self._simulation.endpoint_list.schedule_update(server)
 
     def _replace(self, server: Server, drain_s: float) -> None:
-        """Start a fresh server, and drain an old one in its place."""
+        """Start a new server in place of an old one, and drain the old one if it is ready."""
         simulation = self._simulation
         self._servers_replaced += 1
         rng = stream(simulation.seed, "fresh", self._servers_replaced)
-        fresh = simulation.make_server(server.kind, f"f-{self._servers_replaced}", server.zone, rng)
-        fresh.load_per_core = server.load_per_core
-        simulation.add_server(fresh)
-        self._start(fresh)
+        replacement = simulation.make_server(server.kind, f"f-{self._servers_replaced}", server.zone, rng)
+        replacement.load_per_core = server.load_per_core
+        simulation.add_server(replacement)
+        self._start(replacement)
         if server.is_running and server.availability == Availability.READY:
             self._drain(server, drain_s * SECOND)
 
     def kill_node(self, node: Node) -> None:
-        """Kill a node's process: its sessions break, and a new process starts in a moment."""
+        """Kill a node's process: its sessions break, and a new process starts after a delay (RESTART_S)."""
         simulation = self._simulation
         if node.policy is None:
             return
@@ -207,21 +209,21 @@
         simulation.after(down * SECOND, partial(simulation.start_node, node))
 
     def _shut_down_node(self, node: Node) -> None:
-        """Shut a node down as at SIGTERM: it accepts nothing more, migrates its sessions and exits."""
+        """Shut a node down as SIGTERM does: it takes no new requests, migrates its sessions and exits."""
         simulation = self._simulation
         if node.policy is None:
             return
         node.shutting_down = True
-        standing = [request for request, client in node.clients.items() if client.established]
-        for place, request in enumerate(standing):
-            span = SHUTDOWN_S * SECOND * (place + 1) / (len(standing) + 1)
+        established_requests = [request for request, client in node.clients.items() if client.established]
+        for position, request in enumerate(established_requests):
+            span = SHUTDOWN_S * SECOND * (position + 1) / (len(established_requests) + 1)
             simulation.after(span, partial(self._migrate, node, node.incarnation, request))
         simulation.after(SHUTDOWN_S * SECOND, partial(self._exit, node, node.incarnation))
 
-    def _migrate(self, node: Node, life: int, request: int) -> None:
-        if node.incarnation == life:
+    def _migrate(self, node: Node, incarnation: int, request: int) -> None:
+        if node.incarnation == incarnation:
             self._simulation.attempts.migrate(node, request)
 
-    def _exit(self, node: Node, life: int) -> None:
-        if node.incarnation == life:
+    def _exit(self, node: Node, incarnation: int) -> None:
+        if node.incarnation == incarnation:
             self.kill_node(node)
--- a/stepflow/fleet/simulation.py
+++ b/stepflow/fleet/simulation.py
@@ -1,12 +1,12 @@
-"""The simulation of a fleet: balancers with real policies, their clients, map servers, discovery and faults.
+"""Simulation of a fleet: balancers with real policies, their clients, map servers, discovery and faults.
 
-A discrete-event simulation in one thread. Each node has a `Policy` whose actions are carried out as a real
-node does; the simulation takes none of the policy's decisions. This module owns the clock and the state that
-all parts share (see context.py), starts the nodes, and passes events and actions between them and the parts:
-clients, attempts, the endpoint list, faults.
+A discrete-event simulation in one thread. Each node has a `Policy`, and the simulation carries out its
+actions as a real node does; it takes none of the policy's decisions. This module owns the clock and the state
+that all parts share (see context.py), starts the nodes, and passes events and actions between them and the
+parts: clients, attempts, the endpoint list, faults.
 
-Times are microseconds since the start of the run. All random draws but the policies' own come from named
-streams of one seed, so two runs on one seed see the same clients whatever the policies decide.
+Times are in microseconds since the start of the run. All random draws except the policies' own come from
+named streams of one seed, so two runs on one seed simulate the same clients whatever the policies decide.
 """
 
 from __future__ import annotations
@@ -55,12 +55,12 @@
     """One run of a scenario.
 
     Args:
-        scenario: what is simulated; what it gives as a range is drawn for this run.
+        scenario: the scenario to simulate; values that it gives as a range are drawn for this run.
         seed: the seed of all random draws.
         policy_factory: makes each node's policy from its settings and a seed.
-        policy_stream: names the stream of the policies' own seeds. Runs that differ in it alone see the same
-            clients and servers, with policies that draw differently.
-        observers: get all events and actions of the policies.
+        policy_stream: names the stream of the policies' own seeds. Runs that differ only in this name have
+            the same clients and servers, but the policies' own draws differ.
+        observers: are called with all events and actions of the policies.
     """
 
     def __init__(
@@ -91,7 +91,7 @@
         self._actions = self._action_handlers()
 
     def _action_handlers(self) -> dict[type, Callable[..., None]]:
-        """What carries out each type of action; those that the model has no part for are left out."""
+        """Return the handler of each type of action; types that are not simulated are left out."""
         return {
             StartAttempt: self.attempts.start,
             StartHealthCheck: self.attempts.check_health,
@@ -107,7 +107,7 @@
         }
 
     def make_server(self, kind: int, uid: str, zone: int, rng: np.random.Generator) -> Server:
-        """Make a server of a kind, with figures of its own drawn from the kind's ranges."""
+        """Make a server of a kind, with its parameters drawn from the kind's ranges."""
         return make_server(self.scenario, kind, uid, zone, rng)
 
     def add_server(self, server: Server) -> None:
@@ -117,12 +117,12 @@
         self.sessions_by_class[server] = [0] * len(self.classes)
 
     def place_sessions(self) -> list[int]:
-        """Place the sessions that are established at the start; returns the index of each one's server."""
+        """Place the sessions that are established at the start; return the index of each session's server."""
         return place_sessions(self.scenario, self.seed, self.traffic, self.servers)
 
     @property
     def now(self) -> int:
-        """Microseconds since the run began."""
+        """The time in microseconds since the run began."""
         return self._queue.now
 
     def at(self, due: int, call: Callable[[], None]) -> None:
@@ -130,17 +130,20 @@
         self._queue.at(due, call)
 
     def after(self, delay: float, call: Callable[[], None]) -> None:
-        """Schedule a call so many microseconds from now."""
+        """Schedule a call after a delay in microseconds."""
         self._queue.after(delay, call)
 
     def run(self) -> Measurements:
-        """Run the scenario to its end, once; returns what was measured after the warm-up."""
+        """Run the scenario to its end; return the measurements taken after the warm-up.
+
+        Call it only once.
+        """
         day = self.scenario.day
         for node in self.nodes:
             node.endpoints = {entry.id: entry for entry in self.endpoint_list.entries()}
             self.start_node(node)
-        for number, place in enumerate(self.place_sessions()):
-            self.clients.add_established(number, self.servers[place])
+        for number, index in enumerate(self.place_sessions()):
+            self.clients.add_established(number, self.servers[index])
         for number in range(self.traffic.established, len(self.traffic.at_us)):
             self.at(int(self.traffic.at_us[number]), partial(self.clients.arrive, number))
         for number, fault in enumerate(self.scenario.faults):
@@ -160,7 +163,7 @@
         return self.now >= self.scenario.day.warm * SECOND
 
     def start_node(self, node: Node) -> None:
-        """Start a node's process, with the endpoint list that it last held and nothing else."""
+        """Start a node's process; it gets the node's last endpoint list and no other state."""
         node.incarnation += 1
         node.down_since_us = -1
         node.clients, node.watching, node.shutting_down = {}, False, False
@@ -175,13 +178,13 @@
         self.handle_event(node, EndpointListUpdate(ListUpdateKind.CACHED, tuple(node.endpoints.values())))
 
     def reload_settings(self) -> None:
-        """Reload the settings of all nodes that run, as at SIGHUP: those that hold now."""
+        """Give all running nodes the settings that apply at the current time, as SIGHUP does."""
         for node in self.nodes:
             if node.policy is not None:
                 node.policy.update_settings(self.scenario.settings(node.number, self.now / SECOND))
 
     def handle_event(self, node: Node, event: Event) -> None:
-        """Hand an event to a node's policy and carry out its actions; nothing where its process is down."""
+        """Pass an event to a node's policy and carry out its actions; do nothing if its process is down."""
         if node.policy is None:
             return
         if isinstance(event, EndpointListUpdate):
@@ -197,6 +200,6 @@
     def _set_timer(self, node: Node, action: SetTimer) -> None:
         self.after(action.delay_us, partial(self._timer_fired, node, node.incarnation, action.token))
 
-    def _timer_fired(self, node: Node, life: int, token: int) -> None:
-        if node.incarnation == life:
+    def _timer_fired(self, node: Node, incarnation: int, token: int) -> None:
+        if node.incarnation == incarnation:
             self.handle_event(node, TimerFired(token))
--- a/stepflow/fleet/state.py
+++ b/stepflow/fleet/state.py
@@ -1,7 +1,7 @@
-"""The state of the fleet model's clients and nodes, as all parts of the simulation share it.
+"""The state of clients and nodes, which all parts of the simulation share.
 
-Plain records: who owns which transition stands in clients.py, attempts.py and faults.py. Times are
-microseconds of the simulation's clock.
+These classes hold data; clients.py, attempts.py and faults.py own the transitions. Times are in microseconds
+of the simulation's clock.
 """
 
 from __future__ import annotations
@@ -14,22 +14,22 @@
 
 NO_ATTEMPT = 0
 ESTABLISHED_ATTEMPT = -1
-RUNNING = -1  # as the time since when a node is down
+RUNNING = -1  # value of Node.down_since_us while its process runs
 
 
 @dataclass(slots=True, eq=False)
 class Client:
-    """One client and its session, from its first request until it needs none any more.
+    """A client and its session, from its first request until it no longer needs a session.
 
-    It sends one request after the other (`request_id`, -1 between two); each is tried at servers by attempts
-    of its node. `attempt_id` is the running number of the attempt in flight, `NO_ATTEMPT` for none and
-    `ESTABLISHED_ATTEMPT` once its session is established.
+    A client sends one request at a time; `request_id` is -1 between two requests. Its node makes attempts of
+    the request at servers. `attempt_id` is the serial number of the attempt in flight, `NO_ATTEMPT` if there
+    is none, and `ESTABLISHED_ATTEMPT` while the session is established.
     """
 
     number: int
     class_index: int
     group: int
-    ends_us: int  # when it needs its session no more
+    ends_us: int  # when it no longer needs its session
     requests_sent: int = 0
     backoffs: int = 0
     load_index: int = 0
@@ -47,10 +47,11 @@
 
 
 class Node:
-    """One balancer: its policy (None while its process is down) and the requests that it holds.
+    """A balancer: its policy (None while its process is down) and the clients of its requests, by request id.
 
-    `incarnation` counts its processes; calls that were scheduled for an earlier one are void. `endpoints` is
-    its list as last updated, which alone outlives a process. `down_since_us` is -1 while it runs.
+    `incarnation` counts the node's processes; calls scheduled for an earlier process are ignored. `endpoints`
+    is the last endpoint list that the node received, and the only state that outlives a process.
+    `down_since_us` is `RUNNING` while the process runs.
     """
 
     def __init__(self, number: int, zones: int = 1) -> None:
