--- a/stepflow/fleet/__init__.py
+++ b/stepflow/fleet/__init__.py
@@ -1,4 +1,4 @@
-"""The model of the fleet and the traces it is fed with. Needs the extra `fleet`; no node imports it."""
+"""The simulation model of the fleet, and its traces. Needs the extra `fleet`; nodes do not import it."""
 
 from stepflow.fleet.trace import Trace, TraceError, convert
 
--- a/stepflow/fleet/baselines.py
+++ b/stepflow/fleet/baselines.py
@@ -1,4 +1,4 @@
-"""What a node of the simulation runs, and the baseline to compare the policy with."""
+"""The interface of a simulated node's policy, and a baseline to compare the policy with."""
 
 from __future__ import annotations
 
@@ -28,10 +28,10 @@
 
 
 class PolicyLike(Protocol):
-    """What a node runs: the policy, one of another revision, or a baseline."""
+    """A policy that a node runs: that of this checkout, of another revision, or a baseline."""
 
     def handle(self, now: int, event: Event) -> list[Action]:
-        """Take an event; return the actions that it asks for."""
+        """Handle an event; return the policy's actions."""
         ...
 
     def update_settings(self, settings: Settings) -> None:
@@ -42,35 +42,35 @@
 PolicyFactory = Callable[[Settings, int], PolicyLike]
 
 
-RETRY_LIST_US = (250_000, 1_000_000)  # until a list that failed is fetched anew
+RETRY_LIST_US = (250_000, 1_000_000)  # time until a failed list is fetched again
 
 
 class RandomChoice:
-    """The baseline: any endpoint of the list at random, as many attempts as the settings allow."""
+    """The baseline: tries random ready endpoints, up to the settings' limit on attempts."""
 
     def __init__(self, settings: Settings, seed: int) -> None:
         self._settings, self._rng = settings, stream(seed, "random choice")
         self._endpoints: dict[EndpointId, Endpoint] = {}
-        self._open: dict[int, int] = {}
+        self._attempts_made: dict[int, int] = {}
 
     def update_settings(self, settings: Settings) -> None:
         """Replace the settings."""
         self._settings = settings
 
     def handle(self, now: int, event: Event) -> list[Action]:
-        """Take an event; return the actions that it asks for."""
+        """Handle an event; return the policy's actions."""
         match event:
             case Started() | TimerFired():
                 return [WatchEndpointList(True)]
             case EndpointListUpdate():
                 return self._update_list(event)
             case Request():
-                self._open[event.id] = 0
-                return self._try(event.id)
-            case AttemptEnded(is_final=False) if event.request_id in self._open:
-                return self._try(event.request_id)
+                self._attempts_made[event.id] = 0
+                return self._start_attempt(event.id)
+            case AttemptEnded(is_final=False) if event.request_id in self._attempts_made:
+                return self._start_attempt(event.request_id)
             case AttemptEnded(is_final=True) | ClientDisconnected():
-                self._open.pop(event.request_id, None)
+                self._attempts_made.pop(event.request_id, None)
         return []
 
     def _update_list(self, update: EndpointListUpdate) -> list[Action]:
@@ -85,10 +85,10 @@
                 self._endpoints.pop(entry.id, None)
         return []
 
-    def _try(self, id: int) -> list[Action]:
-        if not self._endpoints or self._open[id] >= self._settings.limits.max_attempts:
-            del self._open[id]
+    def _start_attempt(self, id: int) -> list[Action]:
+        if not self._endpoints or self._attempts_made[id] >= self._settings.limits.max_attempts:
+            del self._attempts_made[id]
             return [RejectRequest(id)]
-        self._open[id] += 1
+        self._attempts_made[id] += 1
         listed = list(self._endpoints)
         return [StartAttempt(id, listed[int(self._rng.integers(len(listed)))], 0)]
--- a/stepflow/fleet/endpoint_list.py
+++ b/stepflow/fleet/endpoint_list.py
@@ -1,6 +1,6 @@
-"""Discovery: a service that publishes changes late, serves calls in turn, and may be out of reach.
+"""Discovery: a service that publishes changes late, answers calls one at a time, and can be unavailable.
 
-Owns the endpoint list as published, which is some seconds behind the servers' state.
+Owns the published endpoint list, which is some seconds behind the servers' state.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 from stepflow.fleet.streams import stream
 from stepflow.interface import Availability, Endpoint, EndpointListUpdate, ListUpdateKind
 
-FAILED_CALL_US = 50_000  # until a call fails while the service is out of reach
+FAILED_CALL_US = 50_000  # time until a call fails while the service is unavailable
 
 
 class EndpointListService:
@@ -23,50 +23,51 @@
     def __init__(self, simulation: SimulationContext) -> None:
         self._simulation, self._day = simulation, simulation.scenario.day
         self._updates_scheduled = 0
-        self._free_at_us = 0.0  # when all waiting calls are answered
+        self._free_at_us = 0.0  # time at which all waiting calls are answered
         self._down = False
         self._published = {server.id: _entry(server) for server in simulation.servers}
 
     def entries(self) -> tuple[Endpoint, ...]:
-        """The list as published now."""
+        """Return the list as published now."""
         return tuple(self._published.values())
 
     def watch(self, node: Node) -> None:
-        """A node fetches the list and watches it; the call waits its turn."""
-        simulation, day, life = self._simulation, self._day, node.incarnation
+        """Fetch the list for a node and start its watch; the call waits for those before it."""
+        simulation, day, incarnation = self._simulation, self._day, node.incarnation
         if self._down:
-            simulation.after(FAILED_CALL_US, partial(self._answer, node, life, ListUpdateKind.FAILED))
+            simulation.after(FAILED_CALL_US, partial(self._answer, node, incarnation, ListUpdateKind.FAILED))
         elif not day.list_calls:
-            self._answer(node, life, ListUpdateKind.FULL)
+            self._answer(node, incarnation, ListUpdateKind.FULL)
         elif self._free_at_us - simulation.now > day.list_wait_s * SECOND:
             simulation.after(
-                day.list_wait_s * SECOND, partial(self._answer, node, life, ListUpdateKind.FAILED)
+                day.list_wait_s * SECOND, partial(self._answer, node, incarnation, ListUpdateKind.FAILED)
             )
         else:
             self._free_at_us = max(self._free_at_us, simulation.now) + SECOND / day.list_calls
             simulation.after(
-                self._free_at_us - simulation.now, partial(self._answer, node, life, ListUpdateKind.FULL)
+                self._free_at_us - simulation.now,
+                partial(self._answer, node, incarnation, ListUpdateKind.FULL),
             )
 
-    def _answer(self, node: Node, life: int, form: ListUpdateKind) -> None:
-        if node.incarnation != life or node.policy is None:
+    def _answer(self, node: Node, incarnation: int, kind: ListUpdateKind) -> None:
+        if node.incarnation != incarnation or node.policy is None:
             return
-        failed = form == ListUpdateKind.FAILED or self._down
+        failed = kind == ListUpdateKind.FAILED or self._down
         node.watching = not failed
-        self._send_update(node, ListUpdateKind.FAILED if failed else form, () if failed else self.entries())
+        self._send_update(node, ListUpdateKind.FAILED if failed else kind, () if failed else self.entries())
 
-    def _send_update(self, node: Node, form: ListUpdateKind, entries: Sequence[Endpoint]) -> None:
+    def _send_update(self, node: Node, kind: ListUpdateKind, entries: Sequence[Endpoint]) -> None:
         self._simulation.measurements.list_entries += self._simulation.is_counting * len(entries)
-        self._simulation.handle_event(node, EndpointListUpdate(form, tuple(entries)))
+        self._simulation.handle_event(node, EndpointListUpdate(kind, tuple(entries)))
 
     def schedule_update(self, server: Server) -> None:
-        """Publish a server's state some seconds from now, as it is then."""
+        """Publish a server's state after a delay of some seconds, as it is by then."""
         low, high = self._day.list_s
-        late = (
+        delay_us = (
             float(stream(self._simulation.seed, "list", self._updates_scheduled).uniform(low, high)) * SECOND
         )
         self._updates_scheduled += 1
-        self._simulation.after(late, partial(self._publish, server))
+        self._simulation.after(delay_us, partial(self._publish, server))
 
     def _publish(self, server: Server) -> None:
         entry = _entry(server)
@@ -79,7 +80,7 @@
                 self._send_update(node, ListUpdateKind.DELTA, (entry,))
 
     def start_outage(self, span_us: float) -> None:
-        """Be out of reach for a time; all watches end."""
+        """Make the service unavailable for a time; all watches end."""
         self._down = True
         for node in self._simulation.nodes:
             if node.watching and node.policy is not None:
--- a/stepflow/fleet/event_queue.py
+++ b/stepflow/fleet/event_queue.py
@@ -1,4 +1,4 @@
-"""The clock of a simulation: calls in the order of their times, and of their scheduling within one time."""
+"""The clock of a simulation: runs calls in order of their times, and calls of one time as scheduled."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 class EventQueue:
-    """Scheduled calls on one heap. Times are microseconds; `now` is that of the call that runs."""
+    """Scheduled calls in a heap. Times are in microseconds; `now` is the time of the current call."""
 
     def __init__(self) -> None:
         self.now = 0
@@ -15,16 +15,16 @@
         self._added = 0
 
     def at(self, due: int, call: Callable[[], None]) -> None:
-        """Schedule a call at a time; a time that has passed means now."""
+        """Schedule a call at a time; a time in the past means now."""
         self._added += 1
         heapq.heappush(self._heap, (max(due, self.now), self._added, call))
 
     def after(self, delay: float, call: Callable[[], None]) -> None:
-        """Schedule a call so many microseconds from now."""
+        """Schedule a call after a delay in microseconds."""
         self.at(self.now + int(delay), call)
 
     def run_until(self, end: int) -> None:
-        """Run all calls that are due by a time, also those that they schedule."""
+        """Run all calls due by a time, including those that they schedule."""
         while self._heap and self._heap[0][0] <= end:
             self.now, _, call = heapq.heappop(self._heap)
             call()
--- a/stepflow/fleet/latency_reports.py
+++ b/stepflow/fleet/latency_reports.py
@@ -1,4 +1,4 @@
-"""Reports on the latency of sessions' messages, as a node's liveness monitor makes them."""
+"""Reports on the latency of sessions' messages, as a node's liveness monitor sends them to the policy."""
 
 from __future__ import annotations
 
@@ -8,14 +8,15 @@
 from stepflow.interface import SessionReport, SessionReportKind
 
 REPORT_EVERY_US = SECOND
-STALLED_US = 2 * SECOND  # silence of a server after which a node ends its sessions there
-OBJECTIVE_FRACTION = 3  # of the strictest class's objective: a lower latency is not reported
+STALLED_US = 2 * SECOND  # a node ends its sessions at a server that is silent this long
+OBJECTIVE_FRACTION = 3  # latencies up to 1/3 of the strictest class's objective are not reported
 
 
 class LatencyReports:
-    """Once a second, has one session of each node and server report a latency that is too high.
+    """Reports high latencies once a second, for one session of each pair of node and server.
 
-    A server's silence is reported as well, and ends all sessions there once it has lasted STALLED_US.
+    The silence of an unreachable server is reported as a latency. Once it lasts STALLED_US, all sessions
+    there are ended.
     """
 
     def __init__(self, simulation: SimulationContext) -> None:
@@ -23,7 +24,7 @@
         self._threshold_s = min(cls.message_ms / 1000 for cls in simulation.classes) / OBJECTIVE_FRACTION
 
     def start(self) -> None:
-        """Report from now on."""
+        """Start the periodic reports."""
         self._simulation.after(REPORT_EVERY_US, self._report_all)
 
     def _report_all(self) -> None:
@@ -38,15 +39,15 @@
             server = client.server
             if not client.established or server is None:
                 continue
-            since = simulation.faults.unreachable_since(node, server)
-            if since is not None and simulation.now - since >= STALLED_US:
+            silent_since = simulation.faults.unreachable_since(node, server)
+            if silent_since is not None and simulation.now - silent_since >= STALLED_US:
                 simulation.attempts.break_off(client)
             elif server.id not in reported:
                 reported.add(server.id)
                 latency = (
                     server.mean_latency_s(simulation.now)
-                    if since is None
-                    else (simulation.now - since) / SECOND
+                    if silent_since is None
+                    else (simulation.now - silent_since) / SECOND
                 )
                 self._report_latency(node, client, server.id, latency)
 
--- a/stepflow/fleet/measurements.py
+++ b/stepflow/fleet/measurements.py
@@ -1,6 +1,6 @@
-"""What a run measures, and the score that is made of it.
+"""The measurements of a run, and the score computed from them.
 
-The names of Score's fields and of the series are keys of results and reports.
+The names of Score's fields and of the time series are keys of results and reports.
 """
 
 from __future__ import annotations
@@ -15,10 +15,10 @@
 
 @dataclass
 class Measurements:
-    """What a run counts after its warm-up; `wanted` and `served` are arrays by second and class."""
+    """What a run counts after its warm-up; `wanted` and `served` are arrays indexed by second and class."""
 
-    wanted: Any  # seconds of sessions asked for, by their weight
-    served: Any  # and those that were served in time
+    wanted: Any  # seconds for which clients need sessions, times their priority weights
+    served: Any  # the part of `wanted` that is served within the latency objective
     requests: int = 0
     attempts: int = 0
     rejected: int = 0
@@ -26,7 +26,7 @@
     late_fails: int = 0
     migrations: int = 0
     health_checks: int = 0
-    list_entries: int = 0  # of updates sent to nodes
+    list_entries: int = 0  # entries of all list updates sent to nodes
     crashed_servers: int = 0
     broken_sessions: int = 0
     requested_work: float = 0.0
@@ -37,19 +37,19 @@
     kind_load: dict[str, list[float]] = field(default_factory=dict)  # each second: load over capacity
     server_load: dict[str, list[float]] = field(default_factory=dict)  # by kind: each server's mean
     peak_load: float = 0.0  # the highest utilization of the fleet
-    attempts_at_degraded: int = 0  # while other servers are sound
-    attempts_at_degraded_by_chance: float = 0.0  # as many as random choice would make
+    attempts_at_degraded: int = 0  # counted while some of the ready servers, but not all, are degraded
+    attempts_at_degraded_by_chance: float = 0.0  # expected number if servers were chosen at random
 
     @classmethod
     def of(cls, scenario: Scenario) -> Measurements:
-        """Measurements of a run of a scenario, all zero."""
+        """Return empty measurements for a run of a scenario."""
         shape = (int(scenario.day.warm + scenario.day.seconds) + 1, len(scenario.classes))
         return cls(np.zeros(shape), np.zeros(shape))
 
 
 @dataclass(frozen=True)
 class Score:
-    """The figures of one run: shares of service, and the points that each deduction takes."""
+    """The figures of one run: shares of service, and the points taken off for each deduction."""
 
     service: float
     whole: float
@@ -63,17 +63,17 @@
     fallen: int
     imbalance: float
     peak_load: float
-    refused: float  # requests that were rejected, for each client
-    sick: float  # attempts at degraded servers, over what random choice would make there
+    refused: float  # rejected requests for each client's first request
+    sick: float  # attempts at degraded servers, over the number expected of random choice
 
     @property
     def net(self) -> float:
-        """Service less the deductions."""
+        """The service minus the deductions."""
         return self.service - self.waste - self.late_fail - self.moves - self.lines - self.probes
 
 
 def score(scenario: Scenario, measurements: Measurements) -> Score:
-    """Score a run: service is 60% the whole, 5% the worst 10 s and 35% the worst class."""
+    """Score a run; 60% of service is the whole run, 5% its worst 10 s and 35% its worst class."""
     first = int(scenario.day.warm)
     wanted, served = measurements.wanted[first:], measurements.served[first:]
     whole = _share(served.sum(), wanted.sum())
@@ -107,10 +107,10 @@
 
 
 def series(scenario: Scenario, measurements: Measurements) -> dict[str, list[float]]:
-    """What a run was over time, a value for each second that counts, and each server's mean load, by kind."""
+    """Return a run's series: values for each second after the warm-up, and server loads by kind."""
     first = int(scenario.day.warm)
     wanted, served = (np.sum(part[first:], axis=1) for part in (measurements.wanted, measurements.served))
-    shares = [_share(one, whole) for one, whole in zip(served, wanted, strict=True) if whole > 0]
+    shares = [_share(in_time, whole) for in_time, whole in zip(served, wanted, strict=True) if whole > 0]
     return {
         "service": shares,
         "imbalance": measurements.imbalance,
--- a/stepflow/fleet/observers.py
+++ b/stepflow/fleet/observers.py
@@ -1,4 +1,4 @@
-"""What may watch a simulation: checkers of rules, recorders of traffic."""
+"""The interface of a simulation's observers, such as the rule checker and the journal writer."""
 
 from __future__ import annotations
 
@@ -10,13 +10,13 @@
 
 
 class Observer(Protocol):
-    """Gets all events and actions of the nodes' policies."""
+    """Is called with all events and actions of the nodes' policies."""
 
     def node_started(self, node: int, incarnation: int, settings: Settings) -> None:
-        """A node's process starts; `life` counts its processes."""
+        """A node's process starts; `incarnation` counts the node's processes."""
 
     def event_handled(self, now: int, node: int, event: Event, actions: list[Action]) -> None:
-        """A node's policy has handled an event; its actions have not been carried out yet."""
+        """A node's policy has handled an event; its actions are not carried out yet."""
 
     def run_ended(self, now: int, servers: Sequence[Server]) -> None:
         """The run is over."""
--- a/stepflow/fleet/policy_specs.py
+++ b/stepflow/fleet/policy_specs.py
@@ -1,4 +1,4 @@
-"""Policies by name: the policy of this checkout or of a git revision, with other constants, or a baseline."""
+"""Policies by name: that of this checkout or a git revision, with changed constants, or a baseline."""
 
 from __future__ import annotations
 
@@ -16,43 +16,44 @@
 
 POLICY = "stepflow.policy"
 
-PolicyTexts = Mapping[str, str]  # the text of each of the policy's modules, by the module's name
+PolicyTexts = Mapping[str, str]  # source text of each module of a policy, by module name
 
 
 class PolicySpecError(InputError):
-    """What is wrong with the name of a policy."""
+    """A policy's spec is invalid, or its policy can't be loaded."""
 
 
 def policy_texts() -> dict[str, str]:
-    """The texts of this checkout's policy."""
+    """Return the source texts of this checkout's policy."""
     folder = Path(str(present.__file__)).parent
     return {path.stem: path.read_text() for path in sorted(folder.glob("*.py"))}
 
 
 @lru_cache(maxsize=32)
 def policy_factory(spec: str) -> PolicyFactory:
-    """The policy that a text names: parts with commas between them.
+    """Return the factory of the policy that a comma-separated spec names.
 
-    `present` is the policy of this checkout, `random` the baseline, `rev:REVISION` the policy as git holds
-    it; NAME=VALUE behind one sets one of its constants, such as KP=0.3.
+    `present` is the policy of this checkout, `random` the baseline, `rev:REVISION` the policy of a git
+    revision. Each NAME=VALUE after it sets a constant of the policy, such as KP=0.3; without a policy before
+    it, `present` is meant.
     """
     base, *changes = spec.split(",")
     if "=" in base:
         base, changes = "present", [base, *changes]
     if base == "random":
         if changes:
-            raise PolicySpecError(f"{spec}: random choice has no figures")
+            raise PolicySpecError(f"{spec}: random has no constants to set")
         return RandomChoice
     if base == "present" and not changes:
         return present.Policy
     if base == "present":
         return factory_from_texts(policy_texts(), spec, changes)
     if base.startswith("rev:") and len(base) > len("rev:"):
-        return _of_revision(base.removeprefix("rev:"), spec, changes)
-    raise PolicySpecError(f"{spec}: {base!r} is none of present, random, rev:REVISION or NAME=FIGURE")
+        return _factory_from_revision(base.removeprefix("rev:"), spec, changes)
+    raise PolicySpecError(f"{spec}: {base!r} is not one of present, random, rev:REVISION or NAME=VALUE")
 
 
-def _of_revision(revision: str, spec: str, changes: Sequence[str]) -> PolicyFactory:
+def _factory_from_revision(revision: str, spec: str, changes: Sequence[str]) -> PolicyFactory:
     try:
         package, make = load_revision(revision)
     except RevisionError as error:
@@ -62,32 +63,32 @@
 
 
 def factory_from_texts(texts: PolicyTexts, spec: str, changes: Sequence[str] = ()) -> PolicyFactory:
-    """The policy of some texts, as modules of their own, so that their constants are nobody else's."""
+    """Return the factory of a policy from source texts, loaded as modules with constants of their own."""
     texts = {f"{POLICY.replace('.', '/')}/{module}.py": text for module, text in texts.items()}
     package = PrivatePackage(texts, (POLICY,), spec)
     try:
-        made: Any = package.load("policy").__dict__["Policy"]
+        policy_class: Any = package.load("policy").__dict__["Policy"]
     except Exception as error:
-        raise PolicySpecError(f"{spec}: the module can't be loaded: {error}") from None
+        raise PolicySpecError(f"{spec}: the policy can't be loaded: {error}") from None
     _change_constants(package, spec, changes)
 
     def make(settings: Settings, seed: int) -> Any:
-        return made(settings, seed)
+        return policy_class(settings, seed)
 
     return make
 
 
 def _change_constants(package: PrivatePackage, spec: str, changes: Sequence[str]) -> None:
-    """Set constants of the policy, NAME=VALUE each, in every module that defines or imports them."""
+    """Set constants of a policy (NAME=VALUE each) in every module that defines or imports them."""
     for change in changes:
         name, _, text = change.partition("=")
-        holders = [module for module in package.loaded("policy") if name.isupper() and hasattr(module, name)]
-        before = getattr(holders[0], name) if holders else None
-        if not isinstance(before, int | float):
-            raise PolicySpecError(f"{spec}: the module has no figure {name!r}")
+        modules = [module for module in package.loaded("policy") if name.isupper() and hasattr(module, name)]
+        current = getattr(modules[0], name) if modules else None
+        if not isinstance(current, int | float):
+            raise PolicySpecError(f"{spec}: the policy has no numeric constant {name!r}")
         try:
             value = float(text)
         except ValueError:
             raise PolicySpecError(f"{spec}: {name}: {text!r} is not a number") from None
-        for module in holders:
-            setattr(module, name, int(value) if isinstance(before, int) else value)
+        for module in modules:
+            setattr(module, name, int(value) if isinstance(current, int) else value)
--- a/stepflow/fleet/private_package.py
+++ b/stepflow/fleet/private_package.py
@@ -1,11 +1,12 @@
-"""Import texts of this package's modules once more, under a private name.
+"""Import modules of this package again from source texts, under a private package name.
 
 An experiment compares the policy with itself under other constants, or with the policy of another revision.
-Each such variant needs modules of its own: a constant that is changed in one must not change in another. A
-`PrivatePackage` imports them from texts in memory, under a package name that nothing else uses; imports among
-the texts lead to each other, every other import to the modules that all share.
+Each variant needs its own modules, since changing a constant in one variant must not change the others. A
+`PrivatePackage` imports them from texts in memory, under a unique package name. Imports among the texts
+resolve to each other; all other imports resolve to the modules that the whole process shares.
 
-A text that can't be compiled or imported raises whatever the import system raises; callers put it into words.
+A text that can't be compiled or imported raises the import system's own exception; callers turn it into a
+message.
 """
 
 from __future__ import annotations
@@ -25,13 +26,13 @@
 
 
 class PrivatePackage(importlib.abc.MetaPathFinder, importlib.abc.InspectLoader):
-    """Modules of `stepflow` that are imported from texts, under a private package name.
+    """Modules of `stepflow` imported from source texts, under a private package name.
 
     Args:
-        texts: the text of each module by its path, such as `stepflow/policy/model.py`.
-        owned: dotted names of the packages whose imports lead to these texts. Imports of anything else are
-            shared with the rest of the process.
-        label: what tracebacks call the texts.
+        texts: the source text of each module by its path, such as `stepflow/policy/model.py`.
+        owned: dotted names of the packages whose imports resolve to these texts. All other imported modules
+            are shared with the rest of the process.
+        label: name of the texts in tracebacks.
     """
 
     def __init__(self, texts: Mapping[str, str], owned: Sequence[str], label: str) -> None:
@@ -46,14 +47,14 @@
         return importlib.import_module(f"{self.name}.{module}")
 
     def loaded(self, prefix: str) -> list[ModuleType]:
-        """The modules imported so far whose names below the package start with a prefix."""
+        """Return the modules imported so far whose names below the package start with a prefix."""
         start = f"{self.name}.{prefix}"
         return [module for name, module in list(sys.modules.items()) if name.startswith(start)]
 
     def find_spec(
         self, fullname: str, path: Sequence[str] | None, target: ModuleType | None = None
     ) -> importlib.machinery.ModuleSpec | None:
-        """Find a module of this package; the import system calls it for every module it does not have."""
+        """Find a module of this package; the import system calls this for every module not yet imported."""
         found = self._find(fullname)
         if found is None:
             return None
@@ -63,24 +64,24 @@
         )
 
     def get_source(self, fullname: str) -> str:
-        """The text of a module, its own imports led to this package."""
+        """Return the text of a module, with its imports redirected to this package."""
         found = self._find(fullname)
         if found is None:
             raise ImportError(f"no module {fullname}", name=fullname)
-        # A package that only the texts' paths imply, such as the root, is empty.
+        # A package that has no text of its own, only modules below it (such as the root), is empty.
         return self._import.sub(rf"\g<1>{self.name}", self._texts.get(found[0], ""))
 
     def is_package(self, fullname: str) -> bool:
-        """Whether a module of this package is itself a package."""
+        """Return whether a module of this package is itself a package."""
         found = self._find(fullname)
         return found is not None and found[1]
 
     def _find(self, fullname: str) -> tuple[str, bool] | None:
-        """The path of a module's text and whether it is a package; None for a module that is not here."""
+        """Return the path of a module's text and whether it is a package; None if it is not in here."""
         root, _, module = fullname.partition(".")
         if root != self.name:
             return None
-        # The root's own text would import the whole program: it stays empty.
+        # The root package is empty, since its own text would import the whole program.
         if not module:
             return "", True
         stem = f"{ROOT}/{module.replace('.', '/')}"
--- a/stepflow/fleet/rule_checker.py
+++ b/stepflow/fleet/rule_checker.py
@@ -1,8 +1,7 @@
-"""Checks policies against the rules of the service, by their events and actions.
+"""Checks a policy's events and actions against the rules of the service.
 
-An observer of a simulation, which takes no part in any decision. Of each rule it keeps the worst figure
-beside its bound, so that the margin is known and not only whether the rule was kept. The names of rules are
-part of reports.
+The checker observes a simulation and changes nothing in it. For each rule it keeps the worst value beside the
+bound, which shows the margin as well as whether the rule was kept. The names of the rules appear in reports.
 """
 
 from __future__ import annotations
@@ -31,12 +30,12 @@
     StartAttempt,
 )
 
-SLACK_US = 50_000  # that delays between processes add to each limit
+SLACK_US = 50_000  # allowance for delays between processes in the bound of `sent_to_draining`
 
 
 @dataclass
 class Rule:
-    """One rule: the bound of a figure, and the worst one that was seen."""
+    """A rule: the bound of a value, and the worst value recorded."""
 
     name: str
     bound: float
@@ -45,7 +44,7 @@
     first_violation: str = ""
 
     def record(self, value: float, where: str) -> None:
-        """Take a figure; `where` says when and by what it came about."""
+        """Record a value; `where` names the time, node and event or action for the report."""
         self.worst = max(self.worst, value)
         if value > self.bound:
             self.violations += 1
@@ -53,35 +52,35 @@
 
     @property
     def margin(self) -> float:
-        """Share of the bound that is left; for a bound of 0, 1 where it is kept."""
+        """The unused share of the bound; for a bound of 0, 1 if the rule was kept and 0 if not."""
         return 1 - self.worst / self.bound if self.bound else float(not self.worst)
 
 
 @dataclass(slots=True)
 class _RequestHistory:
-    """What is known of one request of a node."""
+    """The state of one request of a node."""
 
     expires_us: int
     limit: int
     attempts: int = 0
     in_flight: bool = False
     established: bool = False
-    answered: bool = False  # it has its answer, or its client left
+    answered: bool = False  # it has its final answer, or its client disconnected
 
 
 @dataclass
 class _NodeHistory:
-    """What one process of a node was told."""
+    """The state of one process of a node: its settings, requests and endpoint list."""
 
     settings: Settings
     requests: dict[int, _RequestHistory] = field(default_factory=dict)
-    listed: dict[EndpointId, int | None] = field(
+    unavailable_since: dict[EndpointId, int | None] = field(
         default_factory=dict
-    )  # since when it must not be used; None for a ready one
+    )  # time since when an endpoint must not get new sessions; None for a ready one
 
 
 class RuleChecker:
-    """Checks all nodes of one run."""
+    """Checks all nodes of one run; an `Observer` of the simulation."""
 
     def __init__(self) -> None:
         self._nodes: dict[int, _NodeHistory] = {}
@@ -106,25 +105,25 @@
             self.migrations,
         ]
         self._event_checks: dict[type, Callable[[int, _NodeHistory, Any], None]] = {
-            EndpointListUpdate: self._listed,
-            Request: self._requested,
-            SessionAdopted: self._adopted,
-            SessionEstablished: self._established,
-            AttemptEnded: self._ended,
-            ClientDisconnected: self._left,
+            EndpointListUpdate: self._record_list_update,
+            Request: self._record_request,
+            SessionAdopted: self._record_adoption,
+            SessionEstablished: self._record_session,
+            AttemptEnded: self._record_attempt_end,
+            ClientDisconnected: self._record_disconnect,
         }
 
     @property
     def kept(self) -> bool:
-        """Whether no rule was broken."""
+        """Whether all rules were kept."""
         return not any(rule.violations for rule in self.rules)
 
     def node_started(self, node: int, incarnation: int, settings: Settings) -> None:
-        """A process starts, and knows nothing of the node's one before."""
+        """Start a new history for a node's new process, which knows nothing of the process before it."""
         self._nodes[node] = _NodeHistory(settings)
 
     def event_handled(self, now: int, node: int, event: Event, actions: Iterable[Action]) -> None:
-        """Check an event and the actions that followed it."""
+        """Check an event and the actions that the policy returned for it."""
         call = self._event_checks.get(type(event))
         if call is not None:
             call(now, self._nodes[node], event)
@@ -132,73 +131,73 @@
             self._check_action(now, node, action)
 
     def _check_action(self, now: int, node: int, action: Action) -> None:
-        seen = self._nodes[node]
+        history = self._nodes[node]
         where = f"{now / SECOND:.3f} s, node {node}: {action}"
         if isinstance(action, StartAttempt):
-            self._sent(now, seen, action, where)
+            self._check_attempt(now, history, action, where)
         elif isinstance(action, RejectRequest | FailRequest):
-            request = seen.requests.get(action.request_id)
+            request = history.requests.get(action.request_id)
             self.extra_answers.record(request is None or request.answered, where)
             if request is not None:
-                self._answered(now, request, where)
+                self._check_answer(now, request, where)
         elif isinstance(action, MigrateSession):
-            request = seen.requests.get(action.request_id)
+            request = history.requests.get(action.request_id)
             self.migrations.record(request is None or not request.established, where)
 
     def run_ended(self, now: int, servers: Iterable[Server]) -> None:
-        """Check for requests without an answer, and servers overloaded in their slow start."""
-        for number, seen in self._nodes.items():
-            for id, request in seen.requests.items():
+        """Check for requests without an answer and for servers overloaded during their slow start."""
+        for number, history in self._nodes.items():
+            for id, request in history.requests.items():
                 overdue = request.expires_us + self.late.bound * SECOND < now
                 self.unanswered.record(not request.answered and overdue, f"node {number}: request {id}")
         for server in servers:
             self.slow_start.record(server.worst_overload, server.id)
 
     @staticmethod
-    def _listed(now: int, seen: _NodeHistory, event: EndpointListUpdate) -> None:
+    def _record_list_update(now: int, history: _NodeHistory, event: EndpointListUpdate) -> None:
         if event.kind == ListUpdateKind.FAILED:
             return
         if event.kind != ListUpdateKind.DELTA:
-            named = {entry.id for entry in event.endpoints}
-            for id, since in seen.listed.items():
-                if id not in named and since is None:
-                    seen.listed[id] = now
+            listed_ids = {entry.id for entry in event.endpoints}
+            for id, since in history.unavailable_since.items():
+                if id not in listed_ids and since is None:
+                    history.unavailable_since[id] = now
         for entry in event.endpoints:
             if entry.availability == Availability.READY:
-                seen.listed[entry.id] = None
-            elif seen.listed.get(entry.id) is None:
-                seen.listed[entry.id] = now
+                history.unavailable_since[entry.id] = None
+            elif history.unavailable_since.get(entry.id) is None:
+                history.unavailable_since[entry.id] = now
 
     @staticmethod
-    def _requested(now: int, seen: _NodeHistory, event: Request) -> None:
-        seen.requests[event.id] = _RequestHistory(event.expires_us, seen.settings.limits.max_attempts)
+    def _record_request(now: int, history: _NodeHistory, event: Request) -> None:
+        history.requests[event.id] = _RequestHistory(event.expires_us, history.settings.limits.max_attempts)
 
     @staticmethod
-    def _adopted(now: int, seen: _NodeHistory, event: SessionAdopted) -> None:
-        seen.requests[event.request.id] = _RequestHistory(
+    def _record_adoption(now: int, history: _NodeHistory, event: SessionAdopted) -> None:
+        history.requests[event.request.id] = _RequestHistory(
             now, 1, 1, in_flight=True, established=True, answered=True
         )
 
-    def _established(self, now: int, seen: _NodeHistory, event: SessionEstablished) -> None:
-        request = seen.requests[event.request_id]
+    def _record_session(self, now: int, history: _NodeHistory, event: SessionEstablished) -> None:
+        request = history.requests[event.request_id]
         request.established = True
-        self._answered(now, request, f"{now / SECOND:.3f} s: {event}")
+        self._check_answer(now, request, f"{now / SECOND:.3f} s: {event}")
 
     @staticmethod
-    def _ended(now: int, seen: _NodeHistory, event: AttemptEnded) -> None:
-        request = seen.requests[event.request_id]
+    def _record_attempt_end(now: int, history: _NodeHistory, event: AttemptEnded) -> None:
+        request = history.requests[event.request_id]
         request.in_flight = request.established = False
         if event.is_final:
-            del seen.requests[event.request_id]
+            del history.requests[event.request_id]
 
     @staticmethod
-    def _left(now: int, seen: _NodeHistory, event: ClientDisconnected) -> None:
-        request = seen.requests.get(event.request_id)
+    def _record_disconnect(now: int, history: _NodeHistory, event: ClientDisconnected) -> None:
+        request = history.requests.get(event.request_id)
         if request is not None:
             request.answered = True
 
-    def _sent(self, now: int, seen: _NodeHistory, action: StartAttempt, where: str) -> None:
-        request = seen.requests.get(action.request_id)
+    def _check_attempt(self, now: int, history: _NodeHistory, action: StartAttempt, where: str) -> None:
+        request = history.requests.get(action.request_id)
         if request is None or request.answered:
             self.extra_answers.record(1, where)
             return
@@ -206,12 +205,12 @@
         self.overlap.record(request.in_flight, where)
         request.attempts, request.in_flight = request.attempts + 1, True
         self.attempts.record(max(0, request.attempts - request.limit), where)
-        since = seen.listed.get(action.endpoint, -1)
+        since = history.unavailable_since.get(action.endpoint, -1)
         self.unlisted.record(since == -1, where)
         if since is not None and since >= 0:
             self.sent_to_draining.record((now - since) / SECOND, where)
 
-    def _answered(self, now: int, request: _RequestHistory, where: str) -> None:
+    def _check_answer(self, now: int, request: _RequestHistory, where: str) -> None:
         self.extra_answers.record(request.answered, where)
         request.answered = True
         self.late.record((now - request.expires_us) / SECOND, where)
--- a/stepflow/fleet/sampling.py
+++ b/stepflow/fleet/sampling.py
@@ -1,4 +1,4 @@
-"""Samples of a simulation: at regular times, which sessions are served in time and how loaded servers are."""
+"""Periodic samples of a simulation: the sessions served in time and the utilization of the servers."""
 
 from __future__ import annotations
 
@@ -11,20 +11,20 @@
 
 
 class Sampler:
-    """Adds up the service asked for and given, and once a second the loads, into the run's measurements."""
+    """Adds the wanted and served session time, and once a second the loads, to the run's measurements."""
 
     def __init__(self, simulation: SimulationContext) -> None:
         self._simulation = simulation
         self._kinds = list(simulation.scenario.kinds)
-        self._worth = np.array([cls.worth for cls in simulation.classes])
-        self._aims = [cls.message_ms / 1000 for cls in simulation.classes]
+        self._weights = np.array([cls.worth for cls in simulation.classes])
+        self._objectives_s = [cls.message_ms / 1000 for cls in simulation.classes]
 
     def start(self) -> None:
-        """Sample from now on."""
+        """Start sampling."""
         self._simulation.after(SAMPLE_US, self._sample)
 
     def close(self) -> None:
-        """Add each server's mean load to the measurements."""
+        """Add each server's mean utilization to the measurements."""
         for server in self._simulation.servers:
             if server.samples:
                 means = self._simulation.measurements.server_load.setdefault(self._kinds[server.kind], [])
@@ -43,18 +43,18 @@
         simulation, span = self._simulation, SAMPLE_US / SECOND
         for client in simulation.clients.active:
             simulation.measurements.wanted[second, client.class_index] += (
-                span * self._worth[client.class_index]
+                span * self._weights[client.class_index]
             )
-        unreached = self._unreached()
+        unreachable = self._count_unreachable()
         for server, counts in simulation.sessions_by_class.items():
             for cls, established in enumerate(counts):
-                count = established - unreached.get((server, cls), 0)
+                count = established - unreachable.get((server, cls), 0)
                 if count:
-                    share = server.share_in_time(simulation.now, self._aims[cls])
-                    simulation.measurements.served[second, cls] += span * self._worth[cls] * count * share
+                    share = server.share_in_time(simulation.now, self._objectives_s[cls])
+                    simulation.measurements.served[second, cls] += span * self._weights[cls] * count * share
 
     def _sample_loads(self) -> None:
-        """How loaded the fleet is, by kind and by server."""
+        """Sample the load of the fleet, of each kind and of each server."""
         measurements, now = self._simulation.measurements, self._simulation.now
         running = [server for server in self._simulation.servers if server.is_running]
         measurements.imbalance.append(float(np.std([server.utilization(now) for server in running])))
@@ -68,16 +68,21 @@
         for kind, capacity, load in zip(self._kinds, capacities, loads, strict=True):
             measurements.kind_load.setdefault(kind, []).append(load / capacity if capacity else 0.0)
 
-    def _unreached(self) -> dict[tuple[Server, int], int]:
-        """How many sessions of each class are established at servers that their node does not reach."""
-        found: dict[tuple[Server, int], int] = {}
+    def _count_unreachable(self) -> dict[tuple[Server, int], int]:
+        """Return the number of sessions of each server and class whose node does not reach the server.
+
+        Sessions of servers that hang are not counted.
+        """
+        session_counts: dict[tuple[Server, int], int] = {}
         if not self._simulation.faults.any_unreachable:
-            return found
+            return session_counts
         for node in self._simulation.nodes:
             for client in node.clients.values():
                 server = client.server
                 if not client.established or server is None or server.hung:
                     continue
                 if self._simulation.faults.unreachable_since(node, server) is not None:
-                    found[server, client.class_index] = found.get((server, client.class_index), 0) + 1
-        return found
+                    session_counts[server, client.class_index] = (
+                        session_counts.get((server, client.class_index), 0) + 1
+                    )
+        return session_counts
--- a/stepflow/fleet/streams.py
+++ b/stepflow/fleet/streams.py
@@ -1,4 +1,4 @@
-"""Random streams by name: a draw that is added in one place leaves all others as they are."""
+"""Named random streams: an added draw in one stream does not change the draws of the others."""
 
 from __future__ import annotations
 
@@ -8,10 +8,10 @@
 
 
 def stream(seed: int, *names: object) -> np.random.Generator:
-    """The stream of a name under a seed.
+    """Return the random stream of a seed and names.
 
-    Philox is a counter under a key (Salmon et al., SC'11), so the streams of two keys do not overlap; the key
-    is a hash of the seed and the names.
+    Philox is a counter-based generator with a key (Salmon et al., SC'11), so streams of different keys do not
+    overlap; the key is a hash of the seed and the names.
     """
     text = "/".join(map(str, (seed, *names))).encode()
     return np.random.Generator(np.random.Philox(key=int.from_bytes(blake2b(text, digest_size=16).digest())))
--- a/stepflow/fleet/synth.py
+++ b/stepflow/fleet/synth.py
@@ -1,4 +1,4 @@
-"""Synthetic journals: simulated traffic, recorded as nodes record theirs, where there is no trace yet."""
+"""Synthetic journals: simulated traffic, recorded as nodes record it, for use when there is no trace yet."""
 
 from __future__ import annotations
 
@@ -15,18 +15,18 @@
 
 BEGAN_US = 1_700_000_000_000_000  # Unix time at which each simulated run begins
 KEY = "made by the model, no farm's"
-SEGMENT = 16 << 20  # bytes of a journal before the next one begins
+SEGMENT = 16 << 20  # size in bytes at which the next journal file begins
 
 
 class _JournalFile:
-    """The journals of one process of a node, one file after the other."""
+    """The journal files of one process of a node."""
 
     def __init__(self, folder: Path, incarnation: int) -> None:
         self._folder, self._incarnation, self._number = folder, incarnation, 0
         self.paths: list[Path] = []
 
     def put(self, data: bytes, begins: bool) -> bool:
-        """Append bytes, in a new file if they begin one; tells that they were taken."""
+        """Append bytes, to a new file if `begins`; return True, as all are written."""
         if begins:
             self._number += 1
             name = f"traffic-{BEGAN_US // 1000:016d}-{self._number:05d}-{self._incarnation:04d}.sft"
@@ -37,7 +37,7 @@
 
 
 class JournalWriter:
-    """Records each node of a run; one that is killed leaves its journal without an end."""
+    """Observer that records each node of a run; the journal of a killed process has no end record."""
 
     def __init__(self, folder: Path) -> None:
         self._folder = folder
@@ -47,35 +47,38 @@
 
     @property
     def paths(self) -> list[Path]:
-        """All journals, each node's in order."""
+        """All journal files, in the order in which their processes started."""
         return [path for file in self._files for path in file.paths]
 
     def node_started(self, node: int, incarnation: int, settings: Settings) -> None:
-        """Begin the journal of a new process."""
+        """Start the journal of a node's new process."""
         folder = self._folder / f"n{node}"
         folder.mkdir(parents=True, exist_ok=True)
-        if before := self._recorders.get(node):
-            before.flush(self._now_us)
+        if previous := self._recorders.get(node):
+            previous.flush(self._now_us)
         self._files.append(_JournalFile(folder, incarnation))
         self._recorders[node] = Recorder(
             self._files[-1], KEY, f"n{node}", BEGAN_US + incarnation, settings, SEGMENT
         )
 
     def event_handled(self, now: int, node: int, event: Event, actions: list[Action]) -> None:
-        """Record an event and its actions; journals are in Unix time, deadlines in events are not."""
+        """Record an event and its actions, with the time and a request's deadline converted to Unix time."""
         if isinstance(event, Request):
             event = event._replace(expires_us=event.expires_us + BEGAN_US)
         self._now_us = BEGAN_US + now
         self._recorders[node].take(self._now_us, event, actions)
 
     def run_ended(self, now: int, servers: Sequence[Server]) -> None:
-        """End all journals in order."""
+        """End all journals with an end record."""
         for recorder in self._recorders.values():
             recorder.end(BEGAN_US + now)
 
 
 def synth(scenario: Scenario, seed: int, folder: str | Path, policy_factory: PolicyFactory) -> list[Path]:
-    """Simulate a scenario, and leave its journals in a new folder, one folder in it for each node."""
+    """Simulate a scenario; write its journals to a new folder, with a subfolder for each node.
+
+    Returns the paths of the journals. Raises InputError if the folder exists.
+    """
     target = Path(folder)
     if target.exists():
         raise InputError(f"{target}: is there already")
