--- a/stepflow/fleet/scenario.py
+++ b/stepflow/fleet/scenario.py
@@ -1,8 +1,8 @@
 """A scenario: the fleet, its traffic and its faults, as read from a file of directives in blocks.
 
-Names of fields are those of directives, with underscores for dashes. A range is LOW..HIGH, drawn once for
-each server (or run); a single figure is a range of no width. Times are in seconds, except where a name ends
-in its unit.
+The names of fields are those of the directives, with underscores instead of dashes. A range is written
+LOW..HIGH, and a value is drawn from it once for each server (or run); a single number is a range of width 0.
+Times are in seconds unless the name ends in another unit.
 """
 
 from __future__ import annotations
@@ -18,31 +18,31 @@
 
 Range = tuple[float, float]
 MS = 1_000  # microseconds in a millisecond
-FIGURE_LIMIT = 1e12  # no figure of a scenario makes sense from here on
-NORMAL_95 = 1.959964  # standard deviations on each side of an interval of 95%
+FIGURE_LIMIT = 1e12  # numbers and ranges in a scenario must be below this; integers are not checked
+NORMAL_95 = 1.959964  # half-width of a 95% interval, in standard deviations
 
 
 @dataclass(frozen=True)
 class Kind:
-    """One kind of servers."""
+    """A kind of servers."""
 
     share: float = 1.0
     cores: float = 3.0
-    speed: Range = (1.0, 1.0)  # of a core; the yardstick is 1
-    cold_from: Range = (0.3, 0.3)  # share of its capacity that a server starts with
-    cold_s: Range = (8.0, 8.0)
+    speed: Range = (1.0, 1.0)  # of a core, relative to a reference core
+    cold_from: Range = (0.3, 0.3)  # share of its full capacity at the start of slow start
+    cold_s: Range = (8.0, 8.0)  # duration of slow start
 
 
 @dataclass(frozen=True)
 class Class:
-    """One class of sessions; loads and lives are relative to the means of the day."""
+    """A class of sessions; `load` and `life` are relative to the means over all classes."""
 
     share: float = 1.0
     load: Range = (1.0, 1.0)
     life: Range = (1.0, 1.0)
-    load_sigma: float = 0.6  # of the logarithm, from one connection to the next
-    swing_sigma: float = 0.4  # and from one of its loads to the next
-    work_ms: float = 10.0  # of a set-up, on the yardstick's core
+    load_sigma: float = 0.6  # standard deviation of the logarithm, between sessions
+    swing_sigma: float = 0.4  # the same, between the loads of one session
+    work_ms: float = 10.0  # work of a session set-up on a reference core
     aim_ms: float = 300.0
     wait_ms: float = 1200.0
     message_ms: float = 50.0  # the latency objective of messages
@@ -70,56 +70,56 @@
 
 @dataclass(frozen=True)
 class Fault:
-    """A fault or an operation, from `at` seconds on."""
+    """A fault or an operation that begins `at` seconds into the run."""
 
     what: str
     at: float
     lasts: float = 10.0
-    part: float = 0.1  # of the servers; of the nodes for a restart or a roll; of the attempts for resets
-    times: float = 2.0  # the traffic, for a burst
-    at_once: float = 0.27  # share of the nodes that a restart or a roll takes at a time
-    share: float = 0.5  # of a faulty server's answers that are errors; of its speed that a slow one keeps
-    tries: int = 0  # attempts of a request from then on, where settings change; 0 for as many as before
-    probe_price: float = -1.0  # and points for one health check a request; below 0 for the same
-    drain_s: float = 5.0  # for which a replaced server drains before it stops
+    part: float = 0.1  # of the servers; for restart and roll, of the nodes; for resets, of the attempts
+    times: float = 2.0  # factor by which a burst multiplies the arrival rate
+    at_once: float = 0.27  # share of the nodes that restart at the same time, for restart and roll
+    share: float = 0.5  # for errors, of a server's answers; for slow, of its speed that it keeps
+    tries: int = 0  # for settings: the new limit on attempts of a request; 0 leaves it unchanged
+    probe_price: float = -1.0  # for settings: new points for one health check a request; below 0: unchanged
+    drain_s: float = 5.0  # how long a replaced server drains before it stops
 
 
 @dataclass(frozen=True)
 class Day:
-    """The block `day`: the figures of the fleet, its traffic and its network."""
+    """The block `day`: parameters of the fleet, its traffic and its network."""
 
     seconds: float = 60.0
-    warm: float = 5.0  # before anything is measured
+    warm: float = 5.0  # warm-up before measurements start
     servers: int = 15
     nodes: int = 2
     rate: float = 11.0  # new connections a second
-    life: float = 100.0  # mean, of a connection
-    utilization: float = 0.5  # of the fleet's capacity at the start, by sessions and their groups
+    life: float = 100.0  # mean duration of a connection
+    utilization: float = 0.5  # share of the fleet's capacity that sessions and their groups use at the start
     groups: int = 120
-    group_load: float = 1.5  # mean connection loads that a server pays for a group it holds any of
+    group_load: float = 1.5  # load of each affinity group with sessions at a server, in mean connection loads
     retries: int = 2
-    leave: float = 0.04  # share of the clients that leave before their time
-    back_ms: Range = (120.0, 2000.0)  # until a client whose connection broke or was moved comes again
+    leave: float = 0.04  # share of the clients that leave early
+    back_ms: Range = (120.0, 2000.0)  # until a client whose connection broke or was migrated reconnects
     front_s: Range = (1.2, 3.3)  # until clients notice that a node is down
-    list_s: Range = (2.5, 5.5)  # until the list tells of a change
-    report_s: Range = (0.32, 1.1)  # between two refreshes of a server's report
+    list_s: Range = (2.5, 5.5)  # until the endpoint list shows a change
+    report_s: Range = (0.32, 1.1)  # between two refreshes of a server's load report
     report_noise: float = 0.04
-    probe_us: float = 270.0  # of work
-    zones: int = 1  # servers, nodes and clients are dealt out over them in turn
-    zone_price: float = 0.0  # points for a second served across zones
-    skew: float = 0.0  # of the logarithm of a node's share of the clients
-    list_calls: float = 0.0  # that discovery answers a second, one after the other; 0 for any number
-    list_wait_s: float = 2.0  # a call that would wait longer fails then
+    probe_us: float = 270.0  # work of a health check
+    zones: int = 1  # servers and nodes are assigned to zones in turn, clients at random
+    zone_price: float = 0.0  # points for each second of service across zones
+    skew: float = 0.0  # standard deviation of the logarithm of a node's share of the clients
+    list_calls: float = 0.0  # calls a second that discovery answers, one at a time; 0: no limit
+    list_wait_s: float = 2.0  # a call that would wait longer fails after this time
     trip_us: float = 300.0  # one way, client to node or node to server
-    store: float = 20.0  # set-ups that the session store takes, in usual rates
-    message_share: float = 0.08  # of the message objective that a message's work takes
-    fall_times: float = 2.5
-    fall_s: float = 1.5
+    store: float = 20.0  # capacity of the session store, in set-ups, as a multiple of `rate`
+    message_share: float = 0.08  # service time of a message, as a share of the message latency objective
+    fall_times: float = 2.5  # multiple of the slow-start load rate that crashes a server
+    fall_s: float = 1.5  # window over which that rate is measured
 
 
 @dataclass(frozen=True)
 class Fitted:
-    """Intervals of 95% that a fit gave for figures of the day: each run draws its own from them."""
+    """The 95% intervals of fitted parameters of the day; each run draws its values from them."""
 
     rate: Range | None = None
     life: Range | None = None
@@ -128,20 +128,20 @@
 
 @dataclass(frozen=True)
 class Seen:
-    """The most that the trace held of what a scenario was fitted to; 0 where it was fitted to none."""
+    """The highest values in the trace that a scenario was fitted to; 0 if it was fitted to no trace."""
 
     rate: float = 0.0
     utilization: float = 0.0
 
 
-MAX_ATTEMPTS = 6  # attempts of a request
+MAX_ATTEMPTS = 6  # default limit on the attempts of a request
 HEALTH_CHECK_PRICE = 0.004  # points for one health check a request
-EXTRAPOLATION = 1.1  # from so many times what the trace held on
+EXTRAPOLATION = 1.1  # a run that exceeds the trace by more than this factor extrapolates
 
 
 @dataclass(frozen=True)
 class Scenario:
-    """A whole scenario."""
+    """A scenario: one field for each type of block."""
 
     day: Day = field(default_factory=Day)
     kinds: Mapping[str, Kind] = field(default_factory=lambda: {"std": Kind()})
@@ -151,37 +151,38 @@
     seen: Seen = field(default_factory=Seen)
 
     def sampled(self, seed: int) -> Scenario:
-        """This scenario for one run: what is known within an interval only is drawn from that.
+        """Return this scenario for one run, with fitted parameters drawn from their intervals.
 
-        So an interval over many runs holds what the fit leaves open beside the chance of single runs.
+        An interval over many runs thus includes the uncertainty of the fit as well as the randomness of
+        single runs.
         """
-        found: dict[str, Any] = {}
-        for one in fields(Fitted):
-            span = getattr(self.fitted, one.name)
+        drawn: dict[str, Any] = {}
+        for entry in fields(Fitted):
+            span = getattr(self.fitted, entry.name)
             if span is not None:
                 low, high = span
-                draw = stream(seed, "fitted", one.name).standard_normal()
+                draw = stream(seed, "fitted", entry.name).standard_normal()
                 value = (low + high) / 2 + (high - low) / (2 * NORMAL_95) * float(draw)
-                found[one.name] = max(low / 2, value)
-        return replace(self, day=replace(self.day, **found), fitted=Fitted()) if found else self
+                drawn[entry.name] = max(low / 2, value)
+        return replace(self, day=replace(self.day, **drawn), fitted=Fitted()) if drawn else self
 
     def extrapolations(self, peak_load: float) -> list[str]:
-        """What a run asked for that the trace behind the scenario never showed."""
+        """Return a text for each quantity of a run that exceeds the trace that the scenario was fitted to."""
         bursts = [fault.times for fault in self.faults if fault.what == "burst"]
-        asked = {
+        requested = {
             "connections a second": (self.day.rate * max([1.0, *bursts]), self.seen.rate),
             "of the fleet's capacity": (peak_load, self.seen.utilization),
         }
         return [
             f"up to {most:.3g} {name}, and the trace held {held:.3g} at the most"
-            for name, (most, held) in asked.items()
+            for name, (most, held) in requested.items()
             if held and most > EXTRAPOLATION * held
         ]
 
     def settings(self, position: int = 0, now: float = 0.0) -> Settings:
-        """The settings of a node from a time on (seconds of the run).
+        """Return the settings of the node at `position` that apply at a time (`now`, in seconds of the run).
 
-        Ranges give their least favourable end, as a site's rules do.
+        Of a range, they contain the least favourable end, as the settings of a site do.
         """
         day, tries, price = self.day, MAX_ATTEMPTS, HEALTH_CHECK_PRICE
         for fault in sorted(self.faults, key=lambda fault: fault.at):
@@ -219,12 +220,12 @@
         )
 
 
-_NAMED: dict[str, type] = {"kind": Kind, "class": Class}
-_PLAIN: dict[str, type] = {"day": Day, "fitted": Fitted, "trace": Seen}
+_NAMED_BLOCKS: dict[str, type] = {"kind": Kind, "class": Class}
+_UNNAMED_BLOCKS: dict[str, type] = {"day": Day, "fitted": Fitted, "trace": Seen}
 
 
 def load(path: str | Path) -> Scenario:
-    """Read a scenario; a FileError names file, line and directive."""
+    """Read a scenario file; a FileError names the file, line and directive."""
     try:
         text = Path(path).read_bytes()[:MOST_BYTES].decode()
     except OSError as fault:
@@ -235,72 +236,80 @@
 
 
 def read(text: str, file: str) -> Scenario:
-    """The scenario of a file's text; what it does not name has its default."""
-    plain: dict[str, Any] = {name: model() for name, model in _PLAIN.items()}
+    """Parse the text of a scenario file; anything it leaves out has its default."""
+    unnamed: dict[str, Any] = {name: model() for name, model in _UNNAMED_BLOCKS.items()}
     faults = []
     named: dict[str, dict[str, Any]] = {"kind": {}, "class": {}}
     for block in parse(text, file):
-        known = block.name in ("fault", *_PLAIN, *_NAMED)
-        if block.block is None or not known or len(block.values) != (block.name not in _PLAIN):
+        known = block.name in ("fault", *_UNNAMED_BLOCKS, *_NAMED_BLOCKS)
+        if block.block is None or not known or len(block.values) != (block.name not in _UNNAMED_BLOCKS):
             blocks = "day {, kind NAME {, class NAME {, fault WHAT {, fitted { and trace {"
-            raise FileError(file, block.line, f"{block.name}: a scenario has the blocks {blocks}")
-        if block.name in _PLAIN:
-            plain[block.name] = replace(plain[block.name], **_pairs(_PLAIN[block.name], block, file))
+            raise FileError(file, block.line, f"{block.name}: expected one of the blocks {blocks}")
+        if block.name in _UNNAMED_BLOCKS:
+            unnamed[block.name] = replace(
+                unnamed[block.name], **_parse_block(_UNNAMED_BLOCKS[block.name], block, file)
+            )
             continue
         (name,) = block.values
         if block.name == "fault":
             if name not in FAULTS:
-                raise FileError(file, block.line, f"fault: {name!r} is none of {', '.join(FAULTS)}")
-            pairs = _pairs(Fault, block, file)
+                raise FileError(
+                    file, block.line, f"fault: unknown fault {name!r}, expected one of {', '.join(FAULTS)}"
+                )
+            pairs = _parse_block(Fault, block, file)
             if "at" not in pairs:
-                raise FileError(file, block.line, f"fault {name}: at: is missing")
+                raise FileError(file, block.line, f"fault {name}: at: required directive is missing")
             faults.append(Fault(name, **pairs))
         elif name in named[block.name]:
             raise FileError(file, block.line, f"{block.name} {name}: stands a second time")
         else:
-            named[block.name][name] = _NAMED[block.name](**_pairs(_NAMED[block.name], block, file))
+            named[block.name][name] = _NAMED_BLOCKS[block.name](
+                **_parse_block(_NAMED_BLOCKS[block.name], block, file)
+            )
     base = Scenario()
     return Scenario(
-        plain["day"],
+        unnamed["day"],
         named["kind"] or base.kinds,
         named["class"] or base.classes,
         tuple(faults),
-        plain["fitted"],
-        plain["trace"],
+        unnamed["fitted"],
+        unnamed["trace"],
     )
 
 
-def _pairs(model: type, block: Directive, file: str) -> dict[str, Any]:
+def _parse_block(model: type, block: Directive, file: str) -> dict[str, Any]:
     types = get_type_hints(model)
-    known = {one.name.replace("_", "-"): one.name for one in fields(model) if one.name != "what"}
+    known = {entry.name.replace("_", "-"): entry.name for entry in fields(model) if entry.name != "what"}
     pairs: dict[str, Any] = {}
-    for one in block.block or ():
-        where = f"{block.name}.{one.name}"
-        if one.name not in known:
-            raise FileError(file, one.line, f"{where}: no such directive; there are {', '.join(known)}")
-        if known[one.name] in pairs:
-            raise FileError(file, one.line, f"{where}: stands a second time")
-        if len(one.values) != 1:
-            raise FileError(file, one.line, f"{where}: takes one value, not {len(one.values)}")
-        value = _number(one.values[0], types[known[one.name]])
+    for entry in block.block or ():
+        where = f"{block.name}.{entry.name}"
+        if entry.name not in known:
+            raise FileError(
+                file, entry.line, f"{where}: no such directive; expected one of {', '.join(known)}"
+            )
+        if known[entry.name] in pairs:
+            raise FileError(file, entry.line, f"{where}: stands a second time")
+        if len(entry.values) != 1:
+            raise FileError(file, entry.line, f"{where}: takes one value, not {len(entry.values)}")
+        value = _parse_value(entry.values[0], types[known[entry.name]])
         if value is None:
-            raise FileError(file, one.line, f"{where}: {one.values[0]!r} is no such figure")
-        pairs[known[one.name]] = value
+            raise FileError(file, entry.line, f"{where}: {entry.values[0]!r} is not a valid value")
+        pairs[known[entry.name]] = value
     return pairs
 
 
-def _number(text: str, wanted: Any) -> float | int | Range | None:
-    """A figure of the wanted form, none of them negative; None where the text is not one."""
+def _parse_value(text: str, expected_type: Any) -> float | int | Range | None:
+    """Parse a non-negative number or range of the expected type; return None if the text is not valid."""
     parts = text.split("..")
-    ranged = wanted in (Range, Range | None)
-    if len(parts) > (2 if ranged else 1):
+    is_range = expected_type in (Range, Range | None)
+    if len(parts) > (2 if is_range else 1):
         return None
     try:
-        if wanted is int:
+        if expected_type is int:
             return int(text) if text.isascii() and text.isdigit() else None
         low, high = float(parts[0]), float(parts[-1])
     except ValueError:
         return None
     if not 0 <= low <= high < FIGURE_LIMIT:
         return None
-    return (low, high) if ranged else low
+    return (low, high) if is_range else low
--- a/tests/fleet/test_fleet.py
+++ b/tests/fleet/test_fleet.py
@@ -1,4 +1,4 @@
-"""The model of the fleet: its servers' formula, its draws, its rules, and the comparison of two ways."""
+"""The simulation of the fleet: the server model, random draws, faults, scenarios, and policy comparison."""
 
 from __future__ import annotations
 
@@ -41,23 +41,25 @@
 TEXT = "day {\n seconds 10\n servers 5\n nodes 2\n rate 6\n life 20\n}\n"
 
 
-def server() -> Server:
+def make_server() -> Server:
     return Server("s", 0, 3, 2.0, 10.0, 0.3, 8.0, max_sessions=100, group_load=0.0, message_s=0.004)
 
 
-def played(scenario: Scenario, seed: int = 1, policy: object = Policy) -> tuple[Simulation, Measurements]:
+def run_scenario(
+    scenario: Scenario, seed: int = 1, policy: object = Policy
+) -> tuple[Simulation, Measurements]:
     simulation = Simulation(scenario, seed, policy)  # type: ignore[arg-type]
     return simulation, simulation.run()
 
 
-@pytest.mark.parametrize(("cores", "rho", "chance"), [(1, 0.7, 0.7), (2, 0.5, 1 / 3), (3, 2 / 3, 4 / 9)])
-def test_erlang_s_formula_gives_the_textbook_s_chances(cores: int, rho: float, chance: float) -> None:
-    assert erlang_c(cores, rho) == pytest.approx(chance)
+@pytest.mark.parametrize(("cores", "rho", "probability"), [(1, 0.7, 0.7), (2, 0.5, 1 / 3), (3, 2 / 3, 4 / 9)])
+def test_erlang_c_gives_the_textbook_probabilities(cores: int, rho: float, probability: float) -> None:
+    assert erlang_c(cores, rho) == pytest.approx(probability)
 
 
-def test_work_beyond_capacity_piles_up_and_is_worked_off_again() -> None:
-    one = server()
-    one.add_session(1, 90.0)  # asks for 9 core-seconds a second of 6
+def test_demand_above_capacity_builds_a_backlog_that_drains_afterwards() -> None:
+    one = make_server()
+    one.add_session(1, 90.0)  # demands 9 core-seconds a second of a capacity of 6
     one.advance(2 * SECOND)
     assert one.utilization(2 * SECOND) == 1.5 and one.backlog == pytest.approx(6.0)
     assert one.wait_s(2 * SECOND) == pytest.approx(1.0) and one.share_in_time(2 * SECOND, 0.05) == 0.0
@@ -65,28 +67,28 @@
     assert one.wait_s(3 * SECOND) == 0.0 and one.share_in_time(3 * SECOND, 0.05) == 1.0
 
 
-def test_a_cold_server_warms_evenly_and_falls_by_what_is_sent_at_once() -> None:
-    one = server()
+def test_capacity_grows_linearly_in_slow_start_and_too_much_load_at_once_overloads_the_server() -> None:
+    one = make_server()
     one.started_us = SECOND
     assert [one.capacity_share(at * SECOND) for at in (1, 5, 9)] == pytest.approx([0.3, 0.65, 1.0])
     room = (
         2.5 * 1.5 * one.capacity(SECOND) * one.load_per_core / one.slow_start_s
-    )  # filled no sooner than it is warm
+    )  # the server may be full only at the end of slow start
     assert not one.is_overloaded_by(SECOND, room * 0.99, 2.5, 1_500_000)
     assert one.is_overloaded_by(SECOND + 1000, room * 0.05, 2.5, 1_500_000)
     assert not one.is_overloaded_by(9 * SECOND, room * 9, 2.5, 1_500_000)  # warm
 
 
-def test_more_load_never_brings_more_echoes_in_time() -> None:
+def test_the_share_of_messages_in_time_never_grows_with_load() -> None:
     shares = []
     for load in range(0, 70, 5):
-        one = server()
+        one = make_server()
         one.add_session(1, float(load))
         shares.append(one.share_in_time(0, 0.05))
     assert shares == sorted(shares, reverse=True) and shares[0] == 1.0 and shares[-1] == 0.0
 
 
-def test_a_burst_leaves_all_other_draws_as_they_are() -> None:
+def test_a_burst_does_not_change_the_draws_of_established_sessions() -> None:
     burst = replace(SMALL, faults=(Fault("burst", 5, 4, times=3.0),))
     plain, other = draw_traffic(SMALL, 3), draw_traffic(burst, 3)
     assert len(other.at_us) > len(plain.at_us) and plain.established == other.established
@@ -94,14 +96,14 @@
     assert np.array_equal(plain.loads[: plain.established], other.loads[: plain.established])
 
 
-def test_a_run_repeats_itself_to_the_last_figure() -> None:
-    first, second = (score(SMALL, played(SMALL)[1]) for _ in range(2))
-    assert first == second and score(SMALL, played(SMALL, 2)[1]) != first
+def test_one_seed_gives_equal_scores_and_another_seed_a_different_score() -> None:
+    first, second = (score(SMALL, run_scenario(SMALL)[1]) for _ in range(2))
+    assert first == second and score(SMALL, run_scenario(SMALL, 2)[1]) != first
 
 
-def test_policies_see_the_same_clients() -> None:
-    """Common random numbers: what is asked for differs by what a policy does with it only."""
-    one, other = played(SMALL)[1], played(SMALL, policy=RandomChoice)[1]
+def test_clients_are_the_same_for_different_policies() -> None:
+    """Policies are compared with common random numbers, so the demand must not depend on the policy."""
+    one, other = run_scenario(SMALL)[1], run_scenario(SMALL, policy=RandomChoice)[1]
     assert one.requests == other.requests > 50 and np.array_equal(one.wanted, other.wanted)
 
 
@@ -117,10 +119,10 @@
 
 
 @pytest.mark.parametrize("fault", FAULTS, ids=lambda fault: fault.what)
-def test_what_the_world_counts_adds_up_through_every_fault(fault: Fault) -> None:
-    simulation, measurements = played(replace(SMALL, faults=(fault,)))
-    standing = sum(c.established for node in simulation.nodes for c in node.clients.values())
-    assert standing == sum(one.connections for one in simulation.servers) > 0
+def test_session_counts_loads_and_service_are_consistent_after_each_fault(fault: Fault) -> None:
+    simulation, measurements = run_scenario(replace(SMALL, faults=(fault,)))
+    established_count = sum(c.established for node in simulation.nodes for c in node.clients.values())
+    assert established_count == sum(one.connections for one in simulation.servers) > 0
     for one in simulation.servers:
         held = [
             c for node in simulation.nodes for c in node.clients.values() if c.established and c.server is one
@@ -132,8 +134,8 @@
     assert all(len(node.clients) < 400 for node in simulation.nodes)
 
 
-def test_a_setting_that_changes_amid_a_run_holds_from_then_on() -> None:
-    """At all nodes that run, as at SIGHUP, and at those that start later."""
+def test_settings_changed_during_a_run_apply_from_then_on() -> None:
+    """They apply to all running nodes, as at SIGHUP, and to nodes that start later."""
     changed = replace(
         SMALL,
         faults=(
@@ -144,131 +146,133 @@
     )
     assert [changed.settings(0, at).limits.max_attempts for at in (0, 7.9, 8, 20)] == [6, 6, 2, 2]
 
-    tries: list[tuple[int, int]] = []
+    attempt_counts: list[tuple[int, int]] = []
 
     class Counting:
-        """How many attempts each request had, by when it came."""
+        """Counts the attempts of each request, with the time at which the request arrived."""
 
         def __init__(self) -> None:
-            self.came: dict[tuple[int, int], list[int]] = {}
+            self.requests_seen: dict[tuple[int, int], list[int]] = {}
 
-        def node_started(self, node: int, life: int, settings: Settings) -> None:
-            assert settings.limits.max_attempts == (2 if life > 1 else 6)
+        def node_started(self, node: int, incarnation: int, settings: Settings) -> None:
+            assert settings.limits.max_attempts == (2 if incarnation > 1 else 6)
 
         def event_handled(self, now: int, node: int, event: Event, actions: list[Action]) -> None:
             if isinstance(event, Request):
-                self.came[node, event.id] = [now, 0]
+                self.requests_seen[node, event.id] = [now, 0]
             for action in actions:
                 if isinstance(action, StartAttempt):
-                    self.came[node, action.request_id][1] += 1
+                    self.requests_seen[node, action.request_id][1] += 1
 
         def run_ended(self, now: int, servers: object) -> None:
-            tries.extend((at, count) for at, count in self.came.values())
+            attempt_counts.extend((at, count) for at, count in self.requests_seen.values())
 
     Simulation(changed, 1, RandomChoice, observers=(Counting(),)).run()
-    before = [count for at, count in tries if 3 * SECOND < at < 7 * SECOND]
-    after = [count for at, count in tries if at >= 8 * SECOND]
+    before = [count for at, count in attempt_counts if 3 * SECOND < at < 7 * SECOND]
+    after = [count for at, count in attempt_counts if at >= 8 * SECOND]
     assert max(before) > 2 >= max(after) > 0
 
 
-def test_a_hung_server_s_connections_tell_next_to_no_load_until_it_is_back() -> None:
+def test_sessions_of_a_hung_server_report_low_loads_until_it_recovers() -> None:
     simulation = Simulation(replace(SMALL, faults=(Fault("hang", 4, 1.5, 0.2),)), 1)
-    told: list[tuple[int, float, float]] = []
-    feed = simulation.handle_event
+    result: list[tuple[int, float, float]] = []
+    original_handler = simulation.handle_event
 
-    def fed(node: Any, event: Event) -> None:
+    def record_event(node: Any, event: Event) -> None:
         if isinstance(event, SessionReport) and event.kind == SessionReportKind.LOAD:
             client = node.clients[event.request_id]
-            told.append((simulation.now, event.value, client.load * 1000))
-        feed(node, event)
+            result.append((simulation.now, event.value, client.load * 1000))
+        original_handler(node, event)
 
-    simulation.handle_event = fed  # type: ignore[method-assign]
+    simulation.handle_event = record_event  # type: ignore[method-assign]
     simulation.run()
-    low = [at for at, value, load in told if value < 0.2 * load]
+    low = [at for at, value, load in result if value < 0.2 * load]
     assert low and min(low) >= 4 * SECOND and max(low) < 5.5 * SECOND
 
 
-def test_a_class_that_is_absent_does_not_count_as_the_worst() -> None:
+def test_a_class_without_sessions_does_not_count_as_the_worst_class() -> None:
     rare = replace(SMALL, classes={"view": Class(share=1.0), "never": Class(share=0.0)})
-    assert score(rare, played(rare)[1]).worst_class > 0.5
+    assert score(rare, run_scenario(rare)[1]).worst_class > 0.5
 
 
 @pytest.mark.parametrize(
-    ("text", "said"),
+    ("text", "message"),
     [
         ("day {\n hours 3\n}", "f:2: day.hours: no such directive"),
-        ("day {\n rate 3..4\n}", "f:2: day.rate: '3..4' is no such figure"),
-        ("kind a {\n speed 2..1\n}", "f:2: kind.speed: '2..1' is no such figure"),
-        ("kind a {\n speed 1..2..3\n}", "f:2: kind.speed: '1..2..3' is no such figure"),
-        ("day {\n servers 2.5\n}", "f:2: day.servers: '2.5' is no such figure"),
-        ("day {\n rate nan\n}", "f:2: day.rate: 'nan' is no such figure"),
-        ("fault flood {\n at 3\n}", "f:1: fault: 'flood' is none of hang"),
-        ("fault hang {\n}", "f:1: fault hang: at: is missing"),
+        ("day {\n rate 3..4\n}", "f:2: day.rate: '3..4' is not a valid value"),
+        ("kind a {\n speed 2..1\n}", "f:2: kind.speed: '2..1' is not a valid value"),
+        ("kind a {\n speed 1..2..3\n}", "f:2: kind.speed: '1..2..3' is not a valid value"),
+        ("day {\n servers 2.5\n}", "f:2: day.servers: '2.5' is not a valid value"),
+        ("day {\n rate nan\n}", "f:2: day.rate: 'nan' is not a valid value"),
+        ("fault flood {\n at 3\n}", "f:1: fault: unknown fault 'flood', expected one of hang"),
+        ("fault hang {\n}", "f:1: fault hang: at: required directive is missing"),
         ("class a {\n}\nclass a {\n}", "f:3: class a: stands a second time"),
-        ("day big {\n}", "f:1: day: a scenario has the blocks"),
+        ("day big {\n}", "f:1: day: expected one of the blocks"),
     ],
 )
-def test_a_scenario_that_can_t_be_read_is_named_by_its_line(text: str, said: str) -> None:
+def test_an_invalid_scenario_raises_an_error_that_names_the_line(text: str, message: str) -> None:
     with pytest.raises(FileError) as fault:
         read(text, "f")
-    assert str(fault.value).startswith(said)
+    assert str(fault.value).startswith(message)
 
 
-def test_a_scenario_s_figures_are_taken() -> None:
-    told = read("kind old {\n speed 0.7..0.9\n}\nfault hang {\n at 3\n part 0.5\n}", "f")
-    assert told.kinds["old"].speed == (0.7, 0.9) and told.faults == (Fault("hang", 3.0, part=0.5),)
-    assert told.day == Day() and told.classes == Scenario().classes
+def test_values_of_a_scenario_are_read_and_others_keep_their_defaults() -> None:
+    result = read("kind old {\n speed 0.7..0.9\n}\nfault hang {\n at 3\n part 0.5\n}", "f")
+    assert result.kinds["old"].speed == (0.7, 0.9) and result.faults == (Fault("hang", 3.0, part=0.5),)
+    assert result.day == Day() and result.classes == Scenario().classes
 
 
 @pytest.mark.parametrize("spec", ["KP=0.1", "present,KP=0.1,KI=0", "random", "present"])
-def test_a_policy_is_made_by_its_name(spec: str) -> None:
-    made: Any = policy_factory(spec)(SMALL.settings(), 1)
-    assert made.handle(0, Started())
+def test_a_valid_policy_spec_gives_a_policy_with_the_constants_it_sets(spec: str) -> None:
+    instance: Any = policy_factory(spec)(SMALL.settings(), 1)
+    assert instance.handle(0, Started())
     if "KP" in spec:
-        assert vars(sys.modules[type(made.weights).__module__])["KP"] == 0.1 != weights.KP
+        assert vars(sys.modules[type(instance.weights).__module__])["KP"] == 0.1 != weights.KP
 
 
 @pytest.mark.parametrize(
     "spec", ["best", "NONE=1", "KP=high", "random,KP=1", "rev:", "rev:no-such", "rev:-h"]
 )
-def test_a_name_that_means_nothing_is_turned_down(spec: str) -> None:
+def test_an_invalid_policy_spec_is_rejected(spec: str) -> None:
     with pytest.raises(PolicySpecError, match=spec.split(",")[0].replace("-", ".")):
         policy_factory(spec)
 
 
-def test_an_interval_covers_its_mean_as_often_as_it_says() -> None:
-    """Also in two stages, where the number of runs hangs on the first ones."""
-    rng, hits = np.random.default_rng(7), 0
+def test_an_interval_contains_the_true_mean_at_its_confidence_level() -> None:
+    """The runs are made in two stages: the first ones determine how many are needed in total."""
+    rng, covered = np.random.default_rng(7), 0
     for _ in range(400):
         first = list(rng.normal(1.0, 2.0, 10))
         more = runs_for(first, 1.5, 0.95) - len(first)
         found = interval(first + list(rng.normal(1.0, 2.0, more)), 0.95, 10)
         assert found.high - found.low <= 1.5 + 1e-9
-        hits += found.low <= 1.0 <= found.high
-    assert 0.92 <= hits / 400 <= 0.985
+        covered += found.low <= 1.0 <= found.high
+    assert 0.92 <= covered / 400 <= 0.985
     with pytest.raises(CompareError):
         interval([1.0], 0.95)
 
 
-def test_two_sides_differ_by_their_modules_luck_alone() -> None:
+def test_runs_of_one_seed_differ_only_by_the_stream_of_the_policies_draws() -> None:
     side = Side(TEXT, "f", "present")
     assert side.play(4, "A") == side.play(4, "A") != side.play(4, "B")
 
 
-def test_compare_tells_a_difference_and_its_absence(tmp_path: Path) -> None:
+def test_compare_reports_a_difference_and_reports_none_between_equal_policies(tmp_path: Path) -> None:
     path = tmp_path / "day.conf"
     path.write_text(TEXT + "kind a {\n}\nkind old {\n speed 0.5..0.6\n}\nfault start {\n at 8\n lasts 1\n}\n")
     out = str(tmp_path / "kept")
-    words = ("fleet", "compare", "present", "random", "-s", str(path), "--runs", "4", "--jobs", "2")
-    told = json.loads(command(*words, "--json", "-o", out).stdout)
-    assert told["runs"] == 4 and told["figures"]["probes"]["high"] < 0  # random choice asks nobody
+    arguments = ("fleet", "compare", "present", "random", "-s", str(path), "--runs", "4", "--jobs", "2")
+    result = json.loads(command(*arguments, "--json", "-o", out).stdout)
+    assert (
+        result["runs"] == 4 and result["figures"]["probes"]["high"] < 0
+    )  # random choice makes no health checks
     kept = json.loads(next(Path(out).glob("*.json")).read_text())
     assert kept["seeds"] == [1, 2, 3, 4] and [one["policy"] for one in kept["sides"]] == ["present", "random"]
     same = command("fleet", "compare", "present", "present", "-s", str(path), "--runs", "3", "--jobs", "2")
     assert same.returncode == 0 and "no difference seen" in same.stdout
 
 
-def test_compare_turns_bad_input_down_at_once(tmp_path: Path) -> None:
+def test_compare_rejects_an_invalid_scenario_with_the_error_and_exit_code_2(tmp_path: Path) -> None:
     path = tmp_path / "day.conf"
     path.write_text("day {\n speed 3\n}\n")
     done = command("fleet", "compare", "present", "random", "-s", str(path))
--- a/tests/fleet/test_fleet_terms.py
+++ b/tests/fleet/test_fleet_terms.py
@@ -1,4 +1,4 @@
-"""What holds for all nodes together, between real processes; benchmarks/terms.py plays 20 and 30 of them."""
+"""Guarantees of all nodes together, tested with real processes; benchmarks/terms.py runs 20 and 30 nodes."""
 
 from __future__ import annotations
 
@@ -11,15 +11,15 @@
 from tests.node_kit import SETTINGS
 
 NODES = 5
-TOLD = {**SETTINGS, "azs": ["room"]}
+NODE_SETTINGS = {**SETTINGS, "azs": ["room"]}
 
 
 @pytest.mark.parametrize(("cold", "killed"), [(2, 0), (2, 3), (7, 0)])
-def test_cold_servers_get_no_more_than_the_ramp_and_chance_of_all_processes(
+def test_sessions_of_all_nodes_at_cold_endpoints_stay_within_the_slow_start_limit_and_chance(
     cold: int, killed: int, tmp_path: Path
 ) -> None:
-    assert 0 < asyncio.run(measure_slow_start(tmp_path, NODES, 8, cold, killed, TOLD)) <= 1
+    assert 0 < asyncio.run(measure_slow_start(tmp_path, NODES, 8, cold, killed, NODE_SETTINGS)) <= 1
 
 
-def test_the_list_is_had_within_6_s_by_processes_whose_calls_nobody_answered(tmp_path: Path) -> None:
-    assert asyncio.run(measure_outage(tmp_path, NODES, 0.05, 7.3, TOLD)) < 6
+def test_nodes_with_unanswered_calls_get_the_list_within_6_s_after_discovery_recovers(tmp_path: Path) -> None:
+    assert asyncio.run(measure_outage(tmp_path, NODES, 0.05, 7.3, NODE_SETTINGS)) < 6
--- a/tests/fleet/test_imports.py
+++ b/tests/fleet/test_imports.py
@@ -1,4 +1,4 @@
-"""The modules of stepflow/fleet import each other in one direction, also those that only types need."""
+"""The imports between the modules of stepflow/fleet have no cycle, including imports only for types."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 def imported_by(path: Path) -> set[str]:
-    """The modules of this package that a file imports, at any place in it."""
+    """Return the modules of this package that a file imports anywhere."""
     found = [
         node.module for node in ast.walk(ast.parse(path.read_text())) if isinstance(node, ast.ImportFrom)
     ]
@@ -21,12 +21,12 @@
 
 
 def name_of(path: Path) -> str:
-    """A file's module by its name within this package; a package's own module by the package's."""
+    """Return a file's module name within this package; for an `__init__.py`, the name of its package."""
     parts = path.relative_to(FOLDER).with_suffix("").parts
     return ".".join(parts[:-1] if parts[-1] == "__init__" and len(parts) > 1 else parts)
 
 
-def test_no_circle_of_imports_is_left_in_the_model() -> None:
+def test_modules_of_the_fleet_simulation_have_no_import_cycle() -> None:
     imports = {name_of(path): imported_by(path) for path in FOLDER.rglob("*.py")}
     assert imports["simulation"] >= {"clients", "attempts", "faults", "endpoint_list"}
     assert set(TopologicalSorter(imports).static_order()) == set(imports)  # raises CycleError
--- a/tests/fleet/test_revisions.py
+++ b/tests/fleet/test_revisions.py
@@ -1,4 +1,4 @@
-"""Policies of other revisions: their own interface, converted types, and the same decisions."""
+"""Policies of other revisions: conversion between their interface and this one, and equal decisions."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from stepflow import interface
 from stepflow.fleet.policy_specs import policy_factory
 from stepflow.fleet.private_package import PrivatePackage
-from stepflow.fleet.revisions import Converter, RevisionError, RevisionPolicy, aligned, load_revision
+from stepflow.fleet.revisions import Converter, RevisionError, RevisionPolicy, align_fields, load_revision
 from stepflow.fleet.scenario import Fault, Scenario
 from stepflow.fleet.servers import Server
 from stepflow.fleet.simulation import Simulation
@@ -43,25 +43,25 @@
 
 
 @pytest.fixture(autouse=True)
-def commit_is_there() -> None:
-    """Fail with the reason, rather than with git's words, where the clone does not reach back to OLDER."""
-    told = subprocess.run(
+def require_older_commit() -> None:
+    """Fail with a clear reason, instead of git's error, if the clone's history does not contain OLDER."""
+    result = subprocess.run(
         ["git", "cat-file", "-t", OLDER], cwd=ROOT, capture_output=True, text=True, check=False
     )
-    if told.stdout.strip() != "commit":
+    if result.stdout.strip() != "commit":
         pytest.fail(
-            f"this clone lacks commit {OLDER}, which these tests load: clone with the whole history "
-            f"({told.stderr.strip()})"
+            f"this clone lacks commit {OLDER}, which these tests load: clone with the full history "
+            f"({result.stderr.strip()})"
         )
 
 
 class Transcript:
-    """All that the nodes' policies heard and did in a run."""
+    """All events and actions of the nodes' policies in a run."""
 
     def __init__(self) -> None:
         self.lines: list[tuple[int, int, Event, tuple[Action, ...]]] = []
 
-    def node_started(self, node: int, life: int, settings: Settings) -> None:
+    def node_started(self, node: int, incarnation: int, settings: Settings) -> None:
         pass
 
     def event_handled(self, now: int, node: int, event: Event, actions: list[Action]) -> None:
@@ -86,7 +86,9 @@
     ],
     ids=["calm", "hang", "burst"],
 )
-def test_a_revision_before_the_renaming_decides_as_the_present_does(faults: tuple[Fault, ...]) -> None:
+def test_a_revision_before_the_renaming_makes_the_same_decisions_as_the_present_one(
+    faults: tuple[Fault, ...],
+) -> None:
     scenario = Scenario(SMALL.day, SMALL.kinds, SMALL.classes, faults)
     older, present = transcript(scenario, f"rev:{OLDER}"), transcript(scenario, "present")
     kinds = {type(action) for *_, actions in present.lines for action in actions}
@@ -97,7 +99,7 @@
         assert [type(action) for action in line[3]] == [type(action) for action in other[3]]
 
 
-def test_a_constant_of_a_revision_is_changed_in_its_own_modules_alone() -> None:
+def test_changing_a_constant_of_a_revision_affects_only_that_policy() -> None:
     scenario = Scenario(SMALL.day, SMALL.kinds, SMALL.classes)
     changed, plain = transcript(scenario, f"rev:{OLDER},KP=0.1"), transcript(scenario, f"rev:{OLDER}")
     assert changed.lines != plain.lines
@@ -111,7 +113,7 @@
     return package, policy._to_revision, policy._from_revision
 
 
-def test_nested_values_are_converted_by_the_position_of_their_fields() -> None:
+def test_nested_values_are_converted_to_the_fields_at_the_same_position() -> None:
     package, to_revision, from_revision = converters()
     theirs = vars(package.load("interface"))
     request = Request(3, 0, 900, 2.5, 1, 77, 5, True, False, True)
@@ -141,10 +143,10 @@
     assert from_revision.convert(theirs["Result"].FULL) is AttemptResult.FULL
 
 
-def test_every_type_of_the_interface_has_its_counterpart_in_the_older_one() -> None:
+def test_every_type_of_the_interface_has_a_counterpart_in_the_older_interface() -> None:
     _, to_revision, _ = converters()
-    named = (vars(interface)[name] for name in interface.__all__)
-    types = [kind for kind in named if isinstance(kind, type) and kind.__module__.startswith("stepflow.")]
+    values = (vars(interface)[name] for name in interface.__all__)
+    types = [kind for kind in values if isinstance(kind, type) and kind.__module__.startswith("stepflow.")]
     assert len(types) >= 35 and [kind for kind in types if not to_revision.knows(kind)] == []
 
 
@@ -159,19 +161,19 @@
         ("new c other", "old c former", "newold cc otherformer"),
     ],
 )
-def test_fields_are_matched_by_name_and_by_position_between_those(ours: str, theirs: str, pairs: str) -> None:
-    assert ["".join(pair) for pair in aligned("Type", ours.split(), theirs.split())] == pairs.split()
+def test_fields_are_paired_by_name_and_in_between_by_position(ours: str, theirs: str, pairs: str) -> None:
+    assert ["".join(pair) for pair in align_fields("Type", ours.split(), theirs.split())] == pairs.split()
 
 
-def test_fields_in_another_order_are_turned_down() -> None:
-    with pytest.raises(RevisionError, match="the field a of its Type is at another position"):
-        aligned("Type", ["b", "a"], ["a", "b"])
+def test_fields_in_a_different_order_are_rejected() -> None:
+    with pytest.raises(RevisionError, match="field a of Type is at a different position"):
+        align_fields("Type", ["b", "a"], ["a", "b"])
 
 
 @pytest.mark.parametrize("older", ["0863f85", "8a7383b"])
-def test_settings_of_the_first_revisions_are_matched_though_fields_came_and_went_amid_them(
+def test_settings_of_the_first_revisions_are_converted_although_fields_were_added_and_removed(
     older: str,
 ) -> None:
-    """A revision's own decisions: it serves the scenario, as the present does, by other figures."""
+    """These revisions decide differently from the present one, but must serve the scenario as well."""
     found = transcript(Scenario(SMALL.day, SMALL.kinds, SMALL.classes), f"rev:{older}")
     assert sum(isinstance(event, SessionEstablished) for _, _, event, _ in found.lines) > 50
