--- a/stepflow/fleet/measurements.py
+++ b/stepflow/fleet/measurements.py
@@ -63,7 +63,7 @@
     fallen: int
     imbalance: float
     peak_load: float
-    refused: float  # rejected requests for each client's first request
+    refused: float  # rejected requests per client
     sick: float  # attempts at degraded servers, over the number expected of random choice
 
     @property
--- a/stepflow/fleet/observers.py
+++ b/stepflow/fleet/observers.py
@@ -10,7 +10,7 @@
 
 
 class Observer(Protocol):
-    """Is called with all events and actions of the nodes' policies."""
+    """Observer of a simulation; it is called with all events and actions of the nodes' policies."""
 
     def node_started(self, node: int, incarnation: int, settings: Settings) -> None:
         """A node's process starts; `incarnation` counts the node's processes."""
--- a/stepflow/fleet/population.py
+++ b/stepflow/fleet/population.py
@@ -14,9 +14,7 @@
 PREFERRED_SHARE = 0.7  # share of an affinity group's sessions at its preferred servers
 PREFERRED_SERVERS = 2  # number for each group
 SESSIONS_PER_CORE = 750  # limit on the sessions that a server accepts
-LEAST_LOAD_PER_CORE = (
-    1e-9  # lower limit, since loads are divided by it; a fleet without sessions would give 0
-)
+LEAST_LOAD_PER_CORE = 1e-9  # lower limit of a divisor that is 0 for a fleet without sessions
 
 
 def make_server(scenario: Scenario, kind: int, uid: str, zone: int, rng: np.random.Generator) -> Server:
--- a/stepflow/fleet/scenario.py
+++ b/stepflow/fleet/scenario.py
@@ -19,7 +19,7 @@
 Range = tuple[float, float]
 MS = 1_000  # microseconds in a millisecond
 FIGURE_LIMIT = 1e12  # numbers and ranges in a scenario must be below this; integers are not checked
-NORMAL_95 = 1.959964  # half-width of a 95% interval, in standard deviations
+NORMAL_95 = 1.959964  # half-width of a normal 95% interval, in standard deviations
 
 
 @dataclass(frozen=True)
--- a/tests/fleet/test_fleet.py
+++ b/tests/fleet/test_fleet.py
@@ -88,7 +88,7 @@
     assert shares == sorted(shares, reverse=True) and shares[0] == 1.0 and shares[-1] == 0.0
 
 
-def test_a_burst_does_not_change_the_draws_of_established_sessions() -> None:
+def test_a_burst_adds_arrivals_and_leaves_the_draws_of_established_sessions_unchanged() -> None:
     burst = replace(SMALL, faults=(Fault("burst", 5, 4, times=3.0),))
     plain, other = draw_traffic(SMALL, 3), draw_traffic(burst, 3)
     assert len(other.at_us) > len(plain.at_us) and plain.established == other.established
