--- a/tests/node_kit.py
+++ b/tests/node_kit.py
@@ -1,4 +1,4 @@
-"""A node as a process of its own, and the scripted others that it speaks with, over loopback."""
+"""Runs a node as a separate process, with scripted endpoints, discovery and clients on loopback."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 from types import TracebackType
 from typing import Any
 
-PATIENCE = 30.0  # seconds until something that has to come is held to be missing
+PATIENCE = 30.0  # seconds: the timeout of each wait for an expected event
 
 SETTINGS: dict[str, Any] = {
     "group_size": 1,
@@ -39,7 +39,7 @@
 
 
 class Line:
-    """One connection, read line by line."""
+    """A TCP connection that is written and read by lines."""
 
     def __init__(self, sock: socket.socket) -> None:
         self.sock = sock
@@ -50,7 +50,7 @@
         self.sock.sendall("".join(line + "\r\n" for line in lines).encode())
 
     def read(self) -> str:
-        """The next line; "" at a FIN, "RESET" at a reset."""
+        """Return the next line without its end; "" if it is empty or at a FIN, "RESET" at a reset."""
         try:
             return self._file.readline().decode().rstrip("\r\n")
         except ConnectionResetError:
@@ -64,7 +64,7 @@
 
 
 class Listener:
-    """Accepts connections on a free port, each in a thread of its own."""
+    """Accepts connections on a free loopback port and serves each in a thread of its own."""
 
     def __init__(self) -> None:
         self._sock = socket.create_server(("127.0.0.1", 0), backlog=64)
@@ -77,10 +77,10 @@
                 sock, _ = self._sock.accept()
             except OSError:
                 return
-            threading.Thread(target=self._serve_quietly, args=(Line(sock),), daemon=True).start()
+            threading.Thread(target=self._serve_until_closed, args=(Line(sock),), daemon=True).start()
 
-    def _serve_quietly(self, line: Line) -> None:
-        with suppress(OSError):  # the node has closed it
+    def _serve_until_closed(self, line: Line) -> None:
+        with suppress(OSError):  # the node has closed the connection
             self.serve(line)
 
     def serve(self, line: Line) -> None:
@@ -91,26 +91,26 @@
 
 
 class Peer(Listener):
-    """A map server: `answers` tells what it sends for the first word of a line, None for nothing.
+    """An endpoint; `answers` maps the first word of a line to the line sent back, None to send nothing.
 
-    "FIN" and "RESET" end the connection. What comes is kept in `lines`, in order.
+    The answers "FIN" and "RESET" end the connection. With `echo`, a line that starts with M comes back.
     """
 
     ANSWERS = {"OPEN": "UP r1", "STATS": "PONG x0=0.2,x1=0.0,util=0.2", "PING": "PONG", "M": None}
 
     def __init__(self, uid: str, echo: bool = True, **answers: str | None) -> None:
         self.uid, self.echo, self.answers = uid, echo, {**self.ANSWERS, **answers}
-        self.lines: queue.Queue[str] = queue.Queue()
-        self.ends: queue.Queue[str] = queue.Queue()
-        self.standing: queue.Queue[Line] = queue.Queue()
-        self.held: queue.Queue[Line] = queue.Queue()  # connections whose OPEN is left without an answer
+        self.lines: queue.Queue[str] = queue.Queue()  # received, in order, without STATS
+        self.ends: queue.Queue[str] = queue.Queue()  # "FIN" or "RESET" of a session; a reset before UP
+        self.standing: queue.Queue[Line] = queue.Queue()  # connections whose OPEN was answered with UP r1
+        self.held: queue.Queue[Line] = queue.Queue()  # connections whose OPEN is not answered
         super().__init__()
 
     def entry(self, state: str = "Ready") -> dict[str, Any]:
         return list_entry(self.uid, self.address, state)
 
     def serve(self, line: Line) -> None:
-        stood = opened = False
+        established = opened = False
         while (text := line.read()) not in ("", "RESET"):
             word = text.split(" ")[0]
             opened = opened or word == "OPEN"
@@ -125,23 +125,26 @@
             elif word == "OPEN":
                 self.held.put(line)
             if word == "OPEN" and answer == "UP r1":
-                stood = True
+                established = True
                 self.standing.put(line)
-        if stood or (opened and text == "RESET"):  # a probe's connection may be reset at any time
+        if established or (opened and text == "RESET"):  # the node may reset a health check at any time
             self.ends.put("RESET" if text else "FIN")
 
 
 class Discovery(Listener):
-    """Discovery: answers each watch with `first`, then with what `tell` is given, each in so many pieces."""
+    """Discovery; sends each watch the message `first`, then those put into `told`, by `tell` or directly.
 
-    END, RESET = "END", "RESET"  # as what is told: the call's connection is cut
+    Each message is split into at most `pieces` chunks. The first `refuse` calls are closed without an answer.
+    """
+
+    END, RESET = "END", "RESET"  # put into `told`: end the watch with a FIN or a reset
 
     def __init__(
         self, first: str = '{"rev":1,"all":false,"targets":[]}', refuse: int = 0, pieces: int = 1
     ) -> None:
-        self.first, self.refuse, self.pieces = first, refuse, pieces  # so many calls are cut off
+        self.first, self.refuse, self.pieces = first, refuse, pieces
         self.rev = json.loads(first)["rev"]
-        self.calls: queue.Queue[str] = queue.Queue()
+        self.calls: queue.Queue[str] = queue.Queue()  # the path of each watch, once it was sent `first`
         self.told: queue.Queue[str] = queue.Queue()
         super().__init__()
 
@@ -163,17 +166,21 @@
     def chunk(self, line: Line, text: str) -> None:
         data = text.encode() + b"\n"
         size = -(-len(data) // self.pieces)
-        for at in range(0, len(data), size):
-            piece = data[at : at + size]
+        for start in range(0, len(data), size):
+            piece = data[start : start + size]
             line.sock.sendall(b"%x\r\n%s\r\n" % (len(piece), piece))
 
     def tell(self, *entries: dict[str, Any]) -> None:
+        """Send a list update with these entries, under the next revision."""
         self.rev += 1
         self.told.put(json.dumps({"rev": self.rev, "all": False, "targets": entries}))
 
 
 class Node:
-    """The program under test, started as in service."""
+    """A node in a process of its own, started by `python -m MODULE` as in production.
+
+    `change` edits the configuration before it is written.
+    """
 
     def __init__(
         self,
@@ -203,19 +210,22 @@
         self.write()
 
     def write(self, text: str | None = None) -> None:
-        """Put the configuration where the node reads it."""
+        """Write `text`, or else `config`, to the configuration file that the node reads."""
         with open(self._path, "w") as file:
             file.write(json.dumps(self.config) if text is None else text)
 
     def successor(self) -> Node:
-        """A second process of this node, to be started beside it."""
+        """Return a second process of this node, to be started beside it.
+
+        Both use the same configuration and folder; the stand-ins and the folder stay with the first one.
+        """
         other = copy(self)
         other.peers, other.discovery, other.folder = (), None, ""
         other.env = {**self.env, "GW_OPS": "127.0.0.2:0"}
         return other
 
     def __enter__(self) -> Node:
-        self.seen = ""  # of the log
+        self.seen = ""  # the log as read so far
         self.process = subprocess.Popen(
             [sys.executable, "-m", self.module],
             env={**os.environ, "GW_CONFIG": self._path, **self.env},
@@ -239,7 +249,7 @@
             rmtree(self.folder)
 
     def wait_log(self, pattern: str) -> re.Match[str]:
-        """Read the log up to a line like this; a node that doesn't write it in time is killed."""
+        """Read the log up to the first line that matches; kill the node if none comes within PATIENCE."""
         assert self.process.stderr is not None
         limit = threading.Timer(PATIENCE, self.process.kill)
         limit.start()
@@ -250,12 +260,12 @@
                     return found
         finally:
             limit.cancel()
-        raise AssertionError(f"the node ended before it logged {pattern!r}, but {self.seen}")
+        raise AssertionError(f"the node ended before it logged {pattern!r}; its log: {self.seen}")
 
     def wait_exit(self) -> str:
-        """Wait for the end of the process; returns its whole log.
+        """Wait for the process to exit and return its whole log; kill it after PATIENCE.
 
-        `communicate` would pass over what `wait_log` has read ahead.
+        `communicate` would skip the text that `wait_log` has already read into its buffer.
         """
         assert self.process.stderr is not None
         limit = threading.Timer(PATIENCE, self.process.kill)
@@ -268,18 +278,18 @@
         return self.seen
 
     def wait_counted(self, name: str, value: int) -> None:
-        """Ask for the counters until one has come to this: what it counts may be on its way still."""
-        until, seen = time.monotonic() + PATIENCE, self.seen
+        """Poll a counter until it reaches `value`: the events that it counts may still be under way."""
+        deadline, log_before = time.monotonic() + PATIENCE, self.seen
         while True:
-            self.seen = seen  # it may be asked a thousand times
+            self.seen = log_before  # drop the log of the previous poll: there may be a thousand polls
             self.process.send_signal(signal.SIGUSR1)
-            told = int(self.wait_log(rf"counters: .*\b{name}=(\d+)").group(1))
-            if told == value:
+            count = int(self.wait_log(rf"counters: .*\b{name}=(\d+)").group(1))
+            if count == value:
                 return
-            assert told < value and time.monotonic() < until, f"{name}={told}"
+            assert count < value and time.monotonic() < deadline, f"{name}={count}"
 
     def client(self, *lines: str, receive_buffer: int = 0) -> Line:
-        """A connection that has sent these lines; with a small buffer, it takes little until it reads."""
+        """Connect a client and send these lines; a small `receive_buffer` takes little until it is read."""
         sock = socket.socket()
         if receive_buffer:
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, receive_buffer)
@@ -291,7 +301,7 @@
         return line
 
     def ops(self, path: str, method: str = "GET") -> tuple[int, str]:
-        """Make one call at the operators' address."""
+        """Make one call to the admin address and return the answer's status and body."""
         call = http.client.HTTPConnection(*self.ops_address, timeout=PATIENCE)
         call.request(method, path)
         answer = call.getresponse()
@@ -299,18 +309,19 @@
         return answer.status, answer.read().decode()
 
     def reload(self, text: str | None = None, **change: Any) -> None:
-        """Replace the configuration and tell the node so."""
+        """Write `text`, or else `config` with these changes, to the configuration file and send SIGHUP."""
         self.write(json.dumps({**self.config, **change}) if text is None else text)
         self.process.send_signal(signal.SIGHUP)
 
     def freeze(self) -> None:
-        """Stop the process: what comes meanwhile waits in the kernel, in this order."""
+        """Stop the process and wait until it has stopped; the kernel queues what arrives, in order."""
         self.process.send_signal(signal.SIGSTOP)
         with open(f"/proc/{self.process.pid}/stat") as stat:
             while stat.read().rpartition(")")[2].split()[0] != "T":
                 stat.seek(0)
 
     def thaw(self) -> None:
+        """Let the stopped process run again."""
         self.process.send_signal(signal.SIGCONT)
 
     def terminate(self) -> None:
@@ -318,11 +329,12 @@
 
 
 def opening(number: int = 1, extra: str = "", d: int = 1000, group: int = 0x5C0F6E1A2B3D4C59) -> str:
+    """Return an OPEN line of class `view`; `d` is the client's wait in ms, `extra` goes before the group."""
     return f"OPEN {number:016x} 7f3a9c21e0b4d655 c=view,d={d}{extra},g={group:016x}"
 
 
 def list_entry(uid: str, address: str, state: str = "Ready") -> dict[str, Any]:
-    """A map server's entry in discovery's list."""
+    """Return an endpoint's entry in discovery's list."""
     return {
         "uid": uid,
         "endpoint": address,
