--- a/benchmarks/footprint.py
+++ b/benchmarks/footprint.py
@@ -1,8 +1,8 @@
-"""What a node holds by itself: python -m benchmarks.footprint [--servers N] [--sessions N] [--packages N].
+"""Private memory of a node: python -m benchmarks.footprint [--servers N] [--sessions N] [--packages N].
 
-Prints the private memory of a node that idles, with many servers in its list, and as sessions are added a
-hundred at a time, beside a bare interpreter's (the baseline of the ratio); then the modules that `run` loads
-and what each package adds while it is imported.
+Prints the private memory of a bare interpreter (the baseline of the ratio), of an idle node with one endpoint
+and with many, and of a node as sessions are added a hundred at a time; then the number of modules that `run`
+loads, and the memory that each package adds while it is imported.
 """
 
 from __future__ import annotations
@@ -16,34 +16,34 @@
 from pathlib import Path
 from typing import Any
 
-from benchmarks.memory import ROOT, Load, configuration
+from benchmarks.memory import ROOT, LoadGenerator, configuration
 from standins.fleet import Fleet, MapServer
 from standins.node import start_node
 
 STEP = 100  # sessions
-# Runs in a fresh interpreter: what each import adds without what it imports itself. The file is read through
-# one descriptor, so that looking costs next to nothing.
-BY_PACKAGE = """
+# Runs in a new interpreter: measures what each import adds, without the imports inside it. smaps_rollup stays
+# open between readings, so that each costs next to nothing.
+MEASURE_PACKAGES = """
 import importlib._bootstrap as machinery, json, sys
 rollup = open("/proc/self/smaps_rollup", "rb", buffering=0)
 def private():
     rollup.seek(0)
     lines = rollup.read().split(b"\\n")
     return next(int(line.split()[1]) for line in lines if line.startswith(b"Private_Dirty"))
-added, inner, load_as_ever = {}, [0], machinery._load_unlocked
+added, nested, original_load = {}, [0], machinery._load_unlocked
 def load(spec):
     before = private()
-    inner.append(0)
+    nested.append(0)
     try:
-        return load_as_ever(spec)
+        return original_load(spec)
     finally:
-        grew, within = private() - before, inner.pop()
-        inner[-1] += grew
+        growth, nested_growth = private() - before, nested.pop()
+        nested[-1] += growth
         parts = spec.name.split(".")
         name = ".".join(parts[: 2 if parts[0] in ("stepflow", "twisted") else 1])
-        found = added.setdefault(name, [0, 0])
-        found[0] += 1
-        found[1] += grew - within
+        totals = added.setdefault(name, [0, 0])
+        totals[0] += 1
+        totals[1] += growth - nested_growth
 machinery._load_unlocked = load
 from stepflow import lazy_imports
 lazy_imports.install()
@@ -52,28 +52,28 @@
 """
 
 
-def private_in(rollup: str) -> float:
-    """MB that a process shares with no other, as the kernel's sums of its memory tell."""
+def parse_private_mb(rollup: str) -> float:
+    """Return the MB that a process shares with no other, from the text of its smaps_rollup."""
     lines = rollup.splitlines()
     return next(int(line.split()[1]) / 1024 for line in lines if line.startswith("Private_Dirty"))
 
 
-def private_mb(pid: int) -> float:
-    """The same of a process that runs."""
-    return private_in(Path(f"/proc/{pid}/smaps_rollup").read_text())
+def process_private_mb(pid: int) -> float:
+    """Return the private memory of a running process in MB."""
+    return parse_private_mb(Path(f"/proc/{pid}/smaps_rollup").read_text())
 
 
-def bare_mb() -> float:
-    """The same of an interpreter that imports nothing."""
+def interpreter_private_mb() -> float:
+    """Return the private memory in MB of an interpreter that imports nothing."""
     code = "print(open('/proc/self/smaps_rollup').read())"
-    return private_in(
+    return parse_private_mb(
         subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, check=True).stdout
     )
 
 
-async def rows(root: Path, servers: int, sessions: int) -> list[tuple[str, float]]:
-    """What was held: at idle with one server, with all of them, and with more and more sessions."""
-    found = [("a bare interpreter", bare_mb())]
+async def measure_node(root: Path, servers: int, sessions: int) -> list[tuple[str, float]]:
+    """Return the private MB by case: bare interpreter, idle with one endpoint and with all, with sessions."""
+    results = [("a bare interpreter", interpreter_private_mb())]
     for count in (1, servers):
         fleet = Fleet([MapServer(f"s-{i}") for i in range(count)])
         await fleet.begin()
@@ -81,44 +81,48 @@
             path = Path(folder) / "config.json"
             path.write_text(json.dumps(configuration(fleet)))
             node, port = await start_node(path, {"TMPDIR": folder}, root)
-            await asyncio.sleep(3)  # the first watch and the first probes are over
-            found.append((f"idle, {count} servers", private_mb(node.pid)))
-            load = Load(port)
-            stand: list[tuple[asyncio.StreamReader, asyncio.StreamWriter]] = []
-            while count == servers and len(stand) < sessions:
+            await asyncio.sleep(3)  # the first watch and the first health checks are over
+            results.append((f"idle, {count} servers", process_private_mb(node.pid)))
+            load = LoadGenerator(port)
+            open_sessions: list[tuple[asyncio.StreamReader, asyncio.StreamWriter]] = []
+            while count == servers and len(open_sessions) < sessions:
                 if (session := await load.open()) is None:
                     await asyncio.sleep(0.05)
                     continue
-                stand.append(session)
-                if len(stand) % STEP == 0:
-                    found.append((f"{len(stand)} sessions", private_mb(node.pid)))
-            for _, writer in stand:
+                open_sessions.append(session)
+                if len(open_sessions) % STEP == 0:
+                    results.append((f"{len(open_sessions)} sessions", process_private_mb(node.pid)))
+            for _, writer in open_sessions:
                 writer.close()
             node.kill()
             await node.wait()
         fleet.close()
-    return found
+    return results
 
 
 def main() -> int:
-    """Print the private memory of a node, then that of the packages that it loads."""
+    """Print the private memory of a node, then what the packages that it loads add."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--servers", type=int, default=90)
     parser.add_argument("--sessions", type=int, default=300)
     parser.add_argument("--packages", type=int, default=15, help="how many packages are shown")
     parser.add_argument("--root", type=Path, default=ROOT, help="the checkout whose node is measured")
-    told = parser.parse_args()
-    found = asyncio.run(rows(told.root, told.servers, told.sessions))
-    for name, held in found:
-        print(f"{name:24} {held:6.1f} MB {held / found[0][1]:6.2f}")
-    done = subprocess.run(
-        [sys.executable, "-c", BY_PACKAGE], cwd=told.root, capture_output=True, text=True, check=True
+    arguments = parser.parse_args()
+    results = asyncio.run(measure_node(arguments.root, arguments.servers, arguments.sessions))
+    for name, private_mb in results:
+        print(f"{name:24} {private_mb:6.1f} MB {private_mb / results[0][1]:6.2f}")
+    completed = subprocess.run(
+        [sys.executable, "-c", MEASURE_PACKAGES],
+        cwd=arguments.root,
+        capture_output=True,
+        text=True,
+        check=True,
     )
-    modules, added = json.loads(done.stdout)
+    modules, added = json.loads(completed.stdout)
     print(f"\n{modules} modules; the packages that add most, in KB:")
-    most: list[tuple[str, Any]] = sorted(added.items(), key=lambda item: -item[1][1])
-    for name, (count, grew) in most[: told.packages]:
-        print(f"{name:24} {count:4} modules {grew:6}")
+    largest: list[tuple[str, Any]] = sorted(added.items(), key=lambda item: -item[1][1])
+    for name, (count, added_kb) in largest[: arguments.packages]:
+        print(f"{name:24} {count:4} modules {added_kb:6}")
     return 0
 
 
--- a/benchmarks/shares.py
+++ b/benchmarks/shares.py
@@ -1,9 +1,9 @@
 """Shared limits on a virtual network: `python -m benchmarks.shares [--seeds N] [--members 2,3,5,7]`.
 
-First that many schedules of 1 to 7 members on a network that fails as the seed says, and the most that was
-used within any window; a seed that breaks the limit is printed with the command that runs it again. Then what
-of the limit is used on a healthy network, beside fixed shares in the same run, with even demand and where one
-member has eight times the demand of the others.
+First runs --seeds schedules of 1 to 7 members on a network whose faults follow from the seed, and prints the
+largest use within any window; for each seed that breaks the limit, it prints a command to run it again. Then
+prints the part of the limit that is used on a healthy network, and that used with fixed shares, for even
+demand and for one member with eight times the demand of each other.
 """
 
 from __future__ import annotations
@@ -22,21 +22,21 @@
 
 
 def run_schedule(seed: int) -> tuple[int, int]:
-    """Run one seed; returns it and the most that was used within a window."""
+    """Run the schedule of one seed; returns the seed and the largest use within a window."""
     network = VirtualNetwork(seed, 1 + seed % 7, FaultRates())
     network.run(SECONDS)
     return seed, network.checker.max_in_window
 
 
 def demand_of(member: int, uneven: bool) -> float:
-    """Return a member's demand, over the mean of an equal share."""
+    """Return a member's demand, relative to the mean of an equal share."""
     if not uneven:
         return 1.0
     return 2.4 if member == 0 else 0.3
 
 
 def measure_usage(members: int, uneven: bool, fixed: bool) -> tuple[float, float]:
-    """Return the part of the limit that is used on a healthy network, and bytes a second and member."""
+    """Return the used part of the limit on a healthy network, and the bytes sent a second by each member."""
     network = VirtualNetwork(1, members, HEALTHY, lambda member: demand_of(member, uneven))
     network.run(1)
     if fixed:
@@ -50,7 +50,7 @@
 
 
 def print_schedules(first: int, count: int) -> int:
-    """Run schedules and print the most within a window; returns how many broke the limit."""
+    """Run schedules and print the largest use within a window; returns how many broke the limit."""
     with ProcessPoolExecutor() as pool:
         results = list(pool.map(run_schedule, range(first, first + count), chunksize=10))
     broken = [seed for seed, used in results if used > FULL_LIMIT]
@@ -62,7 +62,7 @@
 
 
 def print_usage(member_counts: list[int]) -> None:
-    """Print the part of the limit that is used, beside that of fixed shares."""
+    """Print the used part of the limit, and that with fixed shares."""
     print("members  demand      used  fixed shares  ratio  bytes a second and member")
     for members in member_counts:
         for uneven in (False, True):
@@ -75,7 +75,7 @@
 
 
 def main() -> int:
-    """Print both tables; returns 1 where a schedule broke the limit."""
+    """Print both tables; returns 1 if a schedule broke the limit."""
     parser = argparse.ArgumentParser()
     parser.add_argument("--seeds", type=int, default=300)
     parser.add_argument("--first", type=int, default=0)
--- a/benchmarks/terms.py
+++ b/benchmarks/terms.py
@@ -1,9 +1,10 @@
 """Guarantees of the fleet, between real processes: python -m benchmarks.terms [--nodes N ...] [--rounds N].
 
-For each number of nodes: the most that a restarted server got of all of them within the settings' window,
-over what is allowed (N + 2 root N + 2), where some servers or nearly all are restarted, or seven in ten nodes
-killed as well; and the seconds until the last node has the list of a discovery that was silent and then
-serves calls one by one.
+For each number of nodes, prints two measurements. The first is the largest number of sessions that a
+restarted endpoint got from all nodes within the settings' window, divided by the allowed number: with E the
+number that the settings give, E + 2 sqrt(E) + 2. Either 3 or 9 of 10 endpoints are restarted, or 3 while
+seven in ten nodes are killed as well. The second is the seconds until the last node has the endpoint list,
+after discovery was silent and then serves calls one by one.
 """
 
 from __future__ import annotations
@@ -28,7 +29,7 @@
 
 
 def measurements(settings: dict[str, Any], nodes: int) -> dict[str, Measurement]:
-    """Return the measurements for a number of nodes by what they show; each takes a folder to work in."""
+    """Return the measurements for a number of nodes by the name of the case; each takes a working folder."""
     killed = round(KILLED_SHARE * nodes)
 
     def slow_start(restarted: int, killed: int) -> Measurement:
@@ -52,7 +53,7 @@
 
 
 def main() -> int:
-    """Print a line for each number of nodes and measurement, with the result of each round."""
+    """Print a row for each number of nodes and case, with the result of each round."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--nodes", type=int, nargs="+", default=[6, 20, 30])
     parser.add_argument("--rounds", type=int, default=3)
