--- a/example/toy.py
+++ b/example/toy.py
@@ -10,7 +10,7 @@
 
 
 async def serve_map(uid: str, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-    """Take any connection, answer probes, and echo what comes after."""
+    """Accept every session, answer health checks, and echo all other lines."""
     try:
         while line := await reader.readline():
             word = line.split(b" ")[0].strip()
@@ -29,7 +29,7 @@
 
 
 async def serve_list(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-    """Answer a watch with the whole list, then with an empty line every 2 s."""
+    """Answer a watch with the complete endpoint list, then send an empty line every 2 s."""
     targets = [
         {
             "uid": uid,
@@ -60,7 +60,7 @@
 
 
 async def main() -> None:
-    """Serve the toy endpoints and the toy discovery until the process is ended."""
+    """Serve the toy map servers and the toy discovery until the process is stopped."""
     for uid, port in SERVERS.items():
         await asyncio.start_server(partial(serve_map, uid), "127.0.0.1", port)
     await asyncio.start_server(serve_list, "127.0.0.1", 8500)
