--- a/standins/soak/__init__.py
+++ b/standins/soak/__init__.py
@@ -1,5 +1,5 @@
-"""Seeded soak runs: real nodes on loopback under a failing machine, failing servers and leaving clients.
+"""Seeded soak runs: real nodes on loopback with machine faults, endpoint faults and disconnecting clients.
 
-Each seed is one run of some seconds that ends with SIGTERM and, at the earliest moment that the protocol
-allows, SIGKILL. `python -m standins.soak --seeds 1:50` plays many; `records.py` holds the rules.
+Each seed is one run of some seconds. It ends with SIGTERM, followed by SIGKILL as early as the protocol
+allows. `python -m standins.soak --seeds 1:50` plays several seeds; `records.py` defines the rules.
 """
--- a/standins/soak/__main__.py
+++ b/standins/soak/__main__.py
@@ -1,4 +1,4 @@
-"""Plays many seeds, some side by side, and prints the outcome of each."""
+"""Plays a range of seeds, several in parallel, and prints the outcome of each."""
 
 from __future__ import annotations
 
@@ -13,10 +13,10 @@
 
 
 def main() -> int:
-    """Exit 1 where a rule was broken or a seed raised an exception."""
+    """Return the exit code: 1 if a seed broke a rule or raised an exception, else 0."""
     parser = argparse.ArgumentParser(prog="python -m standins.soak", description=__doc__)
     parser.add_argument("--seeds", default="1:50", help="FIRST:LAST")
-    parser.add_argument("--jobs", type=int, default=3, help="runs side by side")
+    parser.add_argument("--jobs", type=int, default=3, help="number of parallel runs")
     options = parser.parse_args()
     first, _, last = options.seeds.partition(":")
     seeds = range(int(first), int(last or first) + 1)
@@ -31,7 +31,7 @@
 
 
 def _play_all(seeds: range, jobs: int) -> Iterator[SeedResult]:
-    """Play the seeds in worker processes; their results come in the order of the seeds."""
+    """Play the seeds in worker processes and yield their results in seed order."""
     with ProcessPoolExecutor(jobs) as pool:
         futures = [pool.submit(play_and_judge, play, seed) for seed in seeds]
         for seed, future in zip(seeds, futures, strict=True):
@@ -39,7 +39,7 @@
 
 
 def _result_of(seed: int, future: Future[SeedResult]) -> SeedResult:
-    """The result of a worker, or what ended the worker itself."""
+    """Return the result of a worker, or a result with the exception that the future holds."""
     error = future.exception()
     return future.result() if error is None else SeedResult.of_exception(seed, error)
 
--- a/standins/soak/clients.py
+++ b/standins/soak/clients.py
@@ -1,4 +1,4 @@
-"""Clients of one node: they open, talk, rest, leave early, send half lines, and go on until its end."""
+"""Clients of one node: they hold sessions, idle, leave early and send half lines until the node ends."""
 
 from __future__ import annotations
 
@@ -10,209 +10,223 @@
 from dataclasses import dataclass
 from itertools import count
 
-from standins.soak.records import ANSWER_SLACK_S, ENDS, KINDS, MOST_LAST_LINES, End, Records, Request, Session
+from standins.soak.records import ANSWER_SLACK_S, ENDS, KINDS, MAX_LAST_LINES, End, Records, Request, Session
 from standins.soak.stream import ClientStream
 
 HOST = "127.0.0.1"
-LINE_EVERY_S = 0.15
-LINES_AT_SERVER_END = 8
-LINE_AT_SERVER_END_S = (0.001, 0.008)
-ECHO_S = 5.0  # a session that brings nothing back is owed its end sooner than this
-BAD_CLIENT_S = 3.0
-SPLIT_LINE_SHARE = 0.2  # of first lines that come in two pieces
-PING_SHARE = 0.5  # of resting clients that ask first whether the node lives
-HALF_CLOSE_SHARE = 0.5  # of early leavers that end only their sending
+LINE_INTERVAL_S = 0.15
+LINES_AFTER_ENDPOINT_END = 8
+LINE_AFTER_ENDPOINT_END_S = (0.001, 0.008)
+ECHO_TIMEOUT_S = 5.0  # a node ends a session without echoes sooner than this
+HALF_LINE_TIMEOUT_S = 3.0
+SPLIT_LINE_SHARE = 0.2  # of OPEN lines that are sent in two pieces
+PING_SHARE = 0.5  # of idle clients that send PING first
+HALF_CLOSE_SHARE = 0.5  # of clients leaving early that close only their sending side
 PAUSE_S = (0.02, 0.3)
-STILL_COMING_S = 0.4  # after SIGTERM
-IDS: Iterator[int] = count(1)
+CONNECT_AFTER_SIGTERM_S = 0.4  # clients still open connections for this long
+REQUEST_NUMBERS: Iterator[int] = count(1)
 
 
 @dataclass
-class Door:
-    """The node that some clients go to."""
+class Listener:
+    """The listener of a node, as its clients see it."""
 
-    number: int
+    node_number: int
     port: int = 0
-    told_to_end: float | None = None  # when; nobody new comes long after, but who is connected goes on
-    killed: bool = False  # from then on nothing that breaks is the node's fault
+    shutdown_started_at: float | None = None  # connected clients go on after it
+    node_killed: bool = False  # broken connections are no longer the node's fault
 
     @property
-    def open(self) -> bool:
-        """Whether new connections still come."""
-        return self.told_to_end is None or time.monotonic() - self.told_to_end < STILL_COMING_S
+    def takes_new_clients(self) -> bool:
+        """Whether clients still open new connections, until shortly after the start of the shutdown."""
+        return (
+            self.shutdown_started_at is None
+            or time.monotonic() - self.shutdown_started_at < CONNECT_AFTER_SIGTERM_S
+        )
 
 
 class Client:
-    """One client, which comes again and again."""
+    """One client that connects again after each connection, until cancelled."""
 
     def __init__(
-        self, door: Door, records: Records, rng: random.Random, stopped: Callable[[str], bool]
+        self, listener: Listener, records: Records, rng: random.Random, stopped: Callable[[str], bool]
     ) -> None:
-        self._door, self._records, self._rng = door, records, rng
-        self._stopped = stopped  # whether a server has cut its sessions by itself
-
-    async def live(self) -> None:
-        """Until cancelled."""
-        ways = (self._visit, self._visit, self._visit, self._rest, self._leave_early, self._half_line)
+        self._listener, self._records, self._rng = listener, records, rng
+        self._stopped = stopped  # whether the endpoint of a uid has been stopped
+
+    async def run(self) -> None:
+        """Connect and follow a random behavior, again and again until cancelled."""
+        behaviors = (
+            self._hold_session,
+            self._hold_session,
+            self._hold_session,
+            self._idle_then_open,
+            self._leave_early,
+            self._send_half_line,
+        )
         while True:
             stream = await self._connect()
             if stream is not None:
                 try:
-                    await self._rng.choice(ways)(stream)
+                    await self._rng.choice(behaviors)(stream)
                 finally:
                     stream.close()
             await asyncio.sleep(self._rng.uniform(*PAUSE_S))
 
     async def _connect(self) -> ClientStream | None:
-        if not self._door.open:
+        if not self._listener.takes_new_clients:
             return None
         try:
-            return await ClientStream.connect(HOST, self._door.port)
+            return await ClientStream.connect(HOST, self._listener.port)
         except OSError:
             return None
 
-    async def _open(self, stream: ClientStream) -> Request:
-        """Send a first line, in one piece or two."""
-        kind, number = self._rng.choice(KINDS), next(IDS)
-        request = Request(f"{number:016x}", kind, self._door.number)
+    async def _send_open(self, stream: ClientStream) -> Request:
+        """Send an OPEN line in one piece or two."""
+        kind, number = self._rng.choice(KINDS), next(REQUEST_NUMBERS)
+        request = Request(f"{number:016x}", kind, self._listener.node_number)
         self._records.requests[request.id] = request
-        text = f"OPEN {request.id} {number:016x} c={kind.name},d={int(kind.wait_s * 1000)}\r\n".encode()
-        cut = self._rng.randrange(1, len(text)) if self._rng.random() < SPLIT_LINE_SHARE else len(text)
-        stream.write(text[:cut])
-        if cut < len(text):
+        text = f"OPEN {request.id} {number:016x} c={kind.name},d={int(kind.deadline_s * 1000)}\r\n".encode()
+        split_at = self._rng.randrange(1, len(text)) if self._rng.random() < SPLIT_LINE_SHARE else len(text)
+        stream.write(text[:split_at])
+        if split_at < len(text):
             await asyncio.sleep(self._rng.uniform(0.0, 0.1))
-            stream.write(text[cut:])
-        request.sent = time.monotonic()
+            stream.write(text[split_at:])
+        request.sent_at = time.monotonic()
         return request
 
-    async def _answer(self, request: Request, stream: ClientStream) -> str:
-        """Wait for the answer; "" where the connection ends without one."""
+    async def _read_answer(self, request: Request, stream: ClientStream) -> str:
+        """Return the first word of the answer; "" if none came before the end or the timeout."""
         line = b""
         try:
-            async with asyncio.timeout(request.kind.wait_s + ANSWER_SLACK_S + 2.0):
+            async with asyncio.timeout(request.kind.deadline_s + ANSWER_SLACK_S + 2.0):
                 line = await stream.readline()
         except (ConnectionError, TimeoutError):
             pass
         except asyncio.CancelledError:
-            request.left = time.monotonic()
+            request.left_at = time.monotonic()
             raise
-        request.answered = time.monotonic()
-        if not line and self._door.killed:
-            request.left = request.answered  # a run that ended; the check of the exit speaks of it
+        request.answered_at = time.monotonic()
+        if not line and self._listener.node_killed:
+            request.left_at = request.answered_at  # the node was killed; its exit is checked elsewhere
             return ""
         request.answer = line.split()[0].decode() if line.strip() else ""
         return request.answer
 
-    async def _visit(self, stream: ClientStream) -> None:
-        request = await self._open(stream)
-        if await self._answer(request, stream) == "UP":
-            await self._talk(request, stream)
+    async def _hold_session(self, stream: ClientStream) -> None:
+        request = await self._send_open(stream)
+        if await self._read_answer(request, stream) == "UP":
+            await self._run_session(request, stream)
 
-    async def _rest(self, stream: ClientStream) -> None:
-        """Ask whether the node lives, then say nothing for a while; answers may come without a question."""
+    async def _idle_then_open(self, stream: ClientStream) -> None:
+        """Send PING or not, stay silent for a while, then hold a session; the node may write unasked."""
         if self._rng.random() < PING_SHARE:
             stream.write(b"PING\r\n")
-            if (await self._line(stream)) != b"PONG\r\n":
+            if (await self._read_line(stream)) != b"PONG\r\n":
                 return
-        rest = self._rng.uniform(0.1, 2.2)
-        until = time.monotonic() + rest
+        idle_s = self._rng.uniform(0.1, 2.2)
+        until = time.monotonic() + idle_s
         while time.monotonic() < until and not stream.ended:
             await asyncio.sleep(0.02)
-        await self._visit(stream)
+        await self._hold_session(stream)
 
     async def _leave_early(self, stream: ClientStream) -> None:
-        request = await self._open(stream)
+        request = await self._send_open(stream)
         try:
             async with asyncio.timeout(self._rng.uniform(0.0, 0.5)):
                 line = await stream.readline()
             request.answer = line.split()[0].decode() if line.strip() else ""
-            request.answered = time.monotonic()
+            request.answered_at = time.monotonic()
         except TimeoutError:
-            request.left = time.monotonic()
+            request.left_at = time.monotonic()
             if self._rng.random() < HALF_CLOSE_SHARE:
                 stream.end_sending()
-                await self._line(stream)
+                await self._read_line(stream)
         except ConnectionError:
-            request.answer, request.answered = "", time.monotonic()
+            request.answer, request.answered_at = "", time.monotonic()
 
-    async def _half_line(self, stream: ClientStream) -> None:
-        """Stop amid the first line, and stay: an error or an end is owed in time."""
+    async def _send_half_line(self, stream: ClientStream) -> None:
+        """Send half an OPEN line and wait; the node has to answer or close the connection in time."""
         stream.write(b"OPEN 00000000000000")
-        began = time.monotonic()
+        started_at = time.monotonic()
         try:
-            async with asyncio.timeout(BAD_CLIENT_S + 0.5 + self._records.late_loop_s):
+            async with asyncio.timeout(HALF_LINE_TIMEOUT_S + 0.5 + self._records.loop_delay_s):
                 await stream.readline()
         except TimeoutError:
-            if not self._door.killed:
-                held = time.monotonic() - began
-                self._records.held_bad.append(f"n{self._door.number}: a half line was held {held:.1f} s")
+            if not self._listener.node_killed:
+                held_s = time.monotonic() - started_at
+                self._records.held_half_lines.append(
+                    f"n{self._listener.node_number}: a half line was held {held_s:.1f} s"
+                )
         except ConnectionError:
             pass
 
-    async def _talk(self, request: Request, stream: ClientStream) -> None:
-        """Lines and echoes, until the client has enough, its server ends the session, or it is moved."""
+    async def _run_session(self, request: Request, stream: ClientStream) -> None:
+        """Exchange lines and echoes until the client or the endpoint ends the session or it is migrated."""
         session = request.attempts[-1].session
-        writing = asyncio.create_task(self._write_at_server_end(session, stream))
+        write_task = asyncio.create_task(self._write_after_endpoint_end(session, stream))
         try:
             await self._exchange_lines(request, session, stream)
         finally:
-            writing.cancel()
+            write_task.cancel()
             session.client_waited_until = stream.ended_at if stream.ended else time.monotonic()
-            if self._door.killed:
+            if self._listener.node_killed:
                 session.client_waited_until = 0.0
 
-    async def _write_at_server_end(self, session: Session, stream: ClientStream) -> None:
-        """Write some lines while the node passes the server's end on."""
-        await session.server_ended.wait()
-        for _ in range(LINES_AT_SERVER_END):
-            await asyncio.sleep(self._rng.uniform(*LINE_AT_SERVER_END_S))
+    async def _write_after_endpoint_end(self, session: Session, stream: ClientStream) -> None:
+        """Write some lines while the node forwards the endpoint's end to the client."""
+        await session.endpoint_ended.wait()
+        for _ in range(LINES_AFTER_ENDPOINT_END):
+            await asyncio.sleep(self._rng.uniform(*LINE_AFTER_ENDPOINT_END_S))
             self._write(session, stream, b"M\r\n")
 
     async def _exchange_lines(self, request: Request, session: Session, stream: ClientStream) -> None:
         until = time.monotonic() + self._rng.uniform(0.3, 6.0)
         while time.monotonic() < until:
             self._write(session, stream, b"M\r\n")
-            line = await self._line(stream)
+            line = await self._read_line(stream)
             if line == b"MOVE\r\n":
-                session.moved, session.received = True, stream.session_lines()
+                session.migrated, session.received_by_client = True, stream.session_lines()
                 return
             if line != b"M\r\n":
-                session.received, session.client_read_all = stream.session_lines(), stream.ended
-                if not (self._door.killed or session.server_end or self._has_stopped(request)):
-                    told = f"{request.id} {request.attempts[-1].server} {line!r}"
-                    self._records.cut[self._door.number].append(told)
+                session.received_by_client, session.client_read_all = stream.session_lines(), stream.ended
+                if not (
+                    self._listener.node_killed or session.endpoint_end or self._is_endpoint_stopped(request)
+                ):
+                    description = f"{request.id} {request.attempts[-1].endpoint} {line!r}"
+                    self._records.cut_sessions[self._listener.node_number].append(description)
                 return
-            await asyncio.sleep(LINE_EVERY_S)
-        await self._end(session, stream)
+            await asyncio.sleep(LINE_INTERVAL_S)
+        await self._end_session(session, stream)
 
-    def _has_stopped(self, request: Request) -> bool:
-        return self._stopped(request.attempts[-1].server)
+    def _is_endpoint_stopped(self, request: Request) -> bool:
+        return self._stopped(request.attempts[-1].endpoint)
 
     def _write(self, session: Session, stream: ClientStream, line: bytes) -> None:
         stream.write(line)
-        session.sent.append(line)
+        session.sent_by_client.append(line)
 
-    async def _end(self, session: Session, stream: ClientStream) -> None:
-        """Write last lines and end in one moment; after a FIN read on to the other side's end."""
+    async def _end_session(self, session: Session, stream: ClientStream) -> None:
+        """Write the last lines and end directly after them; after a FIN, read until the node ends too."""
         session.client_end = self._rng.choice(ENDS)
-        for number in range(self._rng.randint(0, MOST_LAST_LINES)):
+        for number in range(self._rng.randint(0, MAX_LAST_LINES)):
             self._write(session, stream, b"L %d\r\n" % number)
         if session.client_end is End.RESET:
             stream.close(reset=True)
             return
         stream.end_sending()
         with suppress(TimeoutError):
-            async with asyncio.timeout(ECHO_S):
+            async with asyncio.timeout(ECHO_TIMEOUT_S):
                 await stream.read_to_end()
-        session.received, session.client_read_all = stream.session_lines(), stream.ended
-        session.moved = b"MOVE\r\n" in session.received
+        session.received_by_client, session.client_read_all = stream.session_lines(), stream.ended
+        session.migrated = b"MOVE\r\n" in session.received_by_client
 
-    async def _line(self, stream: ClientStream) -> bytes:
-        """The next line; what came where the connection ends or stays silent."""
+    async def _read_line(self, stream: ClientStream) -> bytes:
+        """Return the next line other than LOAD and last lines; on a timeout, the repr of the exception."""
         try:
-            async with asyncio.timeout(ECHO_S):
+            async with asyncio.timeout(ECHO_TIMEOUT_S):
                 while (line := await stream.readline()).startswith((b"LOAD ", b"L ")):
                     pass
                 return line
-        except TimeoutError as fault:
-            return repr(fault).encode()
+        except TimeoutError as error:
+            return repr(error).encode()
--- a/standins/soak/fault_injector.py
+++ b/standins/soak/fault_injector.py
@@ -1,4 +1,4 @@
-"""Faults of a node's machine: clock steps, failing system calls, halts and reloads at random times."""
+"""Machine faults of a node at random times: clock steps, failing system calls, halts and reloads."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 BREAKING_SHARE = 0.02
 HALF_WRITTEN_SHARE = 0.5  # of reloads whose file is half written at the first signal
 
-# Upper bounds of one draw from [0, 1) that chooses the fault; a reload has the rest.
+# Upper bounds of the draw from [0, 1) that selects the fault; a draw above the last one is a reload.
 CLOCK_STEP_BELOW = 0.25
 FAILING_CALLS_BELOW = 0.65
 BREAKING_CALLS_BELOW = 0.75
@@ -31,18 +31,18 @@
 
 @dataclass(frozen=True)
 class FaultPlan:
-    """What may go wrong on one node's machine."""
+    """The faults that may be injected into one node's machine."""
 
-    failing_calls: tuple[Call, ...]  # without an effect on clients
+    failing_calls: tuple[Call, ...]  # a failure has no effect on clients
     breaking_calls: tuple[Call, ...]  # each failure breaks a connection
-    config: Path  # the file that the node reads on SIGHUP
+    config: Path  # the configuration file that the node reads on SIGHUP
     new_configuration: Callable[[random.Random], str]
 
 
 class FaultInjector:
-    """Injects faults into a node's machine and the process that serves, from `start` to `stop`.
+    """Injects faults into a node's machine and its serving process, from `start` to `stop`.
 
-    It goes on while the process shuts down, so it is to be stopped once that has exited.
+    Faults continue during the shutdown of the process: call `stop` after the process has exited.
     """
 
     def __init__(self, process: NodeProcess, machine: Machine, plan: FaultPlan, rng: random.Random) -> None:
@@ -50,15 +50,15 @@
         self._task: asyncio.Task[None] | None = None
 
     def start(self) -> None:
-        """Begin; the first fault comes after a pause."""
+        """Start injecting; the first fault follows a pause."""
         self._task = asyncio.create_task(self._run())
 
     def switch_to(self, process: NodeProcess) -> None:
-        """Send the signals from now on to the process that replaces the one so far."""
+        """Send further signals to the process that replaces the current one."""
         self._process = process
 
     async def stop(self) -> None:
-        """End the fault that is in effect, and inject no more; raise what went wrong in the injector."""
+        """End the current fault and stop injecting; raise any exception of the injector's task."""
         if self._task is None:
             return
         task, self._task = self._task, None
@@ -95,9 +95,9 @@
         await self._sleep_and_heal(BREAKING_S)
 
     async def _halt(self) -> None:
-        """Stop the process for a moment.
+        """Stop the process with SIGSTOP for a moment, then continue it.
 
-        The same process continues, also where it is replaced or the injector is stopped amid that.
+        SIGCONT goes to the stopped process even if `switch_to` or `stop` is called during the halt.
         """
         process = self._process
         process.send_signal(signal.SIGSTOP)
@@ -107,7 +107,7 @@
             process.send_signal(signal.SIGCONT)
 
     async def _reload(self) -> None:
-        """Signal new configurations in a row; the file may be half written at the first signal."""
+        """Write a new configuration and send SIGHUP 1 to 3 times, with or without one amid the write."""
         text = self._plan.new_configuration(self._rng)
         if self._rng.random() < HALF_WRITTEN_SHARE:
             self._plan.config.write_text(text[: len(text) // 2])
--- a/standins/soak/node_process.py
+++ b/standins/soak/node_process.py
@@ -1,4 +1,4 @@
-"""One process of a node: the signals it is sent, and whether its exit is a fault."""
+"""One process of a node: sends its signals and records an unexpected exit as a fault."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 
 from standins.soak.records import Records
 
-EXPECTED_RETURN_CODES = (0, -signal.SIGKILL)
+EXPECTED_EXIT_CODES = (0, -signal.SIGKILL)
 
 
 class NodeProcess:
-    """A running process of a node; its exit is recorded as a fault where the rig did not cause it."""
+    """A process of a node; an exit that the soak run did not request is recorded as a fault."""
 
     def __init__(self, node_name: str, process: asyncio.subprocess.Process, records: Records) -> None:
         self._node_name, self._process, self._records = node_name, process, records
@@ -21,29 +21,29 @@
         self._exit_watcher = asyncio.create_task(self._watch_exit())
 
     def request_end(self) -> None:
-        """Send SIGTERM; from now on an exit is expected."""
+        """Send SIGTERM; an exit is expected from then on."""
         self._send_last_signal(signal.SIGTERM)
 
     def kill(self) -> None:
-        """Send SIGKILL; from now on an exit is expected."""
+        """Send SIGKILL; an exit is expected from then on."""
         self._send_last_signal(signal.SIGKILL)
 
     def send_signal(self, number: signal.Signals) -> None:
-        """Send a signal, or note that the process is gone.
+        """Send a signal, or note that the process has exited.
 
-        A thread of asyncio may reap the process before the event loop sets its return code. Thus the
-        operating system is asked, not the return code, and the process may still go after the answer.
+        A thread of asyncio may reap the process before the event loop sets its return code, so this asks
+        the operating system. The process may still exit between that check and the signal.
         """
         if self._has_exited():
-            self._note_gone()
+            self._note_exit()
             return
         try:
             os.kill(self._process.pid, number)
         except ProcessLookupError:
-            self._note_gone()
+            self._note_exit()
 
     async def wait(self, timeout_s: float | None = None) -> bool:
-        """Wait until the exit was recorded; whether that came in time."""
+        """Wait until the exit is recorded; return whether that was within the timeout."""
         done, _ = await asyncio.wait({self._exit_watcher}, timeout=timeout_s)
         for watcher in done:
             watcher.result()
@@ -54,7 +54,7 @@
         self._end_requested = True
 
     def _has_exited(self) -> bool:
-        """Whether the process ended, reaped or not; it is not reaped by this."""
+        """Return whether the process has exited, reaped or not; does not reap it."""
         if self._process.returncode is not None:
             return True
         try:
@@ -63,8 +63,8 @@
             return True
         return exited is not None
 
-    def _note_gone(self) -> None:
-        """Keep for the record of the exit that the process went before it was told to."""
+    def _note_exit(self) -> None:
+        """Remember an exit that came before its request; `_watch_exit` records it."""
         if not self._end_requested:
             self._exited_unrequested = True
 
@@ -73,5 +73,5 @@
         ended = f"{self._node_name}: ended with {code}"
         if self._exited_unrequested or not self._end_requested:
             self._records.node_faults.append(f"{ended} without having been told to end")
-        elif code not in EXPECTED_RETURN_CODES:
+        elif code not in EXPECTED_EXIT_CODES:
             self._records.node_faults.append(ended)
--- a/standins/soak/stream.py
+++ b/standins/soak/stream.py
@@ -1,7 +1,7 @@
-"""A client's connection that loses nothing of what its kernel was given.
+"""A client's connection that reads everything that its kernel has received.
 
-asyncio's streams tell an error before the lines that came ahead of it, and close over unread bytes once a
-write fails. Whether a node delivers what it has to can be judged only without that.
+asyncio's streams report an error ahead of the lines received before it, and close with unread bytes once a
+write fails. With them, a check whether a node delivers all lines would report losses of the client's own.
 """
 
 from __future__ import annotations
@@ -21,20 +21,20 @@
 
     def __init__(self, sock: socket.socket) -> None:
         self._sock = sock
-        self._unread = b""
-        self._news = asyncio.Event()
-        self.lines: list[bytes] = []  # that were received whole, with those that were not asked for yet
-        self._taken = 0  # of them, by `readline`
-        self.ended = False  # by a FIN or an error, behind all that came before
+        self._partial_line = b""
+        self._changed = asyncio.Event()
+        self.lines: list[bytes] = []  # complete lines received so far, read by `readline` or not
+        self._lines_read = 0  # number of `lines` that `readline` has returned
+        self.ended = False  # by a FIN or an error, after all data before it has been read
         self.ended_at = 0.0
-        self._pump = asyncio.create_task(self._receive())
+        self._receive_task = asyncio.create_task(self._receive())
 
     @classmethod
     async def connect(cls, host: str, port: int) -> ClientStream:
-        """Connect; OSError where that fails."""
+        """Connect to an address; raise OSError if that fails."""
         sock = socket.socket()
         sock.setblocking(False)
-        # Else a reset would take back the lines that the kernel still holds here.
+        # With Nagle's algorithm the kernel may still hold written lines, and a reset would discard them.
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         try:
             await asyncio.get_running_loop().sock_connect(sock, (host, port))
@@ -47,47 +47,49 @@
         loop = asyncio.get_running_loop()
         with suppress(OSError):
             while data := await loop.sock_recv(self._sock, RECEIVE_SIZE):
-                *lines, self._unread = (self._unread + data).split(b"\n")
+                *lines, self._partial_line = (self._partial_line + data).split(b"\n")
                 self.lines += [line + b"\n" for line in lines]
-                self._news.set()
+                self._changed.set()
         self.ended, self.ended_at = True, time.monotonic()
-        self._news.set()
+        self._changed.set()
 
     def write(self, data: bytes) -> None:
-        """Send, in one piece; what the other side has broken is read on all the same."""
+        """Send data in one call; ignore errors, since received data can still be read."""
         with suppress(OSError):
             self._sock.send(data)
 
     async def readline(self) -> bytes:
-        """The next line; at the end what came of one, or nothing."""
-        while self._taken == len(self.lines):
+        """Return the next line; at the end of the connection the incomplete line, or b""."""
+        while self._lines_read == len(self.lines):
             if self.ended:
-                rest, self._unread = self._unread, b""
-                return rest
-            self._news.clear()
-            await self._news.wait()
-        self._taken += 1
-        return self.lines[self._taken - 1]
+                partial_line, self._partial_line = self._partial_line, b""
+                return partial_line
+            self._changed.clear()
+            await self._changed.wait()
+        self._lines_read += 1
+        return self.lines[self._lines_read - 1]
 
     def session_lines(self) -> list[bytes]:
-        """All lines that were received behind UP."""
-        up = next((at for at, line in enumerate(self.lines) if line.startswith(b"UP ")), len(self.lines))
+        """Return all lines that were received after UP."""
+        up = next(
+            (index for index, line in enumerate(self.lines) if line.startswith(b"UP ")), len(self.lines)
+        )
         return self.lines[up + 1 :]
 
     async def read_to_end(self) -> None:
-        """Wait until the other side has ended."""
+        """Wait until the node has ended the connection."""
         while not self.ended:
-            self._news.clear()
-            await self._news.wait()
+            self._changed.clear()
+            await self._changed.wait()
 
     def end_sending(self) -> None:
-        """Send a FIN, and go on reading."""
+        """Send a FIN and continue reading."""
         with suppress(OSError):
             self._sock.shutdown(socket.SHUT_WR)
 
     def close(self, reset: bool = False) -> None:
-        """Close the connection."""
-        self._pump.cancel()
+        """Close the connection, with a reset if `reset` is set."""
+        self._receive_task.cancel()
         if reset:
             with suppress(OSError):
                 self._sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -1,6 +1,6 @@
-"""Short soak runs: real nodes on failing machines, ended by signals in series and a kill when it is due.
+"""Short soak runs: real nodes on failing machines, ended by a series of signals and SIGKILL when it is due.
 
-Many more are played by hand: `python -m standins.soak --seeds 1:50`.
+`python -m standins.soak --seeds 1:50` plays more seeds.
 """
 
 from __future__ import annotations
@@ -9,13 +9,13 @@
 
 from standins.soak.run import play
 
-SEEDS = range(1, 11)  # among them crowded ones (4, 8) and some whose nodes are replaced (5, 10)
+SEEDS = range(1, 11)  # 4 and 8 are crowded; 5 and 10 replace their nodes' processes
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_no_rule_is_broken(seed: int) -> None:
+def test_soak_run_breaks_no_rule(seed: int) -> None:
     records = play(seed)
-    broken = records.violations()
-    assert not broken, f"replay with: python -m standins.soak --seeds {seed}\n" + "\n".join(broken)
+    violations = records.violations()
+    assert not violations, f"replay with: python -m standins.soak --seeds {seed}\n" + "\n".join(violations)
     answers = [request.answer for request in records.requests.values()]
-    assert answers.count("UP") >= 20, "the run says little"
+    assert answers.count("UP") >= 20, "fewer than 20 sessions were established"
