--- a/standins/crowd.py
+++ b/standins/crowd.py
@@ -1,4 +1,4 @@
-"""Clients that come again, and a ledger of what map servers saw: what a wave of faults is held against."""
+"""Clients that reconnect, and a ledger of the attempts at endpoints, to check the rules under faults."""
 
 from __future__ import annotations
 
@@ -10,52 +10,52 @@
 
 from standins.fleet import MapServer
 
-LINE_S = 0.1  # between two lines of a session
-WAIT_S = 3.0  # the most that a client waits for an answer or an echo
-BACK_S = (0.05, 0.4)  # until it comes again
+LINE_INTERVAL_S = 0.1  # between two lines of a session
+ANSWER_TIMEOUT_S = 3.0  # for an answer or an echo
+RETURN_DELAY_S = (0.05, 0.4)  # range of the delay before a client connects again
 
-Endpoint = tuple[str, int]
+Address = tuple[str, int]
 
 
 @dataclass
 class Ledger:
-    """Which attempts were out at which server, by the id that a client gave."""
+    """The attempts at endpoints, by endpoint and by the request id that the client gave."""
 
-    opened: Counter[str] = field(default_factory=Counter)  # attempts by server
-    out: Counter[bytes] = field(default_factory=Counter)  # by request
-    overlaps: int = 0  # requests that were out twice at once
-    shut: dict[str, float] = field(default_factory=dict)  # since when servers must get nothing
-    late: list[tuple[str, float]] = field(default_factory=list)  # what they got all the same, after so long
+    opened: Counter[str] = field(default_factory=Counter)  # attempts by endpoint
+    open_attempts: Counter[bytes] = field(default_factory=Counter)  # by request id
+    overlaps: int = 0  # attempts started while another one of their request was open
+    shut: dict[str, float] = field(default_factory=dict)  # since when an endpoint must not get attempts
+    late: list[tuple[str, float]] = field(default_factory=list)  # attempts at shut endpoints, and their delay
 
-    def begins(self, uid: str, request: bytes) -> None:
-        """Count a request at a server, and whether it overlaps or comes after the end of the drain."""
+    def note_start(self, uid: str, request: bytes) -> None:
+        """Count the start of an attempt, an overlap with another one, and a start at a shut endpoint."""
         self.opened[uid] += 1
-        self.out[request] += 1
-        self.overlaps += self.out[request] > 1
+        self.open_attempts[request] += 1
+        self.overlaps += self.open_attempts[request] > 1
         if uid in self.shut:
             self.late.append((uid, time.monotonic() - self.shut[uid]))
 
-    def ends(self, request: bytes) -> None:
-        """A request has ended at its server."""
-        self.out[request] -= 1
+    def note_end(self, request: bytes) -> None:
+        """Count the end of an attempt."""
+        self.open_attempts[request] -= 1
 
 
 @dataclass
 class LedgerServer(MapServer):
-    """A map server that keeps the ledger; `reset` says whether it resets a connection under its request."""
+    """A map server that writes the ledger; `reset` decides whether to abort a connection on its OPEN line."""
 
     ledger: Ledger = field(default_factory=Ledger)
     reset: Callable[[], bool] = lambda: False
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Serve one connection, and keep the ledger of its requests."""
+        """Serve one connection and record its attempt in the ledger."""
         request = b""
         try:
             while line := await reader.readline():
                 word, _, rest = line.partition(b" ")
                 if word == b"OPEN":
                     request = rest.split(b" ", 1)[0]
-                    self.ledger.begins(self.uid, request)
+                    self.ledger.note_start(self.uid, request)
                     if self.reset():
                         writer.transport.abort()
                         return
@@ -65,83 +65,86 @@
             pass
         finally:
             if request:
-                self.ledger.ends(request)
+                self.ledger.note_end(request)
             self.standing.pop(writer, None)
             writer.close()
 
 
 @dataclass
-class Seen:
-    """What all clients of a crowd saw."""
+class Observations:
+    """What all clients of a crowd observed."""
 
-    answers: Counter[str] = field(default_factory=Counter)  # the first word of each answer
-    unanswered: int = 0  # lines that a node took and never answered, while it ran
-    cut: int = 0  # sessions that ended without MOVE
+    answers: Counter[str] = field(default_factory=Counter)  # by first word
+    unanswered: int = 0  # requests without an answer from a node that was not killed
+    cut: int = 0  # sessions that ended without MOVE at a node that was not killed
     moved: int = 0
-    extra: int = 0  # lines that were no echo and no word of the protocol: a second answer among them
-    held_s: float = 0.0  # the longest that a line took there and back
+    extra: int = 0  # unexpected lines, such as a second answer
+    held_s: float = 0.0  # longest time from a line to its echo
 
 
 class Crowd:
-    """So many clients, each of them at one of the nodes at a time, for as long as the crowd stands."""
+    """A fixed number of clients, each connected to one of the nodes at a time until the crowd ends."""
 
-    def __init__(self, nodes: list[Endpoint], clients: int) -> None:
-        self.nodes, self.seen = nodes, Seen()
-        self.killed: set[Endpoint] = set()  # nodes that were killed: what breaks there is no node's fault
-        self.ids = 0
-        self._up = 0
-        self._tasks = [asyncio.create_task(self._client(number)) for number in range(clients)]
+    def __init__(self, nodes: list[Address], clients: int) -> None:
+        self.nodes, self.seen = nodes, Observations()
+        self.killed: set[Address] = set()  # broken connections to killed nodes are not counted
+        self.request_count = 0
+        self._established = 0
+        self._tasks = [asyncio.create_task(self._run_client(number)) for number in range(clients)]
 
     async def end(self) -> None:
-        """Send everybody home."""
+        """Stop all clients; raise any exception of theirs."""
         for task in self._tasks:
             task.cancel()
-        for found in await asyncio.gather(*self._tasks, return_exceptions=True):
-            if isinstance(found, Exception):
-                raise found
+        for result in await asyncio.gather(*self._tasks, return_exceptions=True):
+            if isinstance(result, Exception):
+                raise result
 
     async def stand(self, share: float = 0.9) -> None:
-        """Wait until so many of them are served at once."""
+        """Wait until this share of the clients has a session at the same time."""
         async with asyncio.timeout(30):
-            while self._up < share * len(self._tasks):
+            while self._established < share * len(self._tasks):
                 await asyncio.sleep(0.02)
 
-    async def _client(self, number: int) -> None:
-        tries = 0
+    async def _run_client(self, number: int) -> None:
+        connections = 0
         while True:
-            tries += 1
-            node = self.nodes[(number + tries) % len(self.nodes)]
+            connections += 1
+            node = self.nodes[(number + connections) % len(self.nodes)]
             try:
                 reader, writer = await asyncio.open_connection(*node)
             except OSError:
-                await asyncio.sleep(BACK_S[0])
+                await asyncio.sleep(RETURN_DELAY_S[0])
                 continue
             try:
-                await self._session(number, node, reader, writer)
+                await self._run_session(number, node, reader, writer)
             finally:
                 writer.close()
-            low, high = BACK_S
+            low, high = RETURN_DELAY_S
             await asyncio.sleep(low + (high - low) * (number * 7 % 10) / 10)
 
-    async def _session(
-        self, number: int, node: Endpoint, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+    async def _run_session(
+        self, number: int, node: Address, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
-        """One try and, where it comes up, its session."""
-        self.ids += 1
-        line = f"OPEN {self.ids:016x} {number:016x} c=view,d={int(1000 * WAIT_S)},g={number % 9 + 1:x}\r\n"
-        answer = await self._said(reader, writer, line.encode())
+        """Send one request and, if its session is established, hold it."""
+        self.request_count += 1
+        line = (
+            f"OPEN {self.request_count:016x} {number:016x} "
+            f"c=view,d={int(1000 * ANSWER_TIMEOUT_S)},g={number % 9 + 1:x}\r\n"
+        )
+        answer = await self._exchange_line(reader, writer, line.encode())
         if not answer:
             self.seen.unanswered += node not in self.killed
             return
         self.seen.answers[answer.split()[0].decode()] += 1
         if not answer.startswith(b"UP"):
-            self.seen.extra += bool(await reader.read())  # nothing follows an answer but the end
+            self.seen.extra += bool(await reader.read())  # only the end may follow such an answer
             return
-        self._up += 1
+        self._established += 1
         try:
             while True:
                 began = time.monotonic()
-                echo = await self._said(reader, writer, b"M 1\r\n")
+                echo = await self._exchange_line(reader, writer, b"M 1\r\n")
                 if echo == b"MOVE\r\n":
                     self.seen.moved += 1
                     return
@@ -150,16 +153,18 @@
                     return
                 self.seen.extra += echo != b"M 1\r\n"
                 self.seen.held_s = max(self.seen.held_s, time.monotonic() - began)
-                await asyncio.sleep(LINE_S)
+                await asyncio.sleep(LINE_INTERVAL_S)
         finally:
-            self._up -= 1
+            self._established -= 1
 
     @staticmethod
-    async def _said(reader: asyncio.StreamReader, writer: asyncio.StreamWriter, line: bytes) -> bytes:
-        """What comes back for a line; nothing where the connection ends or stays silent."""
+    async def _exchange_line(
+        reader: asyncio.StreamReader, writer: asyncio.StreamWriter, line: bytes
+    ) -> bytes:
+        """Send a line and return the next one; b"" if the connection ends or stays silent."""
         try:
             writer.write(line)
-            async with asyncio.timeout(WAIT_S):
+            async with asyncio.timeout(ANSWER_TIMEOUT_S):
                 return await reader.readline()
         except (ConnectionError, TimeoutError):
             return b""
--- a/standins/fleet.py
+++ b/standins/fleet.py
@@ -1,4 +1,4 @@
-"""Map servers and their discovery, as one process may hold them: PROTOCOL's lines on asyncio streams."""
+"""Stand-ins for endpoints (map servers) and discovery in one process: PROTOCOL's lines on asyncio streams."""
 
 from __future__ import annotations
 
@@ -10,13 +10,13 @@
 from typing import Any
 
 HOST = "127.0.0.1"
-KEEP_ALIVE = 2.0  # seconds between two empty lines of a watch
-PATIENCE = 30.0  # seconds until a node that should watch is held not to
+KEEP_ALIVE_S = 2.0  # between two empty lines of a watch
+WATCH_TIMEOUT_S = 30.0  # for all nodes to start their watches
 
 
 @dataclass
 class MapServer:
-    """One map server: takes any connection, answers probes, echoes lines."""
+    """A map server that accepts every session, answers health checks and echoes lines."""
 
     uid: str
     kind: str = "toy"
@@ -24,12 +24,12 @@
     state: str = "Ready"
     boot_ms: int = 0
     port: int = 0
-    opened: int = 0  # lines taken
-    probed: int = 0
-    standing: dict[asyncio.StreamWriter, None] = field(default_factory=dict)
+    opened: int = 0  # OPEN lines received
+    probed: int = 0  # STATS lines received
+    standing: dict[asyncio.StreamWriter, None] = field(default_factory=dict)  # connections with a session
 
     def entry(self) -> dict[str, Any]:
-        """The server's entry in discovery's form."""
+        """Return the endpoint's entry in discovery's list."""
         return {
             "uid": self.uid,
             "endpoint": f"{HOST}:{self.port}",
@@ -42,7 +42,7 @@
         }
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """One connection, until either side ends it."""
+        """Serve one connection until either side ends it."""
         try:
             while line := await reader.readline():
                 writer.write(self.answer(line, writer))
@@ -54,7 +54,7 @@
             writer.close()
 
     def answer(self, line: bytes, writer: asyncio.StreamWriter) -> bytes:
-        """What one line brings."""
+        """Return the answer to one line."""
         word = line.split(b" ", 1)[0].strip()
         if word == b"OPEN":
             self.opened += 1
@@ -68,68 +68,71 @@
 
 @dataclass
 class Fleet:
-    """Map servers behind one discovery; `begin` opens the addresses, `tell` sends changes to all watches."""
+    """Map servers and their discovery; `begin` opens the listeners, `tell` sends changes to all watches."""
 
     servers: list[MapServer]
     rev: int = 1
-    refuse: int = 0  # so many calls are cut off
-    down: bool = False  # all are
-    late_s: float = 0.0  # until a call is answered
-    silent: bool = False  # all calls stay open, and nothing is said on them any more
-    each_s: float = 0.0  # what a call takes of the one who serves them in turn
+    refuse: int = 0  # number of further calls to close unanswered
+    down: bool = False  # close all calls unanswered
+    late_s: float = 0.0  # delay of each answer
+    silent: bool = False  # leave calls open without an answer
+    call_s: float = 0.0  # time to serve a call; calls are served one at a time
     address: str = ""
-    _turn: asyncio.Lock = field(default_factory=asyncio.Lock)
+    _call_lock: asyncio.Lock = field(default_factory=asyncio.Lock)
     _watches: dict[asyncio.StreamWriter, None] = field(default_factory=dict)
     _listeners: list[asyncio.Server] = field(default_factory=list)
 
     async def begin(self, serve: bool = True) -> None:
-        """Open discovery, and the servers unless another discovery has, at ports that the kernel picks."""
+        """Open discovery and, with `serve`, the endpoints; a port of 0 is chosen by the kernel.
+
+        `serve` is False if another fleet serves the same endpoints already.
+        """
         for server in self.servers if serve else ():
             listener = await asyncio.start_server(server.serve, HOST, server.port)
             server.port = listener.sockets[0].getsockname()[1]
             self._listeners.append(listener)
-        listener = await asyncio.start_server(partial(self._discover), HOST, 0)
+        listener = await asyncio.start_server(partial(self._serve_discovery), HOST, 0)
         self.address = f"{HOST}:{listener.sockets[0].getsockname()[1]}"
         self._listeners.append(listener)
 
     def close(self) -> None:
-        """Give the addresses back."""
+        """Close all listeners."""
         for listener in self._listeners:
             listener.close()
 
     def known(self) -> dict[str, Any]:
-        """The whole list."""
+        """Return the whole endpoint list."""
         return {"rev": self.rev, "all": True, "targets": [server.entry() for server in self.servers]}
 
     def tell(self, *changed: MapServer) -> None:
-        """News of some servers, in the next version of the list."""
+        """Send a list update about some endpoints, with the next revision, to all watches."""
         self.rev += 1
         change = {"rev": self.rev, "all": False, "targets": [server.entry() for server in changed]}
         for writer in self._watches:
             writer.write(_chunk(json.dumps(change)))
 
     async def told(self, watches: int) -> None:
-        """Wait until so many nodes watch, and so have been told the whole list."""
-        async with asyncio.timeout(PATIENCE):
+        """Wait until this number of watches is open, each of which has been sent the whole list."""
+        async with asyncio.timeout(WATCH_TIMEOUT_S):
             while len(self._watches) < watches:
                 await asyncio.sleep(0.01)
 
     def drop(self) -> None:
-        """End all watches, as when discovery goes down."""
+        """Close all watches, as a stop of discovery does."""
         for writer in tuple(self._watches):
             writer.close()
         self._watches.clear()
 
     def fall_silent(self) -> None:
-        """Say nothing more: neither on the watches that are open nor on any call until it speaks again."""
+        """Send nothing more on open watches, and leave calls unanswered until `resume`."""
         self.silent = True
         self._watches.clear()
 
-    def speak(self, each_s: float) -> None:
-        """Serve those who call from now on, one after another; who has called before hears nothing."""
-        self.silent, self.each_s = False, each_s
+    def resume(self, call_s: float) -> None:
+        """Serve new calls one at a time, each for `call_s`; earlier calls stay unanswered."""
+        self.silent, self.call_s = False, call_s
 
-    async def _discover(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def _serve_discovery(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         try:
             while (await reader.readline()).strip():
                 pass
@@ -137,23 +140,23 @@
                 self.refuse -= not self.down
                 return
             if self.silent:
-                await reader.read()  # until the node gives the call up
+                await reader.read()  # until the node ends the call
                 return
             await asyncio.sleep(self.late_s)
-            async with self._turn:
-                await asyncio.sleep(self.each_s)
+            async with self._call_lock:
+                await asyncio.sleep(self.call_s)
             writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
             writer.write(_chunk(json.dumps(self.known())))
             self._watches[writer] = None
             while not reader.at_eof() and not writer.is_closing():
                 await writer.drain()
-                await asyncio.sleep(KEEP_ALIVE)
+                await asyncio.sleep(KEEP_ALIVE_S)
                 if writer not in self._watches:
                     await reader.read()
                     return
                 writer.write(_chunk(""))
         except (ConnectionError, asyncio.CancelledError):
-            pass  # the node has gone, or all ends
+            pass  # the node has disconnected, or the program ends
         finally:
             self._watches.pop(writer, None)
             writer.close()
--- a/standins/live.py
+++ b/standins/live.py
@@ -1,7 +1,8 @@
-"""A scenario on sockets: real nodes, and stand-in servers, discovery and clients with the model's draws.
+"""Plays a scenario on sockets: real nodes with stand-ins for endpoints, discovery and clients.
 
-The servers are the model's (`fleet/servers.py`) on the real clock: an echo waits as long as a draw from the
-same formula says. Service is what the clients see: lines whose echo came in time, over all that they wanted.
+The stand-ins use the simulation's draws, and the endpoints run its model (`fleet/servers.py`) on the real
+clock: the delay of an echo is drawn from the same formula. Service is measured at the clients: the time in
+which echoes come within the objective, over all the time in which clients want service.
 """
 
 from __future__ import annotations
@@ -31,34 +32,34 @@
 from stepflow.fleet.streams import stream
 from stepflow.fleet.traffic import LOADS_PER_SESSION, Traffic
 
-PATIENCE = 2.0  # the most that a client waits for an echo before it counts as late for good
-PLAYED = ("hang", "start", "drain", "crash", "restart", "burst", "list-down")
-UP_MOST = 40.0  # seconds until what stood at the start has to stand
+ECHO_TIMEOUT_S = 2.0  # a client stops waiting for an echo after this and counts it as late
+SUPPORTED_FAULTS = ("hang", "start", "drain", "crash", "restart", "burst", "list-down")
+ESTABLISH_TIMEOUT_S = 40.0  # in which the sessions that the scenario starts with have to be established
 
 
 @dataclass
-class LiveServer(MapServer):
-    """One map server with the model's capacity."""
+class LiveEndpoint(MapServer):
+    """A map server with the capacity of the simulation's model."""
 
     model: Server = field(default_factory=lambda: Server("", 0, 1, 1.0, 1.0, 1.0, 1.0, 1, 0.0, 0.001))
     live: Live | None = None
-    holders: dict[asyncio.StreamWriter, tuple[int, float]] = field(default_factory=dict)
+    sessions: dict[asyncio.StreamWriter, tuple[int, float]] = field(default_factory=dict)  # group and load
 
     @property
     def now(self) -> int:
-        """Microseconds since the scenario began."""
+        """Microseconds since the scenario's start."""
         assert self.live is not None
         return self.live.now
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Serve one connection as the model of this server does."""
-        swings: asyncio.Task[None] | None = None
+        """Serve one connection with the delays and loads of the endpoint's model."""
+        load_task: asyncio.Task[None] | None = None
         live = self.live
         assert live is not None
         try:
             while line := await reader.readline():
                 if self.model.hung:
-                    await live.until(lambda: not self.model.hung)
+                    await live.wait_until(lambda: not self.model.hung)
                 word = line.split(b" ", 1)[0].strip()
                 if word == b"OPEN":
                     number = int(line.split(b" ")[1], 16) & 0xFFFFFFFF
@@ -66,121 +67,121 @@
                     writer.write(answer)
                     if not answer.startswith(b"UP"):
                         return
-                    swings = asyncio.create_task(self._swing(number, writer))
+                    load_task = asyncio.create_task(self._send_loads(number, writer))
                 elif word == b"STATS":
                     self.probed += 1
                     self.model.add_work(self.now, live.scenario.day.probe_us / SECOND)
                     await asyncio.sleep(self.model.wait_s(self.now))
-                    load, pile = self.model.utilization(self.now), self.model.wait_s(self.now)
-                    noise = 1 + live.scenario.day.report_noise * float(live.luck.standard_normal())
-                    told = f"x0={load * noise:.6f},x1={pile:.6f},util={min(1.0, load * noise):.6f}"
-                    writer.write(f"PONG {told}\r\n".encode())
+                    load, backlog_s = self.model.utilization(self.now), self.model.wait_s(self.now)
+                    noise = 1 + live.scenario.day.report_noise * float(live.run_rng.standard_normal())
+                    report = f"x0={load * noise:.6f},x1={backlog_s:.6f},util={min(1.0, load * noise):.6f}"
+                    writer.write(f"PONG {report}\r\n".encode())
                 else:
-                    await asyncio.sleep(self._wait())
+                    await asyncio.sleep(self._echo_delay_s())
                     writer.write(line)
                 await writer.drain()
         except (ConnectionError, asyncio.CancelledError):
             pass
         finally:
-            if swings is not None:
-                swings.cancel()
-            if writer in self.holders:
+            if load_task is not None:
+                load_task.cancel()
+            if writer in self.sessions:
                 self.model.advance(self.now)
-                self.model.remove_session(*self.holders.pop(writer))
+                self.model.remove_session(*self.sessions.pop(writer))
             writer.close()
 
-    async def _open(self, number: int, writer: asyncio.StreamWriter, stood: bool) -> bytes:
+    async def _open(self, number: int, writer: asyncio.StreamWriter, is_adopted: bool) -> bytes:
         live, model = self.live, self.model
         assert live is not None
         traffic, day = live.traffic, live.scenario.day
         if (
             not model.is_running
-            or (model.availability and not stood)
+            or (model.availability and not is_adopted)
             or model.connections >= model.max_sessions
         ):
             return b"BUSY\r\n"
-        if not stood:
+        if not is_adopted:
             cls = live.classes[int(traffic.class_index[number])]
             work = cls.work_ms / 1000 * float(traffic.work[number])
             model.add_work(self.now, work)
-            live.tally.requested_work += work
+            live.results.requested_work += work
             load = float(traffic.loads[number, 0])
             if model.is_overloaded_by(self.now, load, day.fall_times, int(day.fall_s * SECOND)):
-                live.fall(self)
+                live.crash(self)
                 return b"ERR\r\n"
             await asyncio.sleep(model.wait_s(self.now) + work / model.speed + 0.005)
-        held = int(traffic.group[number]), float(traffic.loads[number, 0])
+        session = int(traffic.group[number]), float(traffic.loads[number, 0])
         model.advance(self.now)
-        model.add_session(*held)
-        self.holders[writer] = held
+        model.add_session(*session)
+        self.sessions[writer] = session
         return b"UP %s\r\n" % self.uid.encode()
 
-    async def _swing(self, number: int, writer: asyncio.StreamWriter) -> None:
+    async def _send_loads(self, number: int, writer: asyncio.StreamWriter) -> None:
         live = self.live
         assert live is not None
         for step in range(LOADS_PER_SESSION):
-            group, before = self.holders[writer]
+            group, previous_load = self.sessions[writer]
             load = float(live.traffic.loads[number, step])
             self.model.advance(self.now)
-            self.model.load += load - before
-            self.holders[writer] = group, load
-            told = load * LOAD_UNIT * (HUNG_SHARE if self.model.hung else 1.0)
-            writer.write(b"LOAD %.3f\r\n" % told)
+            self.model.load += load - previous_load
+            self.sessions[writer] = group, load
+            reported_load = load * LOAD_UNIT * (HUNG_SHARE if self.model.hung else 1.0)
+            writer.write(b"LOAD %.3f\r\n" % reported_load)
             await asyncio.sleep(float(live.traffic.load_spans_s[number, step]))
 
-    def _wait(self) -> float:
-        """How long this echo takes."""
+    def _echo_delay_s(self) -> float:
+        """Draw the delay of one echo, in seconds."""
         model, rho = self.model, min(self.model.utilization(self.now), 0.99)
         wait = model.message_s + model.wait_s(self.now)
         assert self.live is not None
-        if self.live.luck.random() < erlang_c(model.cores, rho):
-            wait += self.live.luck.exponential(model.message_s / (model.cores * (1 - rho)))
+        if self.live.run_rng.random() < erlang_c(model.cores, rho):
+            wait += self.live.run_rng.exponential(model.message_s / (model.cores * (1 - rho)))
         return wait
 
-    def cut(self) -> None:
-        """The process is gone."""
-        for writer in tuple(self.holders):
+    def abort_sessions(self) -> None:
+        """Abort all sessions, as the end of the endpoint's process does."""
+        for writer in tuple(self.sessions):
             writer.transport.abort()
 
 
 class Live:
-    """One scenario, played once."""
+    """One scenario, played once on sockets."""
 
     def __init__(self, scenario: Scenario, seed: int) -> None:
         self.scenario, self.seed = scenario, seed
-        world = Simulation(scenario, seed)  # for its servers and draws: its own clock is never started
-        self.traffic: Traffic = world.traffic
-        self.places = world.place_sessions()
+        simulation = Simulation(scenario, seed)  # only for its servers and draws; its clock is never started
+        self.traffic: Traffic = simulation.traffic
+        self.placements = simulation.place_sessions()
         self.classes = list(scenario.classes.values())
-        self.names = list(scenario.classes)
-        self.luck = stream(seed, "live")
+        self.class_names = list(scenario.classes)
+        self.run_rng = stream(seed, "live")
         kinds = list(scenario.kinds)
         self.fleet = Fleet([])
-        self.servers = [
-            LiveServer(model.id, kinds[model.kind], model=model, live=self) for model in world.servers
+        self.endpoints = [
+            LiveEndpoint(model.id, kinds[model.kind], model=model, live=self) for model in simulation.servers
         ]
-        self.fleet.servers = list(self.servers)
-        self.tally: Measurements = world.measurements
-        self._began = 0.0
+        self.fleet.servers = list(self.endpoints)
+        self.results: Measurements = simulation.measurements
+        self._started_at = 0.0
         self._ports: list[int] = []
         self._nodes: list[asyncio.subprocess.Process | None] = []
-        self._ids = 0
-        self._news: list[asyncio.Task[None]] = []
-        self._logs: list[asyncio.Task[bytes]] = []
-        self.worst_late = 0.0  # of this program's own loop: a run on a busy machine tells little
+        self._request_count = 0
+        self._update_tasks: list[asyncio.Task[None]] = []
+        self._log_tasks: list[asyncio.Task[bytes]] = []
+        self.max_loop_delay_s = 0.0  # of this program's event loop; a run on a busy machine says little
 
     @property
     def now(self) -> int:
-        """Microseconds since the run began."""
-        return int((time.monotonic() - self._began) * SECOND) if self._began else 0
+        """Microseconds since the scenario's start, or 0 before it."""
+        return int((time.monotonic() - self._started_at) * SECOND) if self._started_at else 0
 
-    async def until(self, true: Any) -> None:
-        """Wait until a condition holds, looked at every 20 ms."""
-        while not true():
+    async def wait_until(self, condition: Any) -> None:
+        """Wait until a condition is true; checks it every 20 ms."""
+        while not condition():
             await asyncio.sleep(0.02)
 
     async def play(self) -> Measurements:
-        """The whole scenario, with nodes of this checkout."""
+        """Play the whole scenario with nodes of this checkout; return the measurements."""
         day = self.scenario.day
         await self.fleet.begin()
         with tempfile.TemporaryDirectory() as folder:
@@ -188,26 +189,26 @@
             self._ports = [_free_port() for _ in range(day.nodes)]
             self._nodes = [None] * day.nodes
             await asyncio.gather(*(self._start_node(number) for number in range(day.nodes)))
-            up: list[asyncio.Future[None]] = []
+            pending: list[asyncio.Future[None]] = []
             tasks = [
-                asyncio.create_task(self._client(number, self._stood(up)))
+                asyncio.create_task(self._run_client(number, self._add_future(pending)))
                 for number in range(self.traffic.established)
             ]
             try:
-                async with asyncio.timeout(UP_MOST):
-                    await asyncio.gather(*up)
-                self._began = time.monotonic()
-                for server in self.servers:
-                    server.model.advanced_us = 0
+                async with asyncio.timeout(ESTABLISH_TIMEOUT_S):
+                    await asyncio.gather(*pending)
+                self._started_at = time.monotonic()
+                for endpoint in self.endpoints:
+                    endpoint.model.advanced_us = 0
                 tasks += [
-                    asyncio.create_task(self._client(number, None))
+                    asyncio.create_task(self._run_client(number, None))
                     for number in range(self.traffic.established, len(self.traffic.at_us))
                 ]
                 tasks += [
-                    asyncio.create_task(self._fault(number, one))
-                    for number, one in enumerate(self.scenario.faults)
+                    asyncio.create_task(self._inject_fault(number, fault))
+                    for number, fault in enumerate(self.scenario.faults)
                 ]
-                tasks.append(asyncio.create_task(self._watch_loop()))
+                tasks.append(asyncio.create_task(self._measure_loop_delay()))
                 await asyncio.sleep(day.warm + day.seconds)
             finally:
                 for task in tasks:
@@ -217,22 +218,22 @@
                         node.kill()
                         await node.wait()
                 self.fleet.close()
-                for task in self._news:
+                for task in self._update_tasks:
                     task.cancel()
-                await asyncio.gather(*tasks, *self._news, *self._logs, return_exceptions=True)
-        self.tally.health_checks = sum(server.probed for server in self.servers)
-        return self.tally
+                await asyncio.gather(*tasks, *self._update_tasks, *self._log_tasks, return_exceptions=True)
+        self.results.health_checks = sum(endpoint.probed for endpoint in self.endpoints)
+        return self.results
 
-    def _stood(self, up: list[asyncio.Future[None]]) -> asyncio.Future[None]:
+    def _add_future(self, pending: list[asyncio.Future[None]]) -> asyncio.Future[None]:
         future: asyncio.Future[None] = asyncio.get_running_loop().create_future()
-        up.append(future)
+        pending.append(future)
         return future
 
-    async def _watch_loop(self) -> None:
+    async def _measure_loop_delay(self) -> None:
         while True:
             before = time.monotonic()
             await asyncio.sleep(0.05)
-            self.worst_late = max(self.worst_late, time.monotonic() - before - 0.05)
+            self.max_loop_delay_s = max(self.max_loop_delay_s, time.monotonic() - before - 0.05)
 
     # Nodes.
 
@@ -242,10 +243,10 @@
         process, _ = await start_node(config, {"TMPDIR": "", "STEPFLOW_CONF": os.devnull})
         assert process.stderr is not None
         self._nodes[number] = process
-        self._logs.append(asyncio.create_task(process.stderr.read()))
+        self._log_tasks.append(asyncio.create_task(process.stderr.read()))
 
     def _configuration(self, number: int) -> dict[str, Any]:
-        told = self.scenario.settings(number)
+        settings = self.scenario.settings(number)
         return {
             "name": f"n{number}",
             "listen": f"{HOST}:{self._ports[number]}",
@@ -254,11 +255,11 @@
             "limits": {"sockets": 8192},
             "known": self.fleet.known(),
             "settings": {
-                "group_size": told.balancers,
+                "group_size": settings.balancers,
                 "position": number,
                 "discovery": "on_request",
                 "azs": ["room"],
-                "kinds": list(told.kinds),
+                "kinds": list(settings.kinds),
                 "classes": [
                     {
                         "name": c.name,
@@ -267,169 +268,181 @@
                         "effect": "repeatable",
                         "credit": c.priority_weight,
                     }
-                    for c in told.classes
+                    for c in settings.classes
                 ],
                 "domain": {
                     "mode": "proxy",
                     "groups": True,
-                    "message_aim_us": [c.message_latency_objective_us for c in told.classes],
+                    "message_aim_us": [c.message_latency_objective_us for c in settings.classes],
                 },
                 "policy_limits": {
-                    "most_tries": told.limits.max_attempts,
+                    "most_tries": settings.limits.max_attempts,
                     "probing": True,
                     "cancel": True,
                     "retry_after": True,
                     "connect_timeout_us": 200_000,
                 },
-                "costs": {n: getattr(told.prices, n) for n in ("late_fail", "moves", "probe", "waste")},
+                "costs": {n: getattr(settings.prices, n) for n in ("late_fail", "moves", "probe", "waste")},
                 "safety": {
-                    "cold_share": told.rules.slow_start_share,
-                    "warm_after_us": told.rules.slow_start_us,
-                    "fall_multiple": told.rules.overload_multiple,
-                    "overload_for_us": told.rules.overload_after_us,
-                    "drain_grace_us": told.rules.drain_grace_us,
+                    "cold_share": settings.rules.slow_start_share,
+                    "warm_after_us": settings.rules.slow_start_us,
+                    "fall_multiple": settings.rules.overload_multiple,
+                    "overload_for_us": settings.rules.overload_after_us,
+                    "drain_grace_us": settings.rules.drain_grace_us,
                 },
-                "report": {"fields": list(told.load_report_fields), "via": "probe"},
+                "report": {"fields": list(settings.load_report_fields), "via": "probe"},
             },
         }
 
     # Clients.
 
-    async def _client(self, number: int, stood: asyncio.Future[None] | None) -> None:
+    async def _run_client(self, number: int, established: asyncio.Future[None] | None) -> None:
         cls, day = int(self.traffic.class_index[number]), self.scenario.day
-        life = float(self.traffic.life_s[number])
+        life_s = float(self.traffic.life_s[number])
         if self.traffic.draws[number, 0] < day.leave:
-            life *= float(self.traffic.draws[number, 1])
-        if stood is None:
+            life_s *= float(self.traffic.draws[number, 1])
+        if established is None:
             await asyncio.sleep(max(0.0, float(self.traffic.at_us[number]) / SECOND - self.now / SECOND))
-            self.tally.requests += self.now >= day.warm * SECOND
-            if await self._over(self._sessions(number, cls), life):
+            self.results.requests += self.now >= day.warm * SECOND
+            if await self._run_for(self._run_sessions(number, cls), life_s):
                 return
         else:
-            place = self.servers[self.places[number]].uid
-            first = asyncio.create_task(self._session(number, cls, place, False, stood))
+            endpoint_id = self.endpoints[self.placements[number]].uid
+            first = asyncio.create_task(self._run_session(number, cls, endpoint_id, False, established))
             try:
-                await stood
-                await self.until(lambda: self._began)
-                await self._over(self._after(first, number, cls), life)
+                await established
+                await self.wait_until(lambda: self._started_at)
+                await self._run_for(self._continue_after(first, number, cls), life_s)
             finally:
                 first.cancel()
 
-    async def _after(self, first: asyncio.Task[bool], number: int, cls: int) -> None:
+    async def _continue_after(self, first: asyncio.Task[bool], number: int, cls: int) -> None:
         await first
-        await self._sessions(number, cls, returned=True)
+        await self._run_sessions(number, cls, returned=True)
 
-    async def _over(self, what: Awaitable[None], life: float) -> bool:
+    async def _run_for(self, work: Awaitable[None], life_s: float) -> bool:
+        """Run work for at most this long; return whether the time ran out."""
         try:
-            async with asyncio.timeout(life):  # wait_for may swallow a cancellation that comes at the end
-                await what
+            async with asyncio.timeout(life_s):  # wait_for may swallow a cancellation that comes at the end
+                await work
         except TimeoutError:
             return True
         return False
 
-    async def _sessions(self, number: int, cls: int, returned: bool = False) -> None:
-        """Come again until the time is over."""
+    async def _run_sessions(self, number: int, cls: int, returned: bool = False) -> None:
+        """Open sessions one after another until cancelled; wait before each retry and each return."""
         low, high = self.scenario.day.back_ms
-        waits = 0
+        failures = 0
         while True:
-            chance = float(self.traffic.draws[number, 3 + waits % 13])
+            draw = float(self.traffic.draws[number, 3 + failures % 13])
             if returned:
-                await self._wanting(cls, (low + (high - low) * chance) / 1000)
-            stood = await self._session(number, cls, "", returned or waits > 0)
-            if stood:
-                returned, waits = True, 0
+                await self._wait_unserved(cls, (low + (high - low) * draw) / 1000)
+            was_established = await self._run_session(number, cls, "", returned or failures > 0)
+            if was_established:
+                returned, failures = True, 0
             else:
-                returned, waits = False, waits + 1
-                await self._wanting(cls, 0.06 * 2 ** min(waits - 1, 5) * (0.5 + chance))
+                returned, failures = False, failures + 1
+                await self._wait_unserved(cls, 0.06 * 2 ** min(failures - 1, 5) * (0.5 + draw))
 
-    async def _wanting(self, cls: int, span: float) -> None:
-        """Wait without service: what is wanted meanwhile counts."""
+    async def _wait_unserved(self, cls: int, span_s: float) -> None:
+        """Wait for a time that counts as wanted but not served."""
         began = self.now
         try:
-            await asyncio.sleep(span)
+            await asyncio.sleep(span_s)
         finally:
-            self._count(cls, began, self.now, 0.0)
+            self._record_service(cls, began, self.now, 0.0)
 
-    def _count(self, cls: int, began: int, ended: int, share: float) -> None:
-        """Seconds that were wanted, and the share of them that was served."""
-        wanted, at = self.tally.wanted, began
+    def _record_service(self, cls: int, began: int, ended: int, share: float) -> None:
+        """Count a time span as wanted, weighted by the class's worth, and a share of it as served."""
+        wanted, at = self.results.wanted, began
         while at < ended:
             until = min(ended, (at // SECOND + 1) * SECOND)
             second = at // SECOND
             if self.scenario.day.warm <= second < len(wanted):
                 worth = (until - at) / SECOND * self.classes[cls].worth
                 wanted[second, cls] += worth
-                self.tally.served[second, cls] += worth * share
+                self.results.served[second, cls] += worth * share
             at = until
 
-    async def _session(
-        self, number: int, cls: int, at: str, again: bool, stood: asyncio.Future[None] | None = None
+    async def _run_session(
+        self,
+        number: int,
+        cls: int,
+        endpoint_id: str,
+        again: bool,
+        established: asyncio.Future[None] | None = None,
     ) -> bool:
-        """One try and, where it comes up, its session; whether it came up."""
+        """Send one request and hold its session if one is established; return whether it was.
+
+        With an `endpoint_id` the request asks to adopt the session at it; `established` is resolved once that
+        is done, and the session counts from the scenario's start.
+        """
         began = self.now
-        port = self._ports[int(self.luck.integers(len(self._ports)))]
+        port = self._ports[int(self.run_rng.integers(len(self._ports)))]
         writer: asyncio.StreamWriter | None = None
-        up = False
+        is_established = False
         try:
             reader, writer = await asyncio.open_connection(HOST, port)
-            self._ids += 1
-            wait = 3_000_000 if at else int(self.classes[cls].wait_ms)
-            more = f",at={at}" if at else ",again=1" if again else ""
-            text = f"OPEN {self._ids << 32 | number:x} 1 c={self.names[cls]},d={wait}"
-            writer.write(f"{text},g={int(self.traffic.group[number]):x}{more}\r\n".encode())
-            async with asyncio.timeout(wait / 1000):
+            self._request_count += 1
+            wait_ms = 3_000_000 if endpoint_id else int(self.classes[cls].wait_ms)
+            options = f",at={endpoint_id}" if endpoint_id else ",again=1" if again else ""
+            text = f"OPEN {self._request_count << 32 | number:x} 1 c={self.class_names[cls]},d={wait_ms}"
+            writer.write(f"{text},g={int(self.traffic.group[number]):x}{options}\r\n".encode())
+            async with asyncio.timeout(wait_ms / 1000):
                 answer = await reader.readline()
             if not answer.startswith(b"UP"):
                 counted = self.now >= self.scenario.day.warm * SECOND
-                self.tally.rejected += counted and answer.startswith(b"BUSY")
-                self.tally.failed += counted and answer.startswith(b"ERR")
+                self.results.rejected += counted and answer.startswith(b"BUSY")
+                self.results.failed += counted and answer.startswith(b"ERR")
                 return False
-            up = True
-            if stood is not None:
-                stood.set_result(None)
-                await self.until(lambda: self._began)
+            is_established = True
+            if established is not None:
+                established.set_result(None)
+                await self.wait_until(lambda: self._started_at)
                 began = self.now
-            self._count(cls, began, self.now, 0.0)
+            self._record_service(cls, began, self.now, 0.0)
             began = self.now
-            await self._talk(cls, reader, writer)
+            await self._exchange_lines(cls, reader, writer)
         except (OSError, TimeoutError, EOFError):
             pass
         finally:
-            if not up:
-                self._count(cls, began, self.now, 0.0)
+            if not is_established:
+                self._record_service(cls, began, self.now, 0.0)
             if writer is not None:
                 writer.close()
-        return up
+        return is_established
 
-    async def _talk(self, cls: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Lines and their echoes, until the session is ended."""
-        aim = self.classes[cls].message_ms / 1000
+    async def _exchange_lines(
+        self, cls: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+    ) -> None:
+        """Exchange lines and echoes until the session ends or is migrated."""
+        objective_s = self.classes[cls].message_ms / 1000
         while True:
-            began, at = self.now, time.monotonic()
+            began, sent_at = self.now, time.monotonic()
             share = 0.0
             try:
                 writer.write(b"M\r\n")
-                async with asyncio.timeout(PATIENCE):
-                    line = await self._echo(reader)
-                share = float(time.monotonic() - at <= aim)
+                async with asyncio.timeout(ECHO_TIMEOUT_S):
+                    line = await self._read_echo(reader)
+                share = float(time.monotonic() - sent_at <= objective_s)
                 if line != b"M\r\n":
-                    self.tally.migrations += line == b"MOVE\r\n"
+                    self.results.migrations += line == b"MOVE\r\n"
                     return
-                await asyncio.sleep(max(0.0, LINE_S - (time.monotonic() - at)))
+                await asyncio.sleep(max(0.0, LINE_S - (time.monotonic() - sent_at)))
             except TimeoutError:
                 share = 0.0
             finally:
-                self._count(cls, began, self.now, share)
+                self._record_service(cls, began, self.now, share)
 
     @staticmethod
-    async def _echo(reader: asyncio.StreamReader) -> bytes:
+    async def _read_echo(reader: asyncio.StreamReader) -> bytes:
         while (line := await reader.readline()).startswith(b"LOAD"):
             pass
         return line
 
-    # What goes wrong.
+    # Faults.
 
-    async def _fault(self, number: int, fault: Fault) -> None:
+    async def _inject_fault(self, number: int, fault: Fault) -> None:
         rng = stream(self.seed, "fault", number)
         await asyncio.sleep(fault.at)
         if fault.what == "restart":
@@ -438,7 +451,9 @@
             steps = -(-count // batch)
             order = [int(node) for node in rng.permutation(len(self._nodes))[:count]]
             for step in range(steps):
-                await asyncio.gather(*(self._restart(n) for n in order[step * batch : (step + 1) * batch]))
+                await asyncio.gather(
+                    *(self._restart_node(n) for n in order[step * batch : (step + 1) * batch])
+                )
                 await asyncio.sleep(fault.lasts / steps)
         elif fault.what == "list-down":
             self.fleet.down = True
@@ -448,14 +463,14 @@
         elif fault.what != "burst":
             running = [
                 s
-                for s in self.servers
+                for s in self.endpoints
                 if s.model.is_running and not s.model.availability and not s.model.hung
             ]
-            count = min(len(running), max(1, round(fault.part * len(self.servers))))
+            count = min(len(running), max(1, round(fault.part * len(self.endpoints))))
             picked = [running[int(pick)] for pick in rng.permutation(len(running))[:count]]
-            await asyncio.gather(*(self._spoil(server, fault) for server in picked))
+            await asyncio.gather(*(self._inject_endpoint_fault(endpoint, fault) for endpoint in picked))
 
-    async def _restart(self, number: int) -> None:
+    async def _restart_node(self, number: int) -> None:
         node = self._nodes[number]
         if node is not None and node.returncode is None:
             node.kill()
@@ -463,46 +478,46 @@
         await asyncio.sleep(0.5)
         await self._start_node(number)
 
-    async def _spoil(self, server: LiveServer, fault: Fault) -> None:
-        model = server.model
+    async def _inject_endpoint_fault(self, endpoint: LiveEndpoint, fault: Fault) -> None:
+        model = endpoint.model
         if fault.what == "hang":
             model.hung = True
             await asyncio.sleep(fault.lasts)
             model.hung = False
         elif fault.what == "crash":
-            self.fall(server)
+            self.crash(endpoint)
         elif fault.what == "drain":
-            model.availability, server.state = 1, "Terminating"
-            self._change(server)
+            model.availability, endpoint.state = 1, "Terminating"
+            self._schedule_update(endpoint)
             await asyncio.sleep(fault.lasts)
-            model.availability, server.state = 2, "Gone"
-            server.cut()
-            self._change(server)
+            model.availability, endpoint.state = 2, "Gone"
+            endpoint.abort_sessions()
+            self._schedule_update(endpoint)
         else:
-            model.availability, server.state = 2, "Gone"
-            server.cut()
-            self._change(server)
+            model.availability, endpoint.state = 2, "Gone"
+            endpoint.abort_sessions()
+            self._schedule_update(endpoint)
             await asyncio.sleep(fault.lasts)
-            model.availability, server.state = 0, "Ready"
+            model.availability, endpoint.state = 0, "Ready"
             model.started_us, model.backlog, model.advanced_us = self.now, 0.0, self.now
-            server.boot_ms = int(time.time() * 1000)
-            self._change(server)
+            endpoint.boot_ms = int(time.time() * 1000)
+            self._schedule_update(endpoint)
 
-    def fall(self, server: LiveServer) -> None:
-        """It goes down for good."""
-        server.model.crashed, server.model.availability, server.state = True, 2, "Gone"
-        self.tally.crashed_servers += 1
-        server.cut()
-        self._change(server)
+    def crash(self, endpoint: LiveEndpoint) -> None:
+        """Crash an endpoint; it does not restart."""
+        endpoint.model.crashed, endpoint.model.availability, endpoint.state = True, 2, "Gone"
+        self.results.crashed_servers += 1
+        endpoint.abort_sessions()
+        self._schedule_update(endpoint)
 
-    def _change(self, server: LiveServer) -> None:
-        """The list tells of a server as it is then, some seconds late."""
-        self._news.append(asyncio.create_task(self._tell(server)))
+    def _schedule_update(self, endpoint: LiveEndpoint) -> None:
+        """Send a list update after a random delay, with the endpoint's state at that time."""
+        self._update_tasks.append(asyncio.create_task(self._send_update(endpoint)))
 
-    async def _tell(self, server: LiveServer) -> None:
+    async def _send_update(self, endpoint: LiveEndpoint) -> None:
         low, high = self.scenario.day.list_s
-        await asyncio.sleep(float(self.luck.uniform(low, high)))
-        self.fleet.tell(server)
+        await asyncio.sleep(float(self.run_rng.uniform(low, high)))
+        self.fleet.tell(endpoint)
 
 
 def _free_port() -> int:
@@ -512,14 +527,15 @@
 
 
 def play(scenario: Scenario, seed: int) -> tuple[Measurements, float]:
-    """Play a scenario once; what was counted, and how late this program's own loop was at the worst.
+    """Play a scenario once; return the measurements and the longest delay, in seconds, of this event loop.
 
-    A burst is in the draws already; a fault that can't be played here is turned down before anything starts.
+    Bursts are part of the draws already. Raises CompareError, before anything starts, for a fault that is
+    not played on sockets.
     """
-    if unplayed := [fault.what for fault in scenario.faults if fault.what not in PLAYED]:
-        raise CompareError(f"{unplayed[0]}: this fault is not played on sockets yet")
+    if unsupported := [fault.what for fault in scenario.faults if fault.what not in SUPPORTED_FAULTS]:
+        raise CompareError(f"{unsupported[0]}: this fault is not played on sockets yet")
     live = Live(scenario, seed)
-    tally = asyncio.run(live.play())
-    rho = [server.model.utilization(live.now) for server in live.servers if server.model.is_running]
-    tally.imbalance = [float(np.std(rho))]
-    return tally, live.worst_late
+    results = asyncio.run(live.play())
+    rho = [endpoint.model.utilization(live.now) for endpoint in live.endpoints if endpoint.model.is_running]
+    results.imbalance = [float(np.std(rho))]
+    return results, live.max_loop_delay_s
--- a/standins/soak/fault_injector.py
+++ b/standins/soak/fault_injector.py
@@ -107,7 +107,7 @@
             process.send_signal(signal.SIGCONT)
 
     async def _reload(self) -> None:
-        """Write a new configuration and send SIGHUP 1 to 3 times, with or without one amid the write."""
+        """Write a new configuration and send SIGHUPs; the file may be half written at the first of them."""
         text = self._plan.new_configuration(self._rng)
         if self._rng.random() < HALF_WRITTEN_SHARE:
             self._plan.config.write_text(text[: len(text) // 2])
--- a/standins/soak/run.py
+++ b/standins/soak/run.py
@@ -90,7 +90,7 @@
         """Play the seed: start all, inject faults, shut the nodes down and return the records."""
         for fleet, opens_endpoints in zip(self._fleets, (True, False), strict=True):
             await fleet.begin(opens_endpoints)
-        self._spawn(self._watch_own_loop())
+        self._spawn(self._measure_loop_delay())
         try:
             await asyncio.gather(*(self._start_process(node) for node in self._nodes))
             if self.records.node_faults:
@@ -135,7 +135,7 @@
             if isinstance(result, Exception):
                 raise result
 
-    async def _watch_own_loop(self) -> None:
+    async def _measure_loop_delay(self) -> None:
         while True:
             before = time.monotonic()
             await asyncio.sleep(0.02)
