--- a/standins/__init__.py
+++ b/standins/__init__.py
@@ -1,4 +1,4 @@
-"""Stand-ins for what a node speaks with, on loopback: map servers, discovery and clients."""
+"""Stand-ins on loopback for what a node communicates with: endpoints, discovery and clients."""
 
 from standins.fleet import Fleet
 
--- a/standins/links.py
+++ b/standins/links.py
@@ -1,7 +1,7 @@
-"""Links between real processes on loopback addresses: datagrams lost, delayed, duplicated or cut, by a seed.
+"""Links between real processes on loopback that lose, delay, duplicate or block datagrams, by a seed.
 
-A process sends to the address that it knows a peer by; the relay passes the datagram on from the address that
-the peer knows the sender by. Each direction fails by itself.
+Each member knows every peer by a relay address. The relay forwards a datagram from the address that the
+receiver knows the sender by. The two directions between members fail independently.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 
 @dataclass
 class Link:
-    """One direction between two members, and how it fails."""
+    """One direction between two members and its faults."""
 
     loss: float = 0.0  # chance of each datagram
     duplicates: float = 0.0  # chance of each datagram
@@ -26,13 +26,13 @@
     is_cut: bool = False
 
 
-def _identity(endpoint: _RelayEndpoint) -> _RelayEndpoint:
-    """Return the endpoint itself: asyncio wants a function that makes it."""
+def _return_endpoint(endpoint: _RelayEndpoint) -> _RelayEndpoint:
+    """Return the argument; asyncio expects a factory for the protocol."""
     return endpoint
 
 
 class _RelayEndpoint(asyncio.DatagramProtocol):
-    """The address that one member knows another by."""
+    """The protocol at the address that one member knows another by."""
 
     def __init__(self, links: Links, owner: int, peer: int) -> None:
         self.links, self.owner, self.peer = links, owner, peer
@@ -46,43 +46,48 @@
 
 
 class Links:
-    """All links between some members; `open` binds their addresses, `listen` has where each receives."""
+    """All links between the members; `open` binds the relay addresses, `listen` has each member's own."""
 
     def __init__(self, members: int, seed: int) -> None:
         self.members, self._rng = members, random.Random(seed)
-        pairs = [(sender, to) for sender in range(members) for to in range(members) if sender != to]
+        pairs = [
+            (sender, receiver)
+            for sender in range(members)
+            for receiver in range(members)
+            if sender != receiver
+        ]
         self.by_pair = {pair: Link() for pair in pairs}  # by sender and receiver
         self.listen: list[Address] = []
         self._endpoints: dict[tuple[int, int], _RelayEndpoint] = {}  # by owner and peer
 
     async def open(self, listen: list[Address]) -> None:
-        """Bind an address for each member and peer."""
+        """Bind a relay address for each pair of member and peer."""
         self.listen = listen
         loop = asyncio.get_running_loop()
         for pair in self.by_pair:
             endpoint = _RelayEndpoint(self, *pair)
-            await loop.create_datagram_endpoint(partial(_identity, endpoint), local_addr=(HOST, 0))
+            await loop.create_datagram_endpoint(partial(_return_endpoint, endpoint), local_addr=(HOST, 0))
             self._endpoints[pair] = endpoint
 
     def addresses_known_to(self, member: int) -> list[str]:
-        """Return each member's address as one member knows it; its own is where it listens."""
-        found = []
+        """Return the addresses by which one member knows each member; its own is the one it listens at."""
+        addresses = []
         for peer in range(self.members):
             transport = self._endpoints[member, peer].transport if peer != member else None
             host, port = (
                 transport.get_extra_info("sockname") if transport is not None else self.listen[member]
             )
-            found.append(f"{host}:{port}")
-        return found
+            addresses.append(f"{host}:{port}")
+        return addresses
 
     def set_partition(self, side: set[int], is_cut: bool = True, both_ways: bool = True) -> None:
-        """Cut some members off from the others or join them again; `both_ways`: links towards them too."""
+        """Block or restore the links from some members to the others; with `both_ways`, those back too."""
         for (sender, receiver), link in self.by_pair.items():
             if (sender in side) != (receiver in side) and (both_ways or sender in side):
                 link.is_cut = is_cut
 
     def relay(self, sender: int, receiver: int, data: bytes) -> None:
-        """Pass a datagram on as the link's faults allow."""
+        """Forward a datagram subject to the link's faults."""
         link = self.by_pair[sender, receiver]
         if link.is_cut or self._rng.random() < link.loss:
             return
@@ -96,7 +101,7 @@
             transport.sendto(data, self.listen[receiver])
 
     def close(self) -> None:
-        """Close all addresses."""
+        """Close all relay addresses."""
         for endpoint in self._endpoints.values():
             if endpoint.transport is not None:
                 endpoint.transport.close()
--- a/standins/members.py
+++ b/standins/members.py
@@ -1,7 +1,7 @@
-"""Members that share a limit on a virtual network that fails as a seed says, and a checker of the limit.
+"""Members that share a limit over a virtual network with seeded faults, and a checker of the limit.
 
-Virtual time is in microseconds. Every member has a clock of its own, with an offset and a drift. Each use is
-recorded in virtual time, and the checker adds them up over every window.
+Virtual time is in microseconds. Each member's clock has an offset and a drift of its own. Each use is
+recorded in virtual time, and the checker sums the uses over every window.
 """
 
 from __future__ import annotations
@@ -25,21 +25,21 @@
 
 @dataclass
 class FaultRates:
-    """How often a network and its processes fail, and for how long."""
+    """The rates and durations of the faults of a network and its processes."""
 
     loss: float = 0.1  # chance of each datagram
     duplicates: float = 0.05  # chance of each datagram
     max_delay_s: float = 0.04
-    long_delays: float = 0.02  # chance of each datagram to take up to 4 s
-    cuts: float = 0.3  # a second: one direction between two members, for up to 6 s
-    partitions: float = 0.1  # a second: the members in two groups, for up to 8 s
-    pauses: float = 0.1  # a second: a process stands still for up to 10 s
-    kills: float = 0.1  # a second: a process dies and is back within 0 to 4 s
+    long_delays: float = 0.02  # chance of each datagram to be delayed by up to 4 s
+    cuts: float = 0.3  # per second: one direction between two members is blocked for up to 6 s
+    partitions: float = 0.1  # per second: the members are split in two groups for up to 8 s
+    pauses: float = 0.1  # per second: a process is paused for up to 10 s
+    kills: float = 0.1  # per second: a process is killed and restarted after 0 to 4 s
 
 
 @dataclass
 class LimitChecker:
-    """All uses in virtual time; `max_in_window` is the most within a window, in millionths of the limit."""
+    """All uses in virtual time; `max_in_window` is the most used in a window, in millionths of the limit."""
 
     uses: deque[tuple[float, int]] = field(default_factory=deque)
     in_window: int = 0
@@ -47,7 +47,7 @@
     total: int = 0
 
     def record(self, now: float, amount: int) -> None:
-        """Add a use; times don't go back."""
+        """Add a use; `now` must not decrease."""
         self.uses.append((now, amount))
         self.in_window += amount
         self.total += amount
@@ -57,14 +57,14 @@
 
 
 class VirtualMember:
-    """A member number on the network, and the process that has it now."""
+    """A member number on the network and its current process."""
 
     def __init__(self, number: int, count: int, rng: random.Random) -> None:
         self.number, self.count, self.rng = number, count, rng
         self.clock_offset = rng.randrange(10**12)
         self.clock_rate = 1 + rng.uniform(-MAX_CLOCK_DRIFT, MAX_CLOCK_DRIFT) / 2
         self.is_up, self.paused_until = False, 0.0
-        self.demand = 1.0  # over the mean of an equal share
+        self.demand = 1.0  # relative to the mean use of an equal share
         self.inbox: list[bytes] = []
 
     def local_time(self, now: float) -> int:
@@ -72,11 +72,11 @@
         return self.clock_offset + int(now * self.clock_rate)
 
     def receive(self, data: bytes) -> None:
-        """Take a datagram for the process that is up by its next tick."""
+        """Queue a datagram for the next tick; a start discards the queue."""
         self.inbox.append(data)
 
     def start(self, now: float) -> None:
-        """Start a new process: it knows its number and the count of members, and nothing else."""
+        """Start a new process, which knows only its number and the number of members."""
         at = self.local_time(now)
         membership = Membership(self.number, 1 + int(now), range(self.count), at)
         self.limits = SharedLimits(membership, WINDOW_US, random.Random(self.rng.random()), at)
@@ -84,7 +84,7 @@
 
 
 class VirtualNetwork:
-    """Some members and the links between them, run for a while in virtual time."""
+    """The members and the links between them, run in virtual time."""
 
     def __init__(
         self,
@@ -105,12 +105,12 @@
         self._event_count = 0
 
     def schedule(self, when: float, call: Callable[[], None]) -> None:
-        """Call this at a virtual time; of calls at one time the first scheduled comes first."""
+        """Schedule a call at a virtual time; calls at the same time run in the order of scheduling."""
         self._event_count += 1
         heapq.heappush(self._events, (when, self._event_count, call))
 
     def run(self, seconds: float, start: bool = True) -> None:
-        """Start all members within a second, and go on with faults for so long."""
+        """Run for some seconds with faults; with `start`, first start all stopped members within a second."""
         for member in self.members if start else ():
             if not member.is_up:
                 when = self.now + self.rng.random() * SECOND
@@ -142,7 +142,7 @@
         self.schedule(self.now, lambda: self._tick(member, process))
 
     def _tick(self, member: VirtualMember, process: SharedLimits) -> None:
-        """One tick of a process: receive, use the limit, send."""
+        """Run one tick of a process: receive datagrams, use the limit, send datagrams."""
         if not member.is_up or member.limits is not process:
             return
         if self.now < member.paused_until:
@@ -175,8 +175,8 @@
                 continue
             for _ in range(1 + (self.rng.random() < faults.duplicates)):
                 max_delay_s = faults.max_delay_s if self.rng.random() >= faults.long_delays else 4.0
-                arrives = self.now + self.rng.uniform(0.0015, max_delay_s) * SECOND
-                self.schedule(arrives, partial(self.members[receiver].receive, data))
+                arrives_at = self.now + self.rng.uniform(0.0015, max_delay_s) * SECOND
+                self.schedule(arrives_at, partial(self.members[receiver].receive, data))
 
     def _cut_link(self) -> None:
         link = (self.rng.randrange(len(self.members)), self.rng.randrange(len(self.members)))
--- a/standins/node.py
+++ b/standins/node.py
@@ -1,4 +1,4 @@
-"""A real node as a process, for whoever plays with one: started, and known to listen."""
+"""Starts a real node as a process and waits until it listens."""
 
 from __future__ import annotations
 
@@ -12,7 +12,10 @@
 async def start_node(
     config: Path, env: Mapping[str, str], root: Path | None = None
 ) -> tuple[asyncio.subprocess.Process, int]:
-    """Start a node of a checkout (`root`, else this one) and wait until it listens: its process and port."""
+    """Start a node of a checkout (`root`, or this one) and wait until it listens.
+
+    Returns its process and port; raises RuntimeError if it exits before it listens.
+    """
     process = await asyncio.create_subprocess_exec(
         sys.executable,
         "-m",
@@ -24,6 +27,6 @@
     assert process.stderr is not None
     while b"event=listens" not in (line := await process.stderr.readline()):
         if not line:
-            raise RuntimeError("the node ended before it listened")
+            raise RuntimeError("the node exited before it listened")
     address = line.rsplit(b"address=", 1)[1].split()[0]
     return process, int(address.rsplit(b":", 1)[1])
--- a/standins/preload.c
+++ b/standins/preload.c
@@ -1,7 +1,7 @@
 /*
- * Fault injection for one process, by LD_PRELOAD: a wall clock that can be stepped, and system calls that fail
- * now and then as Linux documents. The controlling process maps the same file (standins/preload.py) and may
- * change it at any time. Only TCP sockets over IPv4 and files below the folder under test are touched.
+ * Fault injection into one process by LD_PRELOAD: steps of the wall clock, and random failures of system calls
+ * with errors that Linux documents. The controlling process maps the same file (standins/preload.py) and may
+ * change it at any time. Only TCP sockets over IPv4 and files below the folder under test are affected.
  */
 #define _GNU_SOURCE
 #include <dlfcn.h>
@@ -31,19 +31,19 @@
 struct fault {
     uint32_t chance;         /* of 2^32, for each call */
     uint32_t count;          /* how many of the errors below are set */
-    int32_t errors[ERRORS];  /* one of them is drawn */
-    uint64_t injected;       /* how often it came */
+    int32_t errors[ERRORS];  /* each failure draws one of them */
+    uint64_t injected;       /* number of failures so far */
 };
 
 struct control {
     int64_t wall_offset_ns;  /* added to CLOCK_REALTIME */
-    uint64_t state;          /* of the generator; the seed at first */
+    uint64_t state;          /* of the random generator; initially the seed */
     struct fault faults[CALLS];
 };
 
 static struct control *control;
 static const char *folder;
-static unsigned char dialled[DESCRIPTORS];  /* which sockets this process has connected itself */
+static unsigned char dialled[DESCRIPTORS];  /* 1 for sockets that this process has connected */
 
 #define REAL(name) ((__typeof__(&name))real(#name))
 
@@ -71,7 +71,7 @@
     return (uint32_t)(x >> 16);
 }
 
-/* The error that this call is to fail with, or 0. */
+/* Returns the error that this call has to fail with, or 0. */
 static int fails(enum call call)
 {
     if (!control || !control->faults[call].chance || !control->faults[call].count)
@@ -83,7 +83,7 @@
     return fault->errors[draw() % fault->count];
 }
 
-/* How much of a transfer is let through. */
+/* Returns the size that a transfer is limited to. */
 static size_t shortened(enum call call, size_t size)
 {
     if (!control || size < 2 || !control->faults[call].chance || draw() >= control->faults[call].chance)
@@ -162,7 +162,7 @@
 int accept4(int fd, struct sockaddr *restrict address, socklen_t *restrict size, int flags)
 {
     int error = fails(ACCEPT);
-    if (error && (is_tcp(fd) || is_shortage(error))) { /* only TCP hands on what went wrong with a connection */
+    if (error && (is_tcp(fd) || is_shortage(error))) { /* only TCP reports a connection's own error */
         errno = error;
         return -1;
     }
@@ -202,7 +202,7 @@
     return REAL(send)(fd, data, shortened(SHORT_SEND, size), flags);
 }
 
-/* The process may be held up once it has seen what is ready: what comes meanwhile it doesn't know of. */
+/* May delay the process after the call: the result then lacks events that occur during the delay. */
 int epoll_wait(int fd, struct epoll_event *events, int most, int wait)
 {
     FAIL_IF(1, WAIT);
@@ -241,7 +241,7 @@
     return REAL(open)(path, flags, mode);
 }
 
-/* The same call where offsets have 64 bits anyway. */
+/* The same function where file offsets have 64 bits anyway. */
 int open64(const char *path, int flags, ...) __attribute__((alias("open")));
 
 ssize_t write(int fd, const void *data, size_t size)
--- a/standins/preload.py
+++ b/standins/preload.py
@@ -1,7 +1,7 @@
-"""Faults of the machine under one process: a wall clock that is stepped, and system calls that fail.
+"""Machine faults for one process: wall clock steps and failing system calls.
 
-The C library in `preload.c` is loaded into the process by LD_PRELOAD and shares a small file with the
-`Machine` that controls it; both hold its layout. It needs a C compiler, no rights.
+LD_PRELOAD loads the C library in `preload.c` into the process. It shares a small file with the `Machine` that
+controls it; both define the file's layout. This needs a C compiler but no privileges.
 """
 
 from __future__ import annotations
@@ -16,21 +16,21 @@
 from pathlib import Path
 
 SOURCE = Path(__file__).with_name("preload.c")
-ERRORS = 6  # that one call can be given
-FAULT = struct.Struct("=II6iQ")
-HEAD = struct.Struct("=qQ")
-CERTAIN = 2**32 - 1
+ERRORS = 6  # most errors that one call can be given
+FAULT_LAYOUT = struct.Struct("=II6iQ")
+HEADER_LAYOUT = struct.Struct("=qQ")
+CHANCE_SCALE = 2**32 - 1
 
 
 class Call(IntEnum):
-    """The calls that can be made to fail, in the order of the C library."""
+    """The calls that can be made to fail, numbered as in the C library."""
 
     ACCEPT = 0
     SOCKET = 1
     CONNECT = 2
-    RECV_ACCEPTED = 3  # on connections that the process has accepted
+    RECV_ACCEPTED = 3  # on connections that the process accepted
     SEND_ACCEPTED = 4
-    RECV_DIALLED = 5  # on those that it has made itself
+    RECV_DIALLED = 5  # on connections that the process opened
     SEND_DIALLED = 6
     WAIT = 7
     OPEN = 8
@@ -39,15 +39,15 @@
     SHORT_RECV = 11
     SHORT_SEND = 12
     SHORT_WRITE = 13
-    SCARCE_RECV = 14  # on any TCP connection, for want of something that ends none
+    SCARCE_RECV = 14  # on any TCP connection: passing shortages, which end no connection
     SCARCE_SEND = 15
-    HELD_WAIT = 16  # fails nothing; the process is held up behind epoll_wait for one of these microseconds
-    WATCH = 17  # epoll_ctl, but for its removals
+    HELD_WAIT = 16  # no failure: delays the process after epoll_wait by one of the given microseconds
+    WATCH = 17  # epoll_ctl, except for removals
 
 
-# What accept(2), socket(2), connect(2), epoll_wait(2), recv(2) and write(2) document for passing trouble; for
-# HELD_WAIT, times.
-DOCUMENTED: Mapping[Call, Sequence[int]] = {
+# The transient errors that accept(2), socket(2), connect(2), epoll_wait(2), recv(2) and write(2) document;
+# for HELD_WAIT, delays in microseconds.
+DEFAULT_ERRORS: Mapping[Call, Sequence[int]] = {
     Call.ACCEPT: (errno.ECONNABORTED, errno.ENFILE, errno.EMFILE, errno.ENOBUFS, errno.ENOMEM, errno.EPROTO),
     Call.SOCKET: (errno.ENFILE, errno.EMFILE, errno.ENOBUFS, errno.ENOMEM),
     Call.CONNECT: (errno.EADDRNOTAVAIL, errno.ENETUNREACH, errno.ENOBUFS),
@@ -67,24 +67,26 @@
 
 
 def build(folder: Path) -> Path:
-    """Compile the library into a folder, once."""
+    """Compile the library into a folder unless it is there, and return its path."""
     library = folder / "preload.so"
     if not library.exists():
-        made = folder / f"preload-{os.getpid()}.so"
-        subprocess.run(["cc", "-shared", "-fPIC", "-O1", "-o", made, SOURCE, "-ldl"], check=True)
-        made.rename(library)
+        new_library = folder / f"preload-{os.getpid()}.so"
+        subprocess.run(["cc", "-shared", "-fPIC", "-O1", "-o", new_library, SOURCE, "-ldl"], check=True)
+        new_library.rename(library)
     return library
 
 
 class Machine:
-    """What a process sees of its machine; `env` goes into the process's environment."""
+    """Controls the machine faults of a process; `env` has to be added to its environment."""
 
     def __init__(self, folder: Path, seed: int = 1) -> None:
         path = folder / f"machine-{seed}-{id(self):x}"
-        path.write_bytes(HEAD.pack(0, seed * 2654435761 + 1) + FAULT.pack(*[0] * 9) * len(Call))
+        path.write_bytes(
+            HEADER_LAYOUT.pack(0, seed * 2654435761 + 1) + FAULT_LAYOUT.pack(*[0] * 9) * len(Call)
+        )
         with path.open("r+b") as file:
             self._shared = mmap.mmap(file.fileno(), 0)
-        self._wall_ns = 0
+        self._wall_offset_ns = 0
         self.env = {
             "LD_PRELOAD": str(build(folder)),
             "STANDIN_FAULTS": str(path),
@@ -92,23 +94,25 @@
         }
 
     def step_wall_clock(self, seconds: float) -> None:
-        """Set the wall clock forward, or back where this is negative; the monotonic clock goes on."""
-        self._wall_ns += int(seconds * 1_000_000_000)
-        self._shared[:8] = struct.pack("=q", self._wall_ns)
+        """Step the wall clock forward, or back if negative; the monotonic clock is unaffected."""
+        self._wall_offset_ns += int(seconds * 1_000_000_000)
+        self._shared[:8] = struct.pack("=q", self._wall_offset_ns)
 
     def fail(self, call: Call, chance: float, errors: Sequence[int] | None = None) -> None:
-        """Have a share of these calls fail from now on with one of these errors; 0.0 ends it."""
-        told = list(errors if errors is not None else DOCUMENTED.get(call, ()))[:ERRORS]
-        at = HEAD.size + FAULT.size * call
-        padded = told + [0] * (ERRORS - len(told))
-        struct.pack_into("=II6i", self._shared, at, int(chance * CERTAIN), len(told), *padded)
+        """Make a share of the calls fail from now on with one of the errors; a chance of 0.0 stops it."""
+        chosen_errors = list(errors if errors is not None else DEFAULT_ERRORS.get(call, ()))[:ERRORS]
+        offset = HEADER_LAYOUT.size + FAULT_LAYOUT.size * call
+        padded = chosen_errors + [0] * (ERRORS - len(chosen_errors))
+        struct.pack_into(
+            "=II6i", self._shared, offset, int(chance * CHANCE_SCALE), len(chosen_errors), *padded
+        )
 
     def heal(self) -> None:
-        """No call fails any more."""
+        """Stop all call failures."""
         for call in Call:
             self.fail(call, 0.0)
 
     def injected(self, call: Call) -> int:
-        """How often a call was made to fail so far."""
-        end = HEAD.size + FAULT.size * (call + 1)
+        """Return how many failures of a call have been injected so far."""
+        end = HEADER_LAYOUT.size + FAULT_LAYOUT.size * (call + 1)
         return int(struct.unpack("=Q", self._shared[end - 8 : end])[0])
--- a/standins/sharer.py
+++ b/standins/sharer.py
@@ -1,4 +1,4 @@
-"""A process that uses as much of one shared limit as it may, and prints when.
+"""A process that uses as much of one shared limit as it may, and prints each use.
 
 `python -m standins.sharer '{"number":0,"listen":"127.0.0.1:7946","peers":["...","..."],"demand":1.0}'` prints
 a line for each use: CLOCK_MONOTONIC in nanoseconds and the amount in millionths of the limit.
@@ -29,9 +29,9 @@
 
 
 def main() -> None:
-    """Run until killed."""
+    """Use the limit until killed."""
     arguments = json.loads(sys.argv[1])
-    logs.set_up()  # standard output holds the uses, so the log must not go there
+    logs.set_up()  # stdout carries the uses, so the log must not go there
     reactor, clock, rng = serving_reactor(), Clock(), random.Random(arguments["number"])
     peers = [Address.parse(peer) for peer in arguments["peers"]]
     now = micros(clock.now())
@@ -43,9 +43,7 @@
             if rng.random() >= arguments["demand"]:
                 continue
             amount = rng.randrange(1, MAX_AMOUNT)
-            decided_ns = (
-                time.monotonic_ns()
-            )  # the time that the decision is made with is the one that is printed
+            decided_ns = time.monotonic_ns()  # the printed time is the one that the decision uses
             if limits.try_use((decided_ns + clock.offset_ns) // 1000, LIMIT, amount):
                 print(decided_ns, amount, flush=True)
 
