--- a/tests/test_terms.py
+++ b/tests/test_terms.py
@@ -1,4 +1,4 @@
-"""The fleet test's terms for `run`, and what a node of a large fleet may load and hold."""
+"""The conditions of the fleet test: calls that the platform refuses, memory, and loaded modules."""
 
 from __future__ import annotations
 
@@ -15,22 +15,22 @@
 from tests.node_kit import PATIENCE, Discovery, Node, Peer, opening
 
 ROOT = Path(__file__).resolve().parent.parent
-# Modules of others that an idle node has loaded: 311 of 364 before issue 33, and of 457 in all before most of
-# them were put off. Its own are small and many; what they may take is held by the memory.
-MOST_FOREIGN_MODULES = 312
-MOST_PRIVATE_MB = 21.0
+# Modules outside stepflow that an idle node has loaded: 311, of 364 before issue 33 and of 457 in all before
+# most were imported lazily. The node's own modules are many but small; MAX_PRIVATE_MB limits their memory.
+MAX_FOREIGN_MODULES = 312
+MAX_PRIVATE_MB = 21.0
 
 
-def test_run_ends_by_exec_in_python() -> None:
+def test_deployed_run_command_execs_python() -> None:
     run = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["run"]
     assert re.fullmatch(r"exec \S*python -m stepflow", run)
 
 
 @pytest.mark.parametrize("unix", [True, False])
-def test_whole_life_makes_no_call_that_the_platform_refuses(unix: bool) -> None:
+def test_node_makes_no_call_that_the_platform_refuses_from_start_to_shutdown(unix: bool) -> None:
     """Start, SIGHUP that moves discovery, a served session, SIGTERM: no program, no fork, IPv4 only.
 
-    Where Unix sockets are refused too the node serves all the same, and says once that nobody can replace it.
+    If Unix sockets are refused too, the node serves as well and logs once that it can't be replaced.
     """
     node = Node(peer := Peer("s-1"), module="tests.refused")
     if not unix:
@@ -38,24 +38,24 @@
     with node:
         client = node.client(opening())
         assert client.read() == "UP r1"
-        moved = Discovery()
-        node.reload(discovery=moved.address)
-        assert moved.calls.get(timeout=PATIENCE).startswith("/v1/servers?watch=1")
+        new_discovery = Discovery()
+        node.reload(discovery=new_discovery.address)
+        assert new_discovery.calls.get(timeout=PATIENCE).startswith("/v1/servers?watch=1")
         client.send("M 1")
         assert client.read() == "M 1"
         assert node.ops("/v1/readyz")[0] == 200
         node.terminate()
         assert client.read() == "MOVE"
-        said = node.wait_exit()
+        log = node.wait_exit()
         assert node.process.returncode == 0
-        moved.close()
+        new_discovery.close()
     assert peer.lines.get(timeout=PATIENCE).startswith("OPEN ")
-    assert said.count("can't listen for a successor") == (0 if unix else 1)
-    assert said.count("refused ") == (0 if unix else 1), said
+    assert log.count("can't listen for a successor") == (0 if unix else 1)
+    assert log.count("refused ") == (0 if unix else 1), log
 
 
 def test_hook_refuses_each_forbidden_call() -> None:
-    """The test above can fail: each of these raises under its hook."""
+    """Each of these calls raises under the hook, so that the test above can fail."""
     code = (
         "import tests.refused as r, sys, os, socket, subprocess\n"
         "sys.addaudithook(r.hook)\n"
@@ -68,11 +68,13 @@
         "    except OSError:\n"
         "        print('raised')\n"
     )
-    done = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, timeout=60, cwd=ROOT)
-    assert done.stdout.split() == ["raised"] * 6 and done.stderr.count("refused ") == 6
+    completed = subprocess.run(
+        [sys.executable, "-c", code], capture_output=True, text=True, timeout=60, cwd=ROOT
+    )
+    assert completed.stdout.split() == ["raised"] * 6 and completed.stderr.count("refused ") == 6
 
 
-def test_unusable_handover_folder_delays_no_client() -> None:
+def test_node_without_a_handover_folder_serves_clients() -> None:
     node = Node(Peer("s-1"))
     node.env["TMPDIR"] = f"{node.folder}/not/there"
     with node:
@@ -82,19 +84,19 @@
     assert log.count("can't listen for a successor") == 1
 
 
-def test_idle_node_holds_little_memory() -> None:
-    """Two hundred of them share a machine. SIGUSR1 shows that it idles, not that it still starts."""
+def test_private_memory_of_an_idle_node_is_below_its_limit() -> None:
+    """200 nodes share a machine. The answer to SIGUSR1 shows that the node is idle and no longer starting."""
     with Node(Peer("s-1")) as node:
         node.process.send_signal(signal.SIGUSR1)
         node.wait_log("counters: ")
         pages = Path(f"/proc/{node.process.pid}/smaps_rollup").read_text()
     private = re.search(r"Private_Dirty: *(\d+) kB", pages)
-    assert private is not None and int(private[1]) / 1024 < MOST_PRIVATE_MB
+    assert private is not None and int(private[1]) / 1024 < MAX_PRIVATE_MB
 
 
 def loaded(code: str) -> set[str]:
-    """The modules that a fresh interpreter has loaded after this."""
-    done = subprocess.run(
+    """Return the names of the modules that a new interpreter has loaded after running the code."""
+    completed = subprocess.run(
         [sys.executable, "-c", f"{code}\nimport json, sys; print(json.dumps(sorted(sys.modules)))"],
         capture_output=True,
         text=True,
@@ -102,7 +104,7 @@
         check=True,
         cwd=ROOT,
     )
-    return set(json.loads(done.stdout.splitlines()[-1]))
+    return set(json.loads(completed.stdout.splitlines()[-1]))
 
 
 LEAN = (
@@ -111,11 +113,20 @@
 )
 
 
-def test_run_loads_only_the_modules_it_needs() -> None:
+def test_node_loads_few_foreign_modules_and_none_that_only_commands_need() -> None:
     names = loaded(LEAN)
     foreign = {name for name in names if not name.startswith("stepflow")}
-    assert len(foreign) <= MOST_FOREIGN_MODULES, len(foreign)
-    heavy = {"click", "numpy", "scipy", "pyarrow", "matplotlib", "rich", "simpy", "hypothesis"}  # of commands
+    assert len(foreign) <= MAX_FOREIGN_MODULES, len(foreign)
+    heavy = {
+        "click",
+        "numpy",
+        "scipy",
+        "pyarrow",
+        "matplotlib",
+        "rich",
+        "simpy",
+        "hypothesis",
+    }  # used by commands only
     assert not heavy & names and {"structlog", "msgspec", "twisted", "h11"} <= names
     assert not {"asyncio.base_events", "email", "xml", "urllib.request", "ssl", "twisted.web"} & names
 
@@ -131,5 +142,5 @@
         "from structlog.testing import capture_logs; capture_logs",
     ],
 )
-def test_lazily_imported_modules_are_whole_once_used(use: str) -> None:
+def test_lazily_imported_modules_are_complete_once_used(use: str) -> None:
     assert loaded(f"{LEAN}\n{use}")
