--- a/stepflow/traffic/__init__.py
+++ b/stepflow/traffic/__init__.py
@@ -1,6 +1,7 @@
-"""The recorder of traffic: what a node writes of its connections, and the reader of that.
+"""Records the requests and sessions of a node in journals, and reads them.
 
-`journal` is the format, without files; `recorder` turns the core's events into rows; `writer` owns the files.
+`journal` has the format and its reader; `recorder` turns the core's events into rows; `writer` owns the
+files.
 """
 
 from stepflow.traffic.journal import JournalError, Kind, Reading, read_journal
--- a/stepflow/traffic/recorder.py
+++ b/stepflow/traffic/recorder.py
@@ -1,6 +1,6 @@
 """Turns the policy's events and actions into rows of the journal.
 
-It knows no file: it hands complete blocks to a sink.
+The recorder opens no files: it passes complete blocks to a sink.
 """
 
 from __future__ import annotations
@@ -34,21 +34,21 @@
 )
 from stepflow.traffic.journal import VERSION, Kind, encode_block, encode_file_head, encode_row
 
-BLOCK_BYTES: Final = 1 << 15  # rows wait until they are so many bytes, or until the next flush
-GROUP_BITS: Final = 63  # of a group's hash: it fits a signed integer of 64 bits, which columns of traces are
+BLOCK_BYTES: Final = 1 << 15  # size at which the waiting rows become a block, if no flush comes first
+GROUP_BITS: Final = 63  # of a group's hash, so that it fits the signed 64-bit columns of a trace
 GROUP_DIGEST_BYTES: Final = 8
 
 
 class Sink(Protocol):
-    """Takes complete blocks, each for the current file or as the first of the next file."""
+    """Takes complete blocks, each for the current file or as the first of a new file."""
 
     def put(self, data: bytes, begins: bool) -> bool:
-        """Take a block; `begins`: into a new file. False: the block was dropped."""
+        """Take a block, into a new file if `begins`. Returns False if the block was dropped."""
 
 
 @dataclass(slots=True)
 class _OpenRequest:
-    """What a new file has of a request that is not over: a STANDING row, once its session is established."""
+    """An open request; once its session is established, a new file begins with a STANDING row for it."""
 
     class_index: int
     group: int  # hashed
@@ -56,26 +56,27 @@
     load: float | None = None
 
     def items(self) -> tuple[int, int, str, float | None]:
-        """The items of a STANDING row behind the request's id."""
+        """The items of a STANDING row after the request's id."""
         return self.class_index, self.group, self.endpoint, self.load
 
 
 class Recorder:
-    """The rows of one process of a node.
+    """Records the requests, sessions and endpoints of one process of a node.
 
-    Owns the rows that wait for the next block, and what a new file must begin with: the endpoint list and the
-    established sessions. Times are in microseconds since the recording began. Affinity groups are shown as
-    keyed hashes only. Where the sink drops a block, a LOST row in the next one has the number of its rows.
+    Owns the rows that wait for the next block, and the state that a new file begins with: the endpoint list
+    and the established sessions. Times are in microseconds since the recording began. Affinity groups are
+    recorded as keyed hashes only. After the sink drops blocks, the next block begins with a LOST row that
+    holds the number of dropped rows.
     """
 
     def __init__(
         self, sink: Sink, key: str, node: str, now_us: int, settings: Settings, segment_bytes: int
     ) -> None:
         self._sink, self._key = sink, key.encode()
-        self._segment_bytes = segment_bytes  # of a file, until the next one is begun
-        self._file_bytes = segment_bytes  # of the current file: there is none yet
-        # What the next file begins with, as it was before the rows that wait; made early, before they change
-        # it.
+        self._segment_bytes = segment_bytes  # size of a file at which the next one is begun
+        self._file_bytes = segment_bytes  # of the current file; full, so that the first block begins one
+        # The start of the next file, built before that file's first rows are recorded: their events change
+        # the endpoint list and the sessions that it holds.
         self._next_file_start = b""
         self._node, self._began_us = node, now_us
         self._rows, self._row_count, self._lost_count = bytearray(), 0, 0
@@ -98,22 +99,22 @@
         }
 
     def update_settings(self, now_us: int, settings: Settings) -> None:
-        """Take settings: each file's header has them, and a row where they change within a file."""
+        """Replace the settings: later headers hold them, and a SETTINGS row marks a change within a file."""
         items = _settings_items(settings)
         if items != self._settings:
             self._settings = items
             self._add_row(Kind.SETTINGS, now_us - self._began_us, items)
 
     def add_endpoint(self, endpoint: Endpoint) -> None:
-        """Take in an endpoint that was listed before the recording began."""
+        """Add an endpoint that was listed before the recording began."""
         self._endpoints[endpoint.id] = endpoint
 
     def add_session(self, now_us: int, request: Request, endpoint: EndpointId, load: float | None) -> None:
-        """Take in a session that was established before the recording began."""
+        """Add a session that was established before the recording began."""
         self._add_adopted(now_us - self._began_us, SessionAdopted(request._replace(load=load), endpoint))
 
     def take(self, now_us: int, event: Event, actions: Iterable[Action]) -> None:
-        """Record an event of the policy and the actions that it led to."""
+        """Record an event and the actions that the policy returned for it."""
         if not self._next_file_start and self._file_bytes >= self._segment_bytes:
             self._next_file_start = self._file_start(now_us)
         t = now_us - self._began_us
@@ -127,7 +128,7 @@
             self.flush(now_us)
 
     def flush(self, now_us: int) -> None:
-        """Give the rows that wait to the sink; called at intervals."""
+        """Pass the waiting rows to the sink as a block. Called at intervals, and when a block is full."""
         if not self._row_count and not self._lost_count:
             return
         rows, count = self._rows, self._row_count
@@ -147,12 +148,12 @@
         self._rows, self._row_count = bytearray(), 0
 
     def end(self, now_us: int) -> None:
-        """End the recording in order."""
+        """Add an END row and flush."""
         self._add_row(Kind.END, now_us - self._began_us)
         self.flush(now_us)
 
     def _file_start(self, now_us: int) -> bytes:
-        """What a new file begins with: its head, and a block of its header, the list and the sessions."""
+        """The start of a new file: its head, and a block of the HEADER, LIST and STANDING rows."""
         t = now_us - self._began_us
         header = {"version": VERSION, "node": self._node, "began_us": self._began_us, **self._settings}
         endpoints = _endpoint_items(self._endpoints.values())
@@ -161,9 +162,9 @@
             encode_row((Kind.LIST, t, int(ListUpdateKind.FULL), endpoints)),
         ]
         rows += [
-            encode_row((Kind.STANDING, t, request_id, *one.items()))
-            for request_id, one in self._open_requests.items()
-            if one.endpoint
+            encode_row((Kind.STANDING, t, request_id, *open_request.items()))
+            for request_id, open_request in self._open_requests.items()
+            if open_request.endpoint
         ]
         return encode_file_head() + encode_block(b"".join(rows), len(rows))
 
@@ -172,7 +173,7 @@
         self._row_count += 1
 
     def _hash_group(self, group: int) -> int:
-        """The keyed hash of an affinity group, 0 for none."""
+        """The keyed hash of an affinity group; 0 for no group, and never 0 for a group."""
         if not group:
             return 0
         digest = hashlib.blake2b(
@@ -219,23 +220,23 @@
     # Sessions.
 
     def _add_established(self, t: int, event: SessionEstablished) -> None:
-        if (one := self._open_requests.get(event.request_id)) is not None:
-            one.endpoint = str(event.endpoint)
+        if (open_request := self._open_requests.get(event.request_id)) is not None:
+            open_request.endpoint = str(event.endpoint)
         self._add_row(Kind.UP, t, event.request_id, event.latency_us)
 
     def _add_adopted(self, t: int, event: SessionAdopted) -> None:
         request = event.request
         group = self._hash_group(request.affinity_group)
-        one = _OpenRequest(request.class_index, group, str(event.endpoint), request.load)
-        self._open_requests[request.id] = one
-        self._add_row(Kind.STANDING, t, request.id, *one.items())
+        open_request = _OpenRequest(request.class_index, group, str(event.endpoint), request.load)
+        self._open_requests[request.id] = open_request
+        self._add_row(Kind.STANDING, t, request.id, *open_request.items())
 
     def _add_session_report(self, t: int, event: SessionReport) -> None:
         if event.kind != SessionReportKind.LOAD:
             self._add_row(Kind.DELAY, t, event.request_id, event.value)
             return
-        if (one := self._open_requests.get(event.request_id)) is not None:
-            one.load = event.value
+        if (open_request := self._open_requests.get(event.request_id)) is not None:
+            open_request.load = event.value
         self._add_row(Kind.LOAD, t, event.request_id, event.value)
 
     # Endpoints.
@@ -259,12 +260,12 @@
 
 
 def _endpoint_items(endpoints: Iterable[Endpoint]) -> list[list[Any]]:
-    """Endpoints as items of a LIST row."""
+    """Endpoints as the last item of a LIST row."""
     return [[str(e.id), e.zone, e.kind, e.cell, e.availability, e.size, e.started_us] for e in endpoints]
 
 
 def _settings_items(settings: Settings) -> Mapping[str, Any]:
-    """What a reader needs of the settings, by the header's keys."""
+    """The settings that a reader of the journal needs, by the header's keys."""
     return {
         "zones": settings.zones,
         "kinds": settings.kinds,
@@ -272,11 +273,11 @@
         "balancers": settings.balancers,
         "classes": [
             {
-                "name": one.name,
-                "aim_us": one.latency_objective_us,
-                "deadline_us": one.deadline_us,
-                "worth": one.priority_weight,
+                "name": request_class.name,
+                "aim_us": request_class.latency_objective_us,
+                "deadline_us": request_class.deadline_us,
+                "worth": request_class.priority_weight,
             }
-            for one in settings.classes
+            for request_class in settings.classes
         ],
     }
--- a/stepflow/traffic/writer.py
+++ b/stepflow/traffic/writer.py
@@ -1,7 +1,7 @@
-"""The files of the recorder.
+"""Writes the recorder's blocks to files.
 
-A thread of its own writes them, so that a slow disk never holds up the reactor. `Writer.put` and
-`Writer.close` are called from the reactor's thread; all else runs in the writing one.
+A thread of its own does so, so that a slow disk never blocks the reactor. `Writer.put` and `Writer.close` are
+called from the reactor's thread; the private methods run in the writing thread.
 """
 
 from __future__ import annotations
@@ -21,9 +21,9 @@
 
 T = TypeVar("T")
 
-MAX_PENDING_BYTES: Final = 4 << 20  # on their way to the disk; blocks beyond that are dropped
-CLOSE_TIMEOUT_S: Final = 0.1  # how long `close` waits for the disk, unless its caller has more time
-RETRY_INTERVAL_S: Final = 0.1  # until a call that failed with a transient error is made again
+MAX_PENDING_BYTES: Final = 4 << 20  # accepted and not yet written; while there are more, blocks are dropped
+CLOSE_TIMEOUT_S: Final = 0.1  # how long `close` waits for the disk, unless its caller passes another time
+RETRY_INTERVAL_S: Final = 0.1  # before a call that failed with a transient error is retried
 CLOSING_RETRY_INTERVAL_S: Final = 0.01  # the same while `close` waits
 FILE_MODE: Final = 0o640
 NO_FILE: Final = -1
@@ -31,21 +31,21 @@
 
 
 class Writer:
-    """Appends blocks to files, and keeps a bounded number of those.
+    """Appends blocks to files, and keeps the newest `max_files` of them.
 
-    `put` never waits. A call of the system that fails with a transient error (no room, an I/O error) is made
-    again until it succeeds, from the byte where it stopped. Any other error ends the recording for good:
-    `failure` names it, and no block is taken any more.
+    `put` never waits. A system call that fails with a transient error (no space left, an I/O error) is
+    retried until it succeeds or the time of `close` is over; a write resumes at the byte where it stopped.
+    Any other error ends the recording for good: `failure` describes it, and further blocks are dropped.
     """
 
     def __init__(self, folder: str, max_files: int, stamp_ms: Callable[[], int]) -> None:
         self._folder, self._max_files = folder, max_files
-        self._stamp_ms = stamp_ms  # the time by which a file is named
+        self._stamp_ms = stamp_ms  # returns the time for a new file's name
         self._queue: queue.SimpleQueue[tuple[bytes, bool] | None] = queue.SimpleQueue()
-        self._lock = threading.Lock()  # of the pending bytes
+        self._lock = threading.Lock()  # guards `_pending_bytes`
         self._pending_bytes = 0
         self._closing = threading.Event()
-        self._close_by = math.inf  # on the monotonic clock, in seconds
+        self._close_by = math.inf  # no call is retried after this monotonic time, in seconds
         self._file = NO_FILE  # descriptor of the current file
         self._files_begun = 0
         self.failure = ""
@@ -53,7 +53,7 @@
         self._thread.start()
 
     def put(self, data: bytes, begins: bool) -> bool:
-        """Have a block appended; `begins`: to a new file. False: it was dropped."""
+        """Queue a block, for a new file if `begins`. Returns False if the block was dropped."""
         if self.failure or self._pending_bytes > MAX_PENDING_BYTES:
             return False
         with self._lock:
@@ -62,7 +62,7 @@
         return True
 
     def close(self, wait_s: float = CLOSE_TIMEOUT_S) -> None:
-        """Write the pending blocks, as far as the disk takes them in this time, and close the file."""
+        """Wait up to `wait_s` seconds until the pending blocks are written and the file is closed."""
         self._close_by = time.monotonic() + wait_s
         self._queue.put(None)
         self._closing.set()
@@ -92,7 +92,7 @@
             view = view[written:]
 
     def _retry_transient(self, call: Callable[[], T]) -> T:
-        """Make a call again and again while it fails with a transient error and there is time left."""
+        """Make a call, and retry it while it fails with a transient error and `close` leaves time."""
         while True:
             try:
                 return call()
@@ -105,7 +105,7 @@
                 self._closing.wait(RETRY_INTERVAL_S)
 
     def _begin_file(self) -> None:
-        """Begin a file, and remove the oldest beyond the number that is kept."""
+        """Begin a new file, and remove the oldest files beyond the newest `max_files`."""
         if self._file != NO_FILE:
             os.close(self._file)
             self._file = NO_FILE
@@ -114,14 +114,15 @@
         self._file = os.open(path, os.O_WRONLY | os.O_CREAT | os.O_EXCL | os.O_CLOEXEC, FILE_MODE)
         self._files_begun += 1
         for old in journals(self._folder)[: -self._max_files]:
-            with suppress(OSError):  # it is removed with the next file
+            with suppress(OSError):  # removed when the next file begins
                 os.unlink(old)
 
     def _file_name(self) -> str:
-        """A name that sorts behind those of all files in the folder.
+        """A name that sorts after those of all journals in the folder.
 
-        It does so even where the wall clock was set back between two processes: the newest file must not be
-        removed as the oldest. Two processes of a node may record at once, so it has the process's id as well.
+        The name does so even if the wall clock was set back between two processes: otherwise the newest file
+        would be removed as the oldest. It also holds the process's id, since two processes of a node may
+        record at the same time.
         """
         newest = journals(self._folder)[-1:]
         stamp = max([self._stamp_ms(), *(_stamp_of(path) + 1 for path in newest)])
@@ -129,7 +130,7 @@
 
 
 def _stamp_of(path: str) -> int:
-    """When a journal was begun, in milliseconds, by its name."""
+    """The time in a journal's name, in milliseconds."""
     return int(os.path.basename(path).split("-")[1])
 
 
--- a/tests/fleet/test_trace.py
+++ b/tests/fleet/test_trace.py
@@ -147,7 +147,7 @@
     (path,) = script.journals(tmp_path)
     path.write_bytes(path.read_bytes()[:-3])
     manifest = convert([path], tmp_path / "trace")
-    assert "cut off amid a block" in manifest.sources[0].cut and not manifest.sources[0].ended
+    assert "cut off within a block" in manifest.sources[0].cut and not manifest.sources[0].ended
 
 
 def test_a_trace_that_is_there_is_not_touched_and_a_failed_one_leaves_nothing(tmp_path: Path) -> None:
--- a/tests/traffic/recorder_kit.py
+++ b/tests/traffic/recorder_kit.py
@@ -1,4 +1,4 @@
-"""Recordings of made-up sessions, held in memory, and what a journal has."""
+"""Records scripted sessions in memory, and counts the rows of a journal."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 class MemorySink:
-    """A sink that keeps each file's bytes; it takes nothing while `full`."""
+    """A sink that keeps each file's bytes; it drops all blocks while `full`."""
 
     def __init__(self) -> None:
         self.files: list[bytearray] = []
@@ -43,7 +43,7 @@
 
 
 def record_sessions(sessions: int, segment: int = 1 << 30, flush_each: bool = True) -> MemorySink:
-    """The recording of so many sessions, each established and with a reported load; every second one ends."""
+    """Record `sessions` sessions, each established and with a reported load; every second one ends."""
     sink = MemorySink()
     recorder = Recorder(sink, KEY, "n0", 1_000_000, SETTINGS, segment)
     recorder.take(1_000_000, EndpointListUpdate(ListUpdateKind.FULL, (SERVER,)), [])
@@ -62,5 +62,5 @@
 
 
 def count_kinds(path: Path) -> Counter[str]:
-    """How many rows of each kind a journal has."""
+    """Count a journal's rows of each kind."""
     return Counter(Kind(row[0]).name for row in read_journal(path).rows())
--- a/tests/traffic/test_journal.py
+++ b/tests/traffic/test_journal.py
@@ -1,4 +1,4 @@
-"""The journal's format under cuts and damage."""
+"""Reading journals that are whole, cut off, damaged or malformed."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from tests.traffic.recorder_kit import record_sessions
 
 
-def test_a_journal_is_read_back_and_groups_are_hashed(tmp_path: Path) -> None:
+def test_a_journal_is_read_back_with_its_affinity_groups_hashed(tmp_path: Path) -> None:
     path = tmp_path / "j"
     path.write_bytes(record_sessions(4).files[0])
     reading = read_journal(path)
@@ -27,7 +27,7 @@
     assert [row[5] for row in requests] == [500_000] * 4
 
 
-def test_a_journal_cut_at_any_byte_is_read_up_to_its_last_whole_block(tmp_path: Path) -> None:
+def test_a_journal_cut_at_any_byte_is_read_up_to_its_last_complete_block(tmp_path: Path) -> None:
     whole, path = bytes(record_sessions(6).files[0]), tmp_path / "j"
     path.write_bytes(whole)
     full = list(read_journal(path).rows())
@@ -42,9 +42,9 @@
         rows = list(reading.rows())
         assert rows == full[: len(rows)] and not reading.ended
         seen.add(len(rows))
-        if not reading.cut:  # right behind a block: nothing shows but the missing end
+        if not reading.cut:  # cut between two blocks: only the missing END row shows it
             assert end in _block_ends(whole)
-    assert len(seen) > 5 and max(seen) == len(full) - 1  # but for END, whose block holds it alone
+    assert len(seen) > 5 and max(seen) == len(full) - 1  # all but END, which has a block of its own
 
 
 def _block_ends(data: bytes) -> set[int]:
@@ -80,19 +80,19 @@
         (b"", "not a journal"),
         (b"PAR1 and more", "not a journal"),
         (form.FILE_HEAD.pack(form.MAGIC, 0) + b"x" * 20, "not a journal"),
-        (form.FILE_HEAD.pack(form.MAGIC, 2) + b"x" * 20, "written in version 2; this reads up to 1"),
-        (form.encode_file_head() + form.encode_block(b"\x93\x01\x02\x03", 1), "its first row is no header"),
-        (form.encode_file_head() + form.BLOCK_HEAD.pack(1 << 31, 0), "cut off before its header was whole"),
+        (form.FILE_HEAD.pack(form.MAGIC, 2) + b"x" * 20, "written in version 2; this program reads up to 1"),
+        (form.encode_file_head() + form.encode_block(b"\x93\x01\x02\x03", 1), "first row is not a header"),
+        (form.encode_file_head() + form.BLOCK_HEAD.pack(1 << 31, 0), "its header is incomplete or damaged"),
     ],
 )
-def test_a_file_that_is_no_journal_is_an_error_of_one_line(tmp_path: Path, data: bytes, said: str) -> None:
+def test_a_file_that_is_not_a_journal_raises_a_journal_error(tmp_path: Path, data: bytes, said: str) -> None:
     path = tmp_path / "j"
     path.write_bytes(data)
     with pytest.raises(JournalError, match=said):
         read_journal(path)
 
 
-def test_unknown_rows_are_passed_over_and_malformed_ones_end_the_reading(tmp_path: Path) -> None:
+def test_rows_of_unknown_kinds_are_skipped_and_a_malformed_row_ends_the_reading(tmp_path: Path) -> None:
     begin, path = bytes(record_sessions(0).files[0]), tmp_path / "j"
     unknown = form.encode_block(
         form.encode_row([99, 1, "new"]) + form.encode_row([Kind.LEFT, 5, 7, "more"]), 2
--- a/tests/traffic/test_recorder.py
+++ b/tests/traffic/test_recorder.py
@@ -1,4 +1,4 @@
-"""What the recorder begins files with, and the rows that it loses."""
+"""The first rows of the recorder's files, and its count of dropped rows."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from tests.traffic.recorder_kit import KEY, SETTINGS, MemorySink, record_sessions
 
 
-def test_each_further_file_begins_with_the_list_and_the_established_sessions(tmp_path: Path) -> None:
+def test_each_later_file_begins_with_the_list_and_the_established_sessions(tmp_path: Path) -> None:
     files = record_sessions(200, segment=3000).files
     assert len(files) > 3 and all(len(file) < 3000 + 8000 for file in files)
     path = tmp_path / "j"
@@ -20,7 +20,7 @@
     assert sessions and all(row[2] % 2 == 0 and row[5:] == ["s-1", 2.5] for row in sessions)
 
 
-def test_rows_of_dropped_blocks_are_counted(tmp_path: Path) -> None:
+def test_a_lost_row_counts_the_rows_of_dropped_blocks(tmp_path: Path) -> None:
     sink = MemorySink()
     recorder = Recorder(sink, KEY, "n0", 0, SETTINGS, 1 << 30)
     sink.full = True
--- a/tests/traffic/test_writer.py
+++ b/tests/traffic/test_writer.py
@@ -1,4 +1,4 @@
-"""The recorder's files: their number and names, and errors of the disk."""
+"""The recorder's files: their number, names and order, and disk errors."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from tests.node_kit import PATIENCE
 
 
-def test_the_writer_keeps_a_number_of_files_and_ends_at_an_error(tmp_path: Path) -> None:
+def test_the_writer_keeps_max_files_files_and_drops_blocks_after_a_permanent_error(tmp_path: Path) -> None:
     stamps = iter(range(100))
     writer = Writer(str(tmp_path / "t"), 3, lambda: next(stamps))
     for number in range(6):
@@ -24,7 +24,7 @@
     assert "file" in blocked.failure and not blocked.put(b"x", True)
 
 
-def test_the_pending_bytes_are_bounded_while_the_disk_hangs(tmp_path: Path) -> None:
+def test_pending_bytes_are_bounded_while_the_disk_hangs(tmp_path: Path) -> None:
     os.mkfifo(tmp_path / "hang")
     writer = Writer(str(tmp_path), 3, lambda: 0)
     writer._begin_file = lambda: setattr(writer, "_file", os.open(tmp_path / "hang", os.O_RDWR))  # type: ignore[method-assign]
@@ -32,8 +32,8 @@
     assert taken <= MAX_PENDING_BYTES // (1 << 20) + 2
 
 
-def test_the_newest_file_is_kept_after_the_wall_clock_was_set_back_between_processes(tmp_path: Path) -> None:
-    """Named by a time before the others', it was removed as the oldest."""
+def test_the_newest_file_is_kept_though_the_wall_clock_was_set_back_between_processes(tmp_path: Path) -> None:
+    """Guards against a newest file whose name has an earlier time, and which is removed as the oldest."""
     for stamp, data in ((9_000_000, b"old"), (5_000_000, b"new")):
         writer = Writer(str(tmp_path), 2, lambda stamp=stamp: stamp)  # type: ignore[misc]
         for number in range(2):
