--- a/stepflow/fleet/audit.py
+++ b/stepflow/fleet/audit.py
@@ -1,4 +1,4 @@
-"""The rules over many runs: whether each was kept, and how near a bound it came at the worst."""
+"""Checks the rules over many runs: whether each was kept, and how close to its bound it came at the worst."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 from stepflow.fleet.rule_checker import Rule, RuleChecker
 from stepflow.fleet.simulation import Simulation
 
-MAX_DAYS_SHOWN = 3  # of those that broke a rule
+MAX_DAYS_SHOWN = 3  # that broke a rule, for each rule
 
 
 @dataclass(frozen=True)
 class Day:
-    """One run to check: a scenario's text on one seed."""
+    """One run to check: a scenario's text, with one seed and policy."""
 
     file: str
     text: str
@@ -36,7 +36,7 @@
 
 @dataclass
 class Finding:
-    """One rule over all days: its least margin, and the days that broke it."""
+    """One rule over all days: its smallest margin, with the day of it, and the days that broke the rule."""
 
     rule: str
     bound: float
@@ -81,7 +81,7 @@
 
 
 def findings_of(played: Sequence[Played]) -> list[Finding]:
-    """One finding for each rule: the day of its least margin, and all days that broke it."""
+    """One finding for each rule: the day with its smallest margin, and all days that broke the rule."""
     findings: dict[str, Finding] = {}
     for one in played:
         for rule in one.rules:
--- a/stepflow/fleet/compare.py
+++ b/stepflow/fleet/compare.py
@@ -1,8 +1,9 @@
-"""Compares two scenarios or policies by paired runs on the same draws, with the interval of their difference.
+"""Compares two scenarios or policies by paired runs with the same random draws.
 
-How many runs a wanted width takes is settled by Stein's two stages (Stein 1945, Ann. Math. Stat. 16): the
-variance of a first sample alone fixes the number, and the interval is built on that variance, whatever the
-further runs show. So stopping does not look at what it would bias.
+Each difference has a confidence interval. For an interval of a wanted width, the number of runs follows
+Stein's two-stage procedure (Stein 1945, Ann. Math. Stat. 16): the variance of a first sample alone sets the
+number, and the interval uses that variance, whatever the further runs show. So the decision when to stop
+does not depend on the values that it could bias.
 """
 
 from __future__ import annotations
@@ -29,8 +30,8 @@
 from stepflow.fleet.policy_specs import policy_factory
 from stepflow.fleet.simulation import Simulation
 
-MAX_RUNS = 1000  # in all, whatever width is wanted
-LEAST_RUNS = 2  # that show any variance
+MAX_RUNS = 1000  # pairs of both stages together, whatever width is wanted
+MIN_RUNS = 2  # needed for a variance
 FIGURES = ("net", *(one.name for one in fields(Score)))
 SERIES = pa.schema(
     [("side", pa.string()), ("seed", pa.int64()), ("name", pa.string()), ("values", pa.list_(pa.float64()))]
@@ -38,12 +39,12 @@
 
 
 class CompareError(InputError):
-    """Why a comparison can't be made."""
+    """A comparison or prediction can't be made."""
 
 
 @dataclass(frozen=True)
 class Run:
-    """One run: its figures, and what it was over time."""
+    """One run: its figures, and its measurements over time."""
 
     figures: dict[str, float]
     series: dict[str, list[float]] = field(default_factory=dict)
@@ -51,14 +52,14 @@
 
 @dataclass(frozen=True)
 class Side:
-    """One of the two that are compared: a scenario's text, and a policy by its name."""
+    """One side of a comparison: a scenario's text with the name of its file, and a policy's name."""
 
     scenario: str
     file: str
     policy: str
 
     def play(self, seed: int, policy_stream: str) -> Run:
-        """Run once; two equal sides differ by the stream of their policies' draws alone."""
+        """Run once. Two equal sides differ only in the random stream of their policies."""
         scenario = scenarios.read(self.scenario, self.file)
         measurements = Simulation(scenario, seed, policy_factory(self.policy), policy_stream).run()
         found = score(scenario, measurements)
@@ -67,7 +68,7 @@
 
 @dataclass(frozen=True)
 class Interval:
-    """A mean with an interval of confidence."""
+    """A mean with its confidence interval."""
 
     mean: float
     low: float
@@ -75,35 +76,39 @@
 
     @property
     def includes_zero(self) -> bool:
-        """Whether 0 lies within: no difference is seen."""
+        """Whether 0 is within the interval, so that no difference is seen."""
         return self.low <= 0 <= self.high
 
 
 def interval(values: Sequence[float], level: float, first: int | None = None) -> Interval:
-    """Student's interval of a mean; with `first`, on the variance of the first stage alone (Stein)."""
+    """Student's confidence interval of the mean of `values`, at this level.
+
+    With `first`, the variance is that of the first `first` values alone (Stein's first stage). Raises
+    CompareError if there are fewer than two values for the variance.
+    """
     sample = np.asarray(values, dtype=float)
-    stage = sample[:first]
-    if len(stage) < LEAST_RUNS:
-        raise CompareError("an interval needs two runs")
-    spread = float(np.std(stage, ddof=1))
-    half = float(stats.t.ppf(0.5 + level / 2, len(stage) - 1)) * spread / math.sqrt(len(sample))
+    first_stage = sample[:first]
+    if len(first_stage) < MIN_RUNS:
+        raise CompareError("an interval needs at least two runs")
+    sigma = float(np.std(first_stage, ddof=1))
+    half_width = float(stats.t.ppf(0.5 + level / 2, len(first_stage) - 1)) * sigma / math.sqrt(len(sample))
     mean = float(sample.mean())
-    return Interval(mean, mean - half, mean + half)
+    return Interval(mean, mean - half_width, mean + half_width)
 
 
 def runs_for(values: Sequence[float], width: float, level: float) -> int:
-    """How many runs in all an interval of this whole width takes, by the first stage's variance."""
-    spread = float(np.std(np.asarray(values, dtype=float), ddof=1))
+    """The total number of runs for an interval of this full width, by the variance of the first stage."""
+    sigma = float(np.std(np.asarray(values, dtype=float), ddof=1))
     quantile = float(stats.t.ppf(0.5 + level / 2, len(values) - 1))
-    return max(len(values), math.ceil((2 * quantile * spread / width) ** 2))
+    return max(len(values), math.ceil((2 * quantile * sigma / width) ** 2))
 
 
-Pair = tuple[int, Run, Run]  # a seed, and both sides
+Pair = tuple[int, Run, Run]  # a seed, and the runs of A and B
 
 
 @dataclass
 class Comparison:
-    """All pairs of runs that are whole, in the order of their seeds."""
+    """The complete pairs of runs, in the order of their seeds; `wanted` is how many were planned."""
 
     sides: tuple[Side, Side]
     level: float
@@ -112,11 +117,11 @@
     wanted: int
 
     def interval_of(self, number: int, figure: str) -> Interval:
-        """The mean of a figure of one side, 0 or 1, with its interval."""
+        """The mean of a figure of one side (0 or 1), with its interval."""
         return interval([row[1:][number].figures[figure] for row in self.rows], self.level, self.first)
 
     def extrapolations(self) -> list[str]:
-        """What was simulated that the trace behind a scenario never showed: such an answer is a guess."""
+        """What was simulated beyond the range of the trace behind a scenario: such a result is a guess."""
         texts: dict[str, None] = {}
         for number, one in enumerate(self.sides):
             scenario = scenarios.read(one.scenario, one.file)
@@ -125,7 +130,7 @@
         return list(texts)
 
     def difference(self, figure: str) -> Interval:
-        """B less A, paired."""
+        """The mean of the paired differences, B less A, with its interval."""
         return interval(
             [row[2].figures[figure] - row[1].figures[figure] for row in self.rows], self.level, self.first
         )
@@ -133,10 +138,10 @@
 
 @dataclass(frozen=True)
 class Plan:
-    """How many pairs of runs a comparison takes.
+    """How many pairs of runs a comparison makes.
 
-    The first stage has `runs` pairs, on the seeds from `seed` on. With a `width`, as many more follow as an
-    interval of that whole width takes. `level` is the confidence of the intervals.
+    The first stage has `runs` pairs, with the seeds from `seed` on. With a `width`, a second stage adds as
+    many pairs as an interval of that full width needs. `level` is the confidence level of the intervals.
     """
 
     runs: int
@@ -145,7 +150,7 @@
     width: float | None = None
 
 
-def _pair(sides: tuple[Side, Side], seed: int) -> Pair:
+def _run_pair(sides: tuple[Side, Side], seed: int) -> Pair:
     return seed, sides[0].play(seed, "A"), sides[1].play(seed, "B")
 
 
@@ -155,43 +160,43 @@
     jobs: int | None = None,
     on_progress: Callable[[int, int], None] = lambda done, wanted: None,
 ) -> Comparison:
-    """Run both sides by a plan, in so many processes (None for one each core).
+    """Run both sides by a plan, in `jobs` processes (None: one for each core).
 
-    An interrupt ends it with the pairs that are whole, as long as they are two. `on_progress` is told how
-    many pairs are done and how many are wanted.
+    After an interrupt, returns the complete pairs if there are at least two, and else raises
+    KeyboardInterrupt. `on_progress` is called with the numbers of complete and of wanted pairs.
     """
     for one in sides:
         scenarios.read(one.scenario, one.file)
-        policy_factory(one.policy)  # a bad name raises here, and not in a process
+        policy_factory(one.policy)  # a bad name raises here, before any process starts
     found = Comparison(sides, plan.level, plan.runs, [], plan.runs)
     with ProcessPoolExecutor(jobs or os.cpu_count()) as pool:
         try:
-            for row in _played(pool, sides, range(plan.seed, plan.seed + plan.runs)):
+            for row in _run_pairs(pool, sides, range(plan.seed, plan.seed + plan.runs)):
                 found.rows.append(row)
                 on_progress(len(found.rows), found.wanted)
             found.rows.sort(key=lambda row: row[0])
             if plan.width is not None:
                 differences = [row[2].figures["net"] - row[1].figures["net"] for row in found.rows]
                 found.wanted = min(MAX_RUNS, runs_for(differences, plan.width, plan.level))
-                for row in _played(pool, sides, range(plan.seed + plan.runs, plan.seed + found.wanted)):
+                for row in _run_pairs(pool, sides, range(plan.seed + plan.runs, plan.seed + found.wanted)):
                     found.rows.append(row)
                     on_progress(len(found.rows), found.wanted)
         except KeyboardInterrupt:
             pool.shutdown(wait=False, cancel_futures=True)
-            if len(found.rows) < LEAST_RUNS:
+            if len(found.rows) < MIN_RUNS:
                 raise
     found.rows.sort(key=lambda row: row[0])
     return found
 
 
-def _played(pool: ProcessPoolExecutor, sides: tuple[Side, Side], seeds: range) -> Iterator[Any]:
-    futures: list[Future[Any]] = [pool.submit(_pair, sides, seed) for seed in seeds]
+def _run_pairs(pool: ProcessPoolExecutor, sides: tuple[Side, Side], seeds: range) -> Iterator[Any]:
+    futures: list[Future[Any]] = [pool.submit(_run_pair, sides, seed) for seed in seeds]
     for future in as_completed(futures):
         yield future.result()
 
 
 def save(found: Comparison, folder: str | Path) -> None:
-    """Keep the runs (Parquet) and a manifest with what it takes to make them again."""
+    """Write the runs (Parquet) and a manifest with all that is needed to repeat them."""
     target = Path(folder)
     target.mkdir(parents=True, exist_ok=True)
     table = pa.Table.from_pylist(
--- a/stepflow/fleet/replay.py
+++ b/stepflow/fleet/replay.py
@@ -1,4 +1,4 @@
-"""Checks the model: predicts a figure of a run by simulations, then measures it on sockets."""
+"""Checks the simulation's model: predicts a figure of a run by simulations, then measures it on sockets."""
 
 from __future__ import annotations
 
@@ -17,25 +17,26 @@
 from stepflow.fleet.simulation import Simulation
 
 Play = Callable[[Scenario, int], tuple[Measurements, float]]
-LEAST_RUNS = 3  # that a prediction rests on
+MIN_RUNS = 3  # needed for a prediction
 LINE_S = 0.5  # seconds between two lines of a stand-in client
-LATE = 0.05  # seconds that the rig's own loop may be late before a run says nothing
+LATE = 0.05  # seconds; a run whose own event loop was later than this shows nothing about the nodes
 
 
 def prediction(values: Sequence[float], level: float, lines: float = math.inf) -> Interval:
-    """Where one further run lies: Student's interval for a new observation, not for the mean.
+    """The interval that one further run lies in: Student's interval for a new observation, not for the mean.
 
-    The run is measured by so many lines that are in time or not, which adds their binomial variance. What the
-    model leaves out is in no bar: docs/fleet.md tells how far it was found to be off.
+    The run is measured by `lines` lines that are each in time or not, which adds their binomial variance. The
+    interval doesn't include the error of the model itself: docs/fleet.md says how large that was found to be.
+    Raises CompareError if there are too few values.
     """
     sample = np.asarray(values, dtype=float)
-    if len(sample) < LEAST_RUNS:
-        raise CompareError("a prediction needs three runs")
+    if len(sample) < MIN_RUNS:
+        raise CompareError("a prediction needs at least three runs")
     mean = float(sample.mean())
     share = min(1.0, max(0.0, mean))
-    spread = math.sqrt(float(np.var(sample, ddof=1)) * (1 + 1 / len(sample)) + share * (1 - share) / lines)
-    half = float(stats.t.ppf(0.5 + level / 2, len(sample) - 1)) * spread
-    return Interval(mean, mean - half, mean + half)
+    sigma = math.sqrt(float(np.var(sample, ddof=1)) * (1 + 1 / len(sample)) + share * (1 - share) / lines)
+    half_width = float(stats.t.ppf(0.5 + level / 2, len(sample) - 1)) * sigma
+    return Interval(mean, mean - half_width, mean + half_width)
 
 
 @dataclass(frozen=True)
@@ -53,13 +54,13 @@
         return self.predicted.low <= self.measured <= self.predicted.high
 
 
-def _modelled(scenario: Scenario, seed: int, policy_stream: str) -> Score:
+def _simulate(scenario: Scenario, seed: int, policy_stream: str) -> Score:
     return score(scenario, Simulation(scenario, seed, policy_factory("present"), policy_stream).run())
 
 
 @dataclass(frozen=True)
 class Prediction:
-    """What to predict: a figure of the score, from so many simulations, at a level of confidence."""
+    """What to predict: a figure of the score, from `runs` simulations, at a confidence level."""
 
     runs: int
     figure: str = "service"
@@ -67,10 +68,10 @@
 
 
 def predict(scenario: Scenario, seed: int, wanted: Prediction) -> Interval:
-    """Predict a figure of one run on sockets, by simulations on its seed with other policy streams."""
+    """Predict a figure of one run on sockets, by simulations with its seed and different policy streams."""
     policy_streams = [f"prediction {number}" for number in range(wanted.runs)]
     with ProcessPoolExecutor() as pool:
-        found = list(pool.map(_modelled, [scenario] * wanted.runs, [seed] * wanted.runs, policy_streams))
+        found = list(pool.map(_simulate, [scenario] * wanted.runs, [seed] * wanted.runs, policy_streams))
     day = scenario.day
     lines = max(1.0, day.rate * day.life * day.seconds / LINE_S)
     return prediction([float(getattr(one, wanted.figure)) for one in found], wanted.level, lines)
@@ -83,7 +84,7 @@
     wanted: Prediction,
     on_checked: Callable[[Check], None] = lambda one: None,
 ) -> list[Check]:
-    """Predict the figure on each seed, then measure it by `play`, one seed after the other."""
+    """Predict the figure for each seed, then measure it with `play`, one seed after the other."""
     found = []
     for seed in seeds:
         expected = predict(scenario, seed, wanted)
--- a/stepflow/fleet/report.py
+++ b/stepflow/fleet/report.py
@@ -1,4 +1,4 @@
-"""Shows a results folder as one HTML page that loads nothing: tables, and charts as inline SVG."""
+"""Renders a results folder as one HTML page that loads nothing else: tables, and charts as inline SVG."""
 
 from __future__ import annotations
 
@@ -23,11 +23,11 @@
 from stepflow.fleet import scenario as scenarios
 from stepflow.fleet.compare import FIGURES, Interval, interval
 
-matplotlib.use("svg")  # no screen, and no toolkit looked for
+matplotlib.use("svg")  # needs no display, and searches for no GUI toolkit
 
 COLOURS = {"A": "#4269a5", "B": "#c8553d"}
-PARTS = FIGURES[: FIGURES.index("fallen")]  # what is a share, in points
-BAND = (10, 90)  # per cent of the runs, between which a chart's shade lies
+PARTS = FIGURES[: FIGURES.index("fallen")]  # the figures that are shares; charts show them in points of 100
+BAND = (10, 90)  # percentiles of the runs between which a chart is shaded
 STYLE: Any = {
     "svg.fonttype": "none",
     "svg.hashsalt": "stepflow",
@@ -39,7 +39,7 @@
 
 
 class ReportError(InputError):
-    """Why a results folder can't be shown."""
+    """A results folder can't be read, or its page can't be written."""
 
 
 class _Side(msgspec.Struct):
@@ -50,7 +50,7 @@
 
 
 class _Manifest(msgspec.Struct):
-    """What `compare` keeps beside its runs."""
+    """The manifest that `compare.save` writes beside the runs."""
 
     version: str
     level: float
@@ -62,35 +62,35 @@
 
 @dataclass(frozen=True)
 class StoredComparison:
-    """One comparison of a results folder."""
+    """One comparison, read from a results folder."""
 
     name: str
     manifest: _Manifest
     figures: dict[str, dict[str, list[float]]]  # by side and figure, in the order of the seeds
-    series: dict[str, dict[str, list[list[float]]]]  # by side and name, the same
+    series: dict[str, dict[str, list[list[float]]]]  # by side and name, in the order of the seeds
 
     def difference(self, figure: str) -> Interval:
-        """B less A, paired, as `compare` told it."""
-        less = np.array(self.figures["B"][figure]) - np.array(self.figures["A"][figure])
-        return interval(list(less), self.manifest.level, self.manifest.first)
+        """The mean of the paired differences, B less A, with the interval that `compare` shows."""
+        delta = np.array(self.figures["B"][figure]) - np.array(self.figures["A"][figure])
+        return interval(list(delta), self.manifest.level, self.manifest.first)
 
 
 def read(folder: str | Path) -> list[StoredComparison]:
-    """All comparisons in a results folder, by name."""
+    """All comparisons in a results folder, sorted by name; raises ReportError if one can't be read."""
     found = []
     for path in sorted(Path(folder).glob("compare-*.json")):
         try:
             manifest = msgspec.json.decode(path.read_bytes(), type=_Manifest)
             runs = pq.read_table(path.with_suffix(".parquet")).to_pylist()
-            over = path.with_name(f"{path.stem}-series.parquet")
-            told = pq.read_table(over).to_pylist() if over.exists() else []
+            series_path = path.with_name(f"{path.stem}-series.parquet")
+            told = pq.read_table(series_path).to_pylist() if series_path.exists() else []
         except msgspec.DecodeError as error:
             raise ReportError(f"{path}: {error}") from None
         except (OSError, pa.ArrowInvalid) as error:
             raise ReportError(f"{path}: its runs can't be read: {str(error).splitlines()[0]}") from None
         found.append(_stored(path, manifest, runs, told))
     if not found:
-        raise ReportError(f"{folder}: no comparison in it")
+        raise ReportError(f"{folder}: contains no comparison")
     return found
 
 
@@ -106,9 +106,9 @@
         for row in sorted(told, key=lambda row: row["seed"]):
             series[row["side"]].setdefault(row["name"], []).append(row["values"])
         if {len(values) for side in figures.values() for values in side.values()} != {len(manifest.seeds)}:
-            raise ReportError(f"{path}: not as many runs as it names seeds")
+            raise ReportError(f"{path}: the number of runs differs from the number of seeds")
     except KeyError as error:
-        raise ReportError(f"{path}: a foreign table: no {error}") from None
+        raise ReportError(f"{path}: its tables are not those of a comparison: no {error}") from None
     return StoredComparison(path.stem, manifest, figures, series)
 
 
@@ -116,7 +116,7 @@
 
 
 def _svg(figure: Figure) -> str:
-    """The figure's markup; its width follows the page."""
+    """The figure as an <svg> element; the page's style sets its width."""
     out = io.StringIO()
     with matplotlib.rc_context(STYLE):
         figure.savefig(out, format="svg", bbox_inches="tight", metadata={"Date": None, "Creator": None})
@@ -133,15 +133,15 @@
 
 
 def _forest(comparison: StoredComparison) -> str:
-    """Each part's difference with its interval; the parts are points of 100."""
+    """The difference of each share with its interval, in points of 100."""
     figure, axes = _axes("B less A, in points of 100", 3.0)
     axes.axvline(0, color="#999", linewidth=0.8)
-    for place, name in enumerate(reversed(PARTS)):
+    for y, name in enumerate(reversed(PARTS)):
         one = comparison.difference(name)
         low, mean, high = (100 * value for value in (one.low, one.mean, one.high))
         colour = "#999" if one.includes_zero else COLOURS["B"] if name == "net" else "#333"
-        axes.plot([low, high], [place, place], color=colour, linewidth=2)
-        axes.plot([mean], [place], "o", color=colour, markersize=4)
+        axes.plot([low, high], [y, y], color=colour, linewidth=2)
+        axes.plot([mean], [y], "o", color=colour, markersize=4)
     axes.set_yticks(range(len(PARTS)), [name.replace("_", " ") for name in reversed(PARTS)])
     return _svg(figure)
 
@@ -152,7 +152,7 @@
 
 
 def _over_time(comparison: StoredComparison, names: Sequence[str], title: str, unit: str) -> str:
-    """Means over the runs, with the band that most runs lie in; a style for each name."""
+    """Means over the runs, in a line style for each name; for a single name, also the band of BAND."""
     figure, axes = _axes(title)
     for style, name in zip(("-", "--", ":", "-."), names, strict=False):
         for side, colour in COLOURS.items():
@@ -170,17 +170,17 @@
 
 
 def _servers(comparison: StoredComparison) -> str:
-    """How the mean loads of a kind's servers lie, over all runs."""
+    """Box plots of the servers' mean loads over all runs, by kind of server."""
     names = sorted(name for name in comparison.series["A"] if name.startswith("servers of "))
     figure, axes = _axes("Each server's mean load, by kind")
     for number, name in enumerate(names):
         for shift, (side, colour) in zip((-0.17, 0.17), COLOURS.items(), strict=True):
             values = [value for run in comparison.series[side].get(name, []) for value in run]
-            drawn = axes.boxplot(
+            boxes = axes.boxplot(
                 [values], positions=[number + shift], widths=0.28, showfliers=False, patch_artist=True
             )
-            drawn["boxes"][0].set(facecolor=colour, alpha=0.5)
-            drawn["medians"][0].set(color="#222")
+            boxes["boxes"][0].set(facecolor=colour, alpha=0.5)
+            boxes["medians"][0].set(color="#222")
     axes.set_xticks(range(len(names)), [name.removeprefix("servers of ") for name in names])
     axes.axhline(1.0, color="#999", linewidth=0.8, linestyle=":")
     axes.set_ylabel("load over capacity")
@@ -188,12 +188,12 @@
 
 
 def _pairs(comparison: StoredComparison) -> str:
-    """Each seed's difference: what the interval is made of."""
+    """The difference of each seed, in ascending order: the values behind the interval."""
     figure, axes = _axes("Net service by day: B less A")
-    less = np.array(comparison.figures["B"]["net"]) - np.array(comparison.figures["A"]["net"])
-    order = np.argsort(less)
-    colours = [COLOURS["B"] if value > 0 else COLOURS["A"] for value in less[order]]
-    axes.bar(range(len(less)), 100 * less[order], color=colours, width=0.8)
+    delta = np.array(comparison.figures["B"]["net"]) - np.array(comparison.figures["A"]["net"])
+    order = np.argsort(delta)
+    colours = [COLOURS["B"] if value > 0 else COLOURS["A"] for value in delta[order]]
+    axes.bar(range(len(delta)), 100 * delta[order], color=colours, width=0.8)
     axes.axhline(0, color="#999", linewidth=0.8)
     axes.set_xlabel("days, by difference")
     axes.set_ylabel("points of 100")
@@ -220,8 +220,8 @@
 def _verdict(comparison: StoredComparison) -> str:
     one = comparison.difference("net")
     if one.includes_zero:
-        span = f"{100 * one.low:+.2f} and {100 * one.high:+.2f}"
-        return f"No difference seen; it lies between {span} points of 100."
+        span = f"{100 * one.low:+.2f} to {100 * one.high:+.2f}"
+        return f"No difference seen: the interval is {span} points of 100."
     better = "B" if one.mean > 0 else "A"
     low, high = sorted((abs(100 * one.low), abs(100 * one.high)))
     return f"{better} serves better, by {low:.2f} to {high:.2f} points of 100."
@@ -243,17 +243,18 @@
 def _rows(comparison: StoredComparison) -> list[tuple[str, str, str, str, str, bool]]:
     rows = []
     for name in FIGURES:
-        less = comparison.difference(name)
+        delta = comparison.difference(name)
         means = [float(np.mean(comparison.figures[side][name])) for side in "AB"]
-        low, mean, high = (round(value, 4) + 0.0 for value in (less.low, less.mean, less.high))  # no -0.0
+        # Adding 0.0 turns -0.0 into 0.0.
+        low, mean, high = (round(value, 4) + 0.0 for value in (delta.low, delta.mean, delta.high))
         span = f"{low:+.4f} to {high:+.4f}"
-        shown, nothing = name.replace("_", " "), less.includes_zero
+        shown, nothing = name.replace("_", " "), delta.includes_zero
         rows.append((shown, f"{means[0]:.4f}", f"{means[1]:.4f}", f"{mean:+.4f}", span, nothing))
     return rows
 
 
 def page(folder: str | Path) -> str:
-    """The whole page."""
+    """The HTML page of all comparisons in a results folder."""
     comparisons = read(folder)
     environment = jinja2.Environment(
         loader=jinja2.PackageLoader("stepflow.fleet"), autoescape=True, undefined=jinja2.StrictUndefined
@@ -273,14 +274,14 @@
 
 
 def write(folder: str | Path, out: str | Path) -> int:
-    """Write the page, whole or not at all; returns how many comparisons it holds."""
+    """Write the page, whole or not at all; returns the number of its comparisons."""
     text = page(folder)
     target = Path(out)
-    making = target.with_name(f".{target.name}.new")
+    temporary = target.with_name(f".{target.name}.new")
     try:
-        making.write_text(text)
-        making.rename(target)
+        temporary.write_text(text)
+        temporary.rename(target)
     except OSError as error:
-        making.unlink(missing_ok=True)
+        temporary.unlink(missing_ok=True)
         raise ReportError(f"{target}: {error.strerror}") from None
     return text.count("<section")
--- a/tests/fleet/test_report.py
+++ b/tests/fleet/test_report.py
@@ -1,4 +1,4 @@
-"""The page of a results folder: it says what was kept, needs nothing else, and turns broken folders down."""
+"""The HTML page of a results folder: its texts, its independence of other files, and damaged folders."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
     return compare((Side(TEXT, "f", "random"), Side(TEXT, "f", "present")), Plan(3, 1), jobs=2)
 
 
-def test_a_page_says_what_compare_said_and_loads_nothing(found: Comparison, tmp_path: Path) -> None:
+def test_a_page_shows_the_intervals_of_compare_and_loads_nothing(found: Comparison, tmp_path: Path) -> None:
     save(found, tmp_path)
     assert write(tmp_path, tmp_path / "page.html") == 1
     text = (tmp_path / "page.html").read_text()
@@ -30,13 +30,11 @@
     assert text.count("<svg") == 6 and "Service over time" in text and "&lt;b&gt;" in text
     loaded = re.findall(r"(?:src|href)=\"([^\"#][^\"]*)\"|url\((?!#)|@import|<script", text)
     assert loaded == []
-    again = page(tmp_path)
-    assert again == text  # a page made anew is the same to the letter
+    second = page(tmp_path)
+    assert second == text  # a second rendering is identical
 
 
-def test_a_page_warns_of_what_its_trace_never_held_and_of_an_early_end(
-    found: Comparison, tmp_path: Path
-) -> None:
+def test_a_page_warns_of_extrapolation_and_of_an_early_end(found: Comparison, tmp_path: Path) -> None:
     seen = TEXT + "trace {\n utilization 0.01\n}\n"
     sides = (Side(seen, "f", "random"), found.sides[1])
     save(Comparison(sides, found.level, 2, found.rows, 9), tmp_path)
@@ -46,20 +44,20 @@
 
 
 @pytest.mark.parametrize(
-    ("spoil", "said"),
+    ("damage", "said"),
     [
         (lambda path: path.unlink(), "its runs can't be read"),
         (lambda path: path.write_bytes(path.read_bytes()[:-40]), "its runs can't be read"),
         (lambda path: path.with_suffix(".json").write_text("{"), "Input data was truncated"),
-        (lambda path: path.with_suffix(".json").unlink(), "no comparison in it"),
+        (lambda path: path.with_suffix(".json").unlink(), "contains no comparison"),
     ],
 )
-def test_a_broken_folder_is_named_and_the_old_page_stays(
-    spoil: object, said: str, found: Comparison, tmp_path: Path
+def test_a_damaged_folder_raises_report_error_and_leaves_the_old_page(
+    damage: object, said: str, found: Comparison, tmp_path: Path
 ) -> None:
     save(found, tmp_path)
     (runs,) = (path for path in tmp_path.glob("*.parquet") if "series" not in path.name)
-    spoil(runs)  # type: ignore[operator]
+    damage(runs)  # type: ignore[operator]
     out = tmp_path / "page.html"
     out.write_text("as it was")
     with pytest.raises(ReportError, match=said):
@@ -67,7 +65,7 @@
     assert out.read_text() == "as it was"
 
 
-def test_report_by_the_command_line(found: Comparison, tmp_path: Path) -> None:
+def test_the_report_command_writes_a_page_or_exits_with_an_error(found: Comparison, tmp_path: Path) -> None:
     save(found, tmp_path)
     done = command("fleet", "report", str(tmp_path), "-o", str(tmp_path / "page.html"))
     assert done.returncode == 0 and done.stdout.endswith("page.html: 1 comparisons\n")
