--- a/stepflow/fleet/trace/__init__.py
+++ b/stepflow/fleet/trace/__init__.py
@@ -1,6 +1,6 @@
 """A trace: journals of traffic as Parquet tables in a folder, with a manifest.
 
-`schema` has the columns, `converter` makes a trace of journals, `reader` opens one, `summary` describes it.
+`schema` has the columns; `converter` makes a trace from journals; `reader` opens one; `summary` sums it up.
 """
 
 from stepflow.fleet.trace.converter import convert
--- a/stepflow/fleet/trace/converter.py
+++ b/stepflow/fleet/trace/converter.py
@@ -1,4 +1,4 @@
-"""Makes a trace of journals: puts the rows of a session together, and writes tables in batches."""
+"""Converts journals to a trace: joins the rows of each request and session, and writes tables in batches."""
 
 from __future__ import annotations
 
@@ -17,23 +17,23 @@
 from stepflow.interface import AttemptResult, ListUpdateKind
 from stepflow.traffic import Kind, Reading, read_journal
 
-BATCH_ROWS = 50_000  # of a table that are held in memory
-FIXED_HEADER_KEYS = ("kinds", "zones", "fields")  # which all journals of a trace share
+BATCH_ROWS = 50_000  # of each table that are held in memory
+FIXED_HEADER_KEYS = ("kinds", "zones", "fields")  # must be the same in all journals of a trace
 UNKNOWN_US = 1 << 62  # later than any time
 
-Row = list[Any]  # of a journal: kind, time, then its items (`stepflow.traffic.Kind`); later versions append
+Row = list[Any]  # of a journal: kind, time, the kind's items (`stepflow.traffic.Kind`); later versions append
 
 
 @dataclass(frozen=True)
 class _Process:
-    """The process whose journal is read."""
+    """A process of a node, with a recording of its own."""
 
     node: str
-    run: int  # when it began, Unix microseconds
+    run: int  # when its recording began, in Unix microseconds
 
 
 class _Session:
-    """A request or session whose end has not come yet: its row of `connections`, and its mean load so far."""
+    """An open request or session: its row of `connections`, its current attempt, and its mean load so far."""
 
     def __init__(self, row: dict[str, Any]) -> None:
         self.row = row
@@ -43,14 +43,14 @@
         self._weighted_sum, self._span_us = 0.0, 0
 
     def load_reported(self, at: int, load: float | None) -> None:
-        """A load that holds from now on."""
+        """Take a load that holds from `at` on."""
         if self._load is not None:
             self._weighted_sum += self._load * (at - self._load_since_us)
             self._span_us += at - self._load_since_us
         self._load, self._load_since_us = load, at
 
     def mean_load(self, at: int) -> float | None:
-        """The mean of the loads until a time, weighted by how long each held."""
+        """The mean of the loads until `at`, weighted by how long each held; None if no load was reported."""
         last = self._load
         self.load_reported(at, last)
         return self._weighted_sum / self._span_us if self._span_us else last
@@ -73,7 +73,7 @@
             self._flush(table)
 
     def close(self) -> None:
-        """Write what is left, and close the files."""
+        """Write the remaining rows, and close the files."""
         for name in SCHEMAS:
             self._flush(name)
             self._writers[name].close()
@@ -85,7 +85,7 @@
 
 
 class Converter:
-    """Takes journals and writes tables; holds the sessions that are open and one batch of each table."""
+    """Reads journals and writes tables; holds the open requests and sessions, and one batch of each table."""
 
     def __init__(self, folder: Path) -> None:
         self._tables = TableWriter(folder)
@@ -117,7 +117,7 @@
         }
 
     def feed(self, reading: Reading) -> None:
-        """Take all of one journal; those of a process come in the order in which they were written."""
+        """Convert one journal; those of a process must come in the order in which they were written."""
         self._take_header(reading)
         self._lost_rows = count = 0
         for row in reading.rows():
@@ -128,7 +128,7 @@
             if kind in self._handlers:
                 self._handlers[kind](at, row)
             elif kind in self._session_handlers:
-                # What is not open began before what is kept of the journals.
+                # Rows of a request that is not open are skipped: it began in a journal that was not kept.
                 session = self._open.get((self._process, row[2]))
                 if session is not None:
                     self._session_handlers[kind](session, at, row)
@@ -137,19 +137,21 @@
         )
 
     def close(self) -> None:
-        """Write what is still open as such, at its process's last row, and close the tables."""
+        """Write what is still open, without an end and at its process's last row, and close the tables."""
         for (process, _), session in self._open.items():
             self._write_connection(session, self._last_row_us[process], "")
         self._tables.close()
 
     def _take_header(self, reading: Reading) -> None:
-        head = reading.header
+        journal_header = reading.header
         if not self.header:
-            self.header = head
-        elif any(head.get(key) != self.header.get(key) for key in FIXED_HEADER_KEYS):
-            raise TraceError(f"{reading.path}: kinds, zones or fields other than the other journals'")
-        self._process = _Process(str(head["node"]), int(head["began_us"]))
-        self._class_names = [cls["name"] for cls in head["classes"]]
+            self.header = journal_header
+        elif any(journal_header.get(key) != self.header.get(key) for key in FIXED_HEADER_KEYS):
+            raise TraceError(
+                f"{reading.path}: kinds, zones or fields differ from those of the other journals"
+            )
+        self._process = _Process(str(journal_header["node"]), int(journal_header["began_us"]))
+        self._class_names = [cls["name"] for cls in journal_header["classes"]]
 
     def _rows_lost(self, at: int, row: Row) -> None:
         self._lost_rows += row[2]
@@ -175,23 +177,23 @@
 
     def _health_checked(self, at: int, row: Row) -> None:
         result = AttemptResult(row[3]).name
-        told = {"server": row[2], "result": result, "wait_us": row[4], "report": row[5]}
-        self._tables.put("probes", node=self._process.node, at_us=at, **told)
+        columns = {"server": row[2], "result": result, "wait_us": row[4], "report": row[5]}
+        self._tables.put("probes", node=self._process.node, at_us=at, **columns)
 
     def _request_received(self, at: int, row: Row) -> None:
         id, class_index, group, wait_us, is_retry, is_migrated = row[2:8]
-        told = {"wait_us": wait_us, "repeated": is_retry, "returned": is_migrated}
-        self._begin(at, id, class_index, group=group, **told)
+        columns = {"wait_us": wait_us, "repeated": is_retry, "returned": is_migrated}
+        self._begin(at, id, class_index, group=group, **columns)
 
     def _session_adopted(self, at: int, row: Row) -> None:
         id, class_index, group, server, load = row[2:7]
-        told = {"stood": True, "server": server, "up_us": at, "answer": "served"}
-        session = self._begin(at, id, class_index, group=group, **told)
+        columns = {"stood": True, "server": server, "up_us": at, "answer": "served"}
+        session = self._begin(at, id, class_index, group=group, **columns)
         if session is not None and load is not None:
             session.load_reported(at, load)
 
-    def _begin(self, at: int, id: int, class_index: int, **told: Any) -> _Session | None:
-        """Open a request, unless it is open: each file begins with what is established already."""
+    def _begin(self, at: int, id: int, class_index: int, **columns: Any) -> _Session | None:
+        """Open a request, unless it is open already: each file begins with the established sessions."""
         key = (self._process, id)
         if key in self._open:
             return None
@@ -214,7 +216,7 @@
             "moved": False,
             "loads": 0,
         }
-        session = self._open[key] = _Session(row | told)
+        session = self._open[key] = _Session(row | columns)
         return session
 
     def _attempt_started(self, session: _Session, at: int, row: Row) -> None:
@@ -263,39 +265,45 @@
 
 
 def _identity(session: _Session) -> dict[str, Any]:
-    """The columns by which rows of several tables belong to one request."""
+    """The columns that identify a request in several tables."""
     return {name: session.row[name] for name in ("node", "run", "id")}
 
 
 def convert(journals: Iterable[str | Path], folder: str | Path) -> Manifest:
-    """Make a trace of journals. The folder appears whole or not at all; one that exists is not touched."""
+    """Convert journals to a trace, in a new folder that is created whole or not at all.
+
+    Raises:
+        TraceError: The folder exists (it is left as it is), or the journals differ in their kinds, zones or
+            load report fields.
+        JournalError: A file can't be read as a journal.
+    """
     target = Path(folder)
     if target.exists():
         raise TraceError(f"{target}: is there already")
-    making = target.with_name(f".{target.name}.{os.getpid()}")
-    making.mkdir(parents=True)
+    temporary = target.with_name(f".{target.name}.{os.getpid()}")
+    temporary.mkdir(parents=True)
     try:
-        converter = Converter(making)
+        converter = Converter(temporary)
         for path in journals:
             converter.feed(read_journal(path))
         converter.close()
         manifest = _manifest_of(converter)
-        (making / MANIFEST).write_bytes(msgspec.json.format(msgspec.json.encode(manifest)))
-        making.rename(target)
+        (temporary / MANIFEST).write_bytes(msgspec.json.format(msgspec.json.encode(manifest)))
+        temporary.rename(target)
     finally:
-        shutil.rmtree(making, ignore_errors=True)
+        shutil.rmtree(temporary, ignore_errors=True)
     return manifest
 
 
 def _manifest_of(converter: Converter) -> Manifest:
-    head = converter.header
+    journal_header = converter.header
     return Manifest(
         VERSION,
         converter.from_us,
         converter.to_us,
-        head["classes"],
-        list(head["kinds"]),
-        list(head["zones"]),
-        list(head["fields"]),
+        journal_header["classes"],
+        list(journal_header["kinds"]),
+        list(journal_header["zones"]),
+        list(journal_header["fields"]),
         converter.sources,
     )
--- a/stepflow/fleet/trace/schema.py
+++ b/stepflow/fleet/trace/schema.py
@@ -1,4 +1,4 @@
-"""What a trace consists of: Parquet tables with fixed columns in a folder, and a JSON manifest."""
+"""The format of a trace: a folder with Parquet tables of fixed columns and a JSON manifest."""
 
 from __future__ import annotations
 
@@ -77,21 +77,22 @@
 }
 """The columns of each table.
 
-Times are Unix microseconds. `run` is the process (its `began_us`). `stood` marks a session that was
-established before the recording, so its beginning is not known. An `end` of "" is a session that was still
-established at the last row (right-censored). `load` is the mean of the reported loads, weighted by how long
-each held.
+Times are in Unix microseconds. `run` identifies the process (it is `began_us` of its journals). `stood`
+marks a session that was established before the recording, so that its beginning is not known. An `end` of ""
+marks a session that was still established at the last row (right-censored). `load` is the mean of the
+reported loads, weighted by how long each held.
 """
 
 
 class TraceError(InputError):
-    """Why a trace can't be read or made, in one line that names the file."""
+    """A trace can't be read or made; the text is one line that names the file."""
 
 
 class Source(msgspec.Struct):
-    """One journal that a trace was made of.
+    """One journal that a trace was made from.
 
-    `cut` says where it was cut off, if it was; `lost` counts rows that the recorder dropped.
+    `cut` says where and why reading stopped early, and is empty if the whole journal was read. `ended` is
+    whether its last row is an END row. `lost` counts the rows that the recorder dropped.
     """
 
     path: str
@@ -103,7 +104,7 @@
 
 
 class Manifest(msgspec.Struct, forbid_unknown_fields=False):
-    """What a trace tells of itself; times are Unix microseconds."""
+    """The manifest of a trace; times are in Unix microseconds."""
 
     version: int
     from_us: int
--- a/stepflow/fleet/trace/summary.py
+++ b/stepflow/fleet/trace/summary.py
@@ -1,4 +1,4 @@
-"""A summary of a trace, for people and programs."""
+"""Sums up a trace for `stepflow fleet inspect`."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 def summary(trace: Trace) -> dict[str, Any]:
-    """What is in a trace. Spans are in seconds, connect times in milliseconds; the CLI shows the keys."""
+    """The summary of a trace, by the keys of --json. Lives are in seconds, connect times in milliseconds."""
     manifest = trace.manifest
     connections = trace.table("connections")
     seconds = max(0.0, (manifest.to_us - manifest.from_us) / SECOND)
@@ -37,8 +37,10 @@
     rows = connections.filter(pc.equal(connections["class"], name))
     fresh = rows.filter(pc.invert(rows["stood"]))
     established = rows.filter(pc.is_valid(rows["up_us"]))
-    whole = established.filter(pc.and_(pc.invert(established["stood"]), pc.not_equal(established["end"], "")))
-    spans_us = pc.cast(pc.subtract(whole["end_us"], whole["up_us"]), pa.float64())
+    complete = established.filter(
+        pc.and_(pc.invert(established["stood"]), pc.not_equal(established["end"], ""))
+    )
+    spans_us = pc.cast(pc.subtract(complete["end_us"], complete["up_us"]), pa.float64())
     return {
         "class": name,
         "connections": len(rows),
@@ -47,18 +49,18 @@
         "answers": _counts(fresh["answer"]),
         "connect_ms": _quantiles(pc.divide(pc.cast(fresh["connect_us"], pa.float64()), MILLISECOND)),
         "life_s": _quantiles(pc.divide(spans_us, SECOND)),
-        "lives_censored": len(established) - len(whole),
+        "lives_censored": len(established) - len(complete),
         "load": _quantiles(rows["load"]),
         "moved": pc.sum(rows["moved"]).as_py() or 0,
     }
 
 
 def _counts(column: Any) -> dict[str, int]:
-    """How often each value occurs."""
-    return {one["values"]: one["counts"] for one in pc.value_counts(column).to_pylist()}
+    """The number of times each value occurs."""
+    return {entry["values"]: entry["counts"] for entry in pc.value_counts(column).to_pylist()}
 
 
 def _quantiles(column: Any) -> list[float] | None:
-    """The 10%, 50% and 90% points; None where there is nothing."""
+    """The quantiles of QUANTILES; None if there are no values."""
     found = pc.quantile(column, q=QUANTILES).to_pylist()
     return None if found[0] is None else found
--- a/tests/fleet/test_trace.py
+++ b/tests/fleet/test_trace.py
@@ -1,4 +1,4 @@
-"""Traces: what a journal becomes as tables, and what is said of one that is cut, newer or foreign."""
+"""Traces: the tables made from journals, and errors for a damaged, newer or unexpected trace."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
 
 
 class Script:
-    """Sessions by hand; `save` writes the journals and converts them."""
+    """Records scripted sessions; `save` writes the journals and converts them."""
 
     def __init__(self, segment: int = 1 << 30) -> None:
         self.sink = MemorySink()
@@ -76,7 +76,7 @@
     return sorted(found, key=lambda row: row.get("id", 0))
 
 
-def test_a_session_s_life_loads_and_attempts_become_rows(tmp_path: Path) -> None:
+def test_a_session_its_loads_and_its_attempts_become_rows(tmp_path: Path) -> None:
     script = Script()
     script.open(1, 100)
     script.up(1, 120)
@@ -92,7 +92,7 @@
     assert [row["result"] for row in rows(trace, "attempts")] == ["OK"]
 
 
-def test_a_failed_attempt_and_the_next_one_are_one_connection_s(tmp_path: Path) -> None:
+def test_all_attempts_of_a_request_belong_to_one_connection(tmp_path: Path) -> None:
     script = Script()
     script.open(1, 100)
     script.feed(200, AttemptEnded(1, 0, "s-1", AttemptResult.FULL, False, 5), StartAttempt(1, "s-2", 9))
@@ -106,18 +106,18 @@
     assert [row["result"] for row in rows(trace, "attempts")] == ["FULL", "OK", "RESET"]
 
 
-def test_what_still_stands_is_censored_at_the_last_row(tmp_path: Path) -> None:
+def test_a_session_still_established_is_censored_at_the_last_row(tmp_path: Path) -> None:
     script = Script()
     script.open(1, 100)
     script.up(1, 120)
     trace = script.save(tmp_path)
     (row,) = rows(trace)
     assert row["end"] == "" and row["end_us"] == BEGAN + 60_000_000
-    told = summary(trace)
-    assert told["classes"][0]["lives_censored"] == 1 and told["classes"][0]["life_s"] is None
+    summarized = summary(trace)
+    assert summarized["classes"][0]["lives_censored"] == 1 and summarized["classes"][0]["life_s"] is None
 
 
-def test_a_connection_over_several_files_is_one_row_and_without_the_first_it_stood(tmp_path: Path) -> None:
+def test_a_session_over_several_files_is_one_row_that_stood_if_the_first_is_missing(tmp_path: Path) -> None:
     script = Script(segment=400)
     script.open(1, 0)
     script.up(1, 1)
@@ -135,13 +135,13 @@
     assert late["stood"] and 0 < late["loads"] < 29 and late["end"] == "ok" and late["up_us"] > row["up_us"]
 
 
-def test_a_class_that_is_absent_is_told_as_empty(tmp_path: Path) -> None:
-    told = summary(Script().save(tmp_path))
-    (cls,) = told["classes"]
+def test_a_class_without_connections_has_an_empty_summary(tmp_path: Path) -> None:
+    summarized = summary(Script().save(tmp_path))
+    (cls,) = summarized["classes"]
     assert cls["connections"] == 0 and cls["connect_ms"] is None and cls["answers"] == {}
 
 
-def test_a_journal_s_cut_stands_in_the_manifest(tmp_path: Path) -> None:
+def test_the_manifest_says_where_a_journal_was_cut_off(tmp_path: Path) -> None:
     script = Script()
     script.open(1, 0)
     (path,) = script.journals(tmp_path)
@@ -150,7 +150,7 @@
     assert "cut off within a block" in manifest.sources[0].cut and not manifest.sources[0].ended
 
 
-def test_a_trace_that_is_there_is_not_touched_and_a_failed_one_leaves_nothing(tmp_path: Path) -> None:
+def test_an_existing_folder_is_an_error_and_a_failed_conversion_leaves_no_files(tmp_path: Path) -> None:
     path = tmp_path / "j"
     path.write_bytes(b"nonsense")
     done = command("fleet", "convert", str(path), "-o", str(tmp_path / "trace"))
@@ -162,24 +162,26 @@
 
 
 @pytest.mark.parametrize(
-    ("file", "spoil", "said"),
+    ("file", "damage", "said"),
     [
         ("trace.json", lambda data: data.replace(b'"version": 1', b'"version": 9'), "a trace of version 9"),
         ("trace.json", lambda data: data[:-5], "trace.json: Input data was truncated"),
         ("trace.json", lambda data: b"{}", "missing required field `version`"),
-        ("connections.parquet", lambda data: data[:-9], "cut off, or no Parquet file"),
-        ("connections.parquet", lambda data: b"", "cut off, or no Parquet file"),
+        ("connections.parquet", lambda data: data[:-9], "cut off, or not a Parquet file"),
+        ("connections.parquet", lambda data: b"", "cut off, or not a Parquet file"),
     ],
 )
-def test_a_spoilt_trace_is_turned_down_in_one_line(tmp_path: Path, file: str, spoil: Any, said: str) -> None:
+def test_a_damaged_trace_is_an_error_of_one_line(tmp_path: Path, file: str, damage: Any, said: str) -> None:
     path = Script().save(tmp_path).folder / file
-    path.write_bytes(spoil(path.read_bytes()))
+    path.write_bytes(damage(path.read_bytes()))
     done = command("fleet", "inspect", str(tmp_path / "trace"))
     assert done.returncode == 2 and said in done.stderr and done.stderr.count("\n") == 1
 
 
 @pytest.mark.parametrize(("name", "type_"), [("load", pa.int64()), ("other", pa.float64())])
-def test_a_foreign_schema_is_named_by_its_column(tmp_path: Path, name: str, type_: Any) -> None:
+def test_an_unexpected_schema_is_an_error_that_names_the_column(
+    tmp_path: Path, name: str, type_: Any
+) -> None:
     trace = Script().save(tmp_path)
     schema = pa.schema(
         [
@@ -188,11 +190,11 @@
         ]
     )
     pq.write_table(schema.empty_table(), trace.folder / "connections.parquet")
-    with pytest.raises(TraceError, match="connections.parquet: a foreign schema: .*load"):
+    with pytest.raises(TraceError, match="connections.parquet: unexpected schema: .*load"):
         trace.table("connections")
 
 
-def test_inspect_shows_it_to_people_and_to_programs(tmp_path: Path) -> None:
+def test_inspect_prints_a_summary_as_text_and_as_json(tmp_path: Path) -> None:
     script = Script()
     script.open(1, 100)
     script.up(1, 120)
@@ -200,11 +202,11 @@
     script.save(tmp_path)
     plain = command("fleet", "inspect", str(tmp_path / "trace"))
     assert plain.returncode == 0 and "view" in plain.stdout and "answers served 1" in plain.stdout
-    told = json.loads(command("fleet", "inspect", "--json", str(tmp_path / "trace")).stdout)
-    assert told["servers"] == 1 and told["classes"][0]["life_s"] == [3.88, 3.88, 3.88]
+    summarized = json.loads(command("fleet", "inspect", "--json", str(tmp_path / "trace")).stdout)
+    assert summarized["servers"] == 1 and summarized["classes"][0]["life_s"] == [3.88, 3.88, 3.88]
 
 
-def test_a_stream_depends_on_its_seed_and_its_name_only() -> None:
+def test_a_random_stream_depends_on_its_seed_and_names_only() -> None:
     draws = [
         stream(seed, *names).random()
         for seed, *names in ((1, "a"), (1, "a"), (1, "b"), (2, "a"), (1, "a", 0))
--- a/tests/test_format_journal.py
+++ b/tests/test_format_journal.py
@@ -1,8 +1,8 @@
-"""The journal of traffic and the trace made of it, as they are stored: bytes, rows, columns and file names.
+"""The stored formats of the journal and of the trace made from it: bytes, rows, columns and file names.
 
-None of what is compared here may change where names in the code do, for users keep it. `written_files` and
-`rows_read` alone speak of the names in the code; all else reads bytes, or goes through the command line. The
-files in `data` were recorded by version 0.3.0; beside each stands what it says, one row a line.
+Users keep such files, so nothing compared here may change when names in the code change. Only
+`written_files` and `rows_read` use names of the code; everything else reads bytes or uses the command line.
+The files in `data` were recorded by version 0.3.0; the text file beside each holds its rows, one a line.
 """
 
 from __future__ import annotations
@@ -44,14 +44,14 @@
 
 DATA = Path(__file__).parent / "data"
 JOURNAL = DATA / "traffic-v1.sft"  # every kind of row, as version 0.3.0 wrote them
-LATER_JOURNAL = DATA / "traffic-v1-second.sft"  # the same process's next file
+LATER_JOURNAL = DATA / "traffic-v1-second.sft"  # the next file of the same process
 TRACE_ROWS = DATA / "trace-v1.rows.jsonl"  # [table, value, ...], in the order of the columns
 BEGAN_US = 1_700_000_000_000_000
 KEY = "0123456789abcdef"
 
 
 class Files:
-    """A sink that keeps each file's bytes, and drops what it gets while it is full."""
+    """A sink that keeps each file's bytes; it drops all blocks while `full`."""
 
     def __init__(self) -> None:
         self.files: list[bytes] = []
@@ -67,7 +67,7 @@
 
 
 def written_files() -> list[bytes]:
-    """What the recorder writes for one fixed story: every kind of row, in two files."""
+    """The files that the recorder writes for one fixed script: every kind of row, in two files."""
     view = RequestClass("view", latency_objective_us=300_000, deadline_us=1_200_000, priority_weight=1.5)
     edit = RequestClass("edit", latency_objective_us=50_000, deadline_us=800_000, priority_weight=4.0)
     settings = Settings(
@@ -124,19 +124,19 @@
 
 
 def rows_read(path: Path) -> tuple[object, list[list[Any]], bool, str]:
-    """What the reader tells of a journal: header, rows, whether it was ended in order, what is wrong."""
+    """What the reader returns for a journal: header, rows, `ended` and `cut`."""
     reading = read_journal(path)
     rows = list(reading.rows())
     return reading.header, rows, reading.ended, reading.cut
 
 
 def literal_rows(path: Path) -> list[list[Any]]:
-    """The rows of a text beside a recorded file."""
+    """The rows in the text file beside a recorded file."""
     return [json.loads(line) for line in path.read_text().splitlines()]
 
 
 def raw_rows(data: bytes) -> list[list[Any]]:
-    """A journal's rows, its header among them, by docs/traffic-format.md alone."""
+    """A journal's rows with its header, decoded by docs/traffic-format.md without the code's reader."""
     assert data[:8] == b"SFTRAF\x01\x00"
     rows, at = [], 8
     while at < len(data):
@@ -155,22 +155,22 @@
     assert {row[2] for row in rows if row[0] == 11} == {0, 1, 2, 3}
 
 
-def test_the_writer_writes_the_recorded_bytes() -> None:
+def test_the_recorder_writes_the_recorded_bytes() -> None:
     expected = [JOURNAL.read_bytes(), LATER_JOURNAL.read_bytes()]
     written = written_files()
     assert [raw_rows(data) for data in written] == [
         raw_rows(data) for data in expected
-    ]  # the plainer failure
+    ]  # compared first, since its failure is easier to read
     assert written == expected
 
 
 @pytest.mark.parametrize(("path", "ended"), [(JOURNAL, False), (LATER_JOURNAL, True)])
-def test_a_recorded_file_is_read_to_its_literal_rows(path: Path, ended: bool) -> None:
+def test_a_recorded_file_is_read_as_the_rows_of_its_text_file(path: Path, ended: bool) -> None:
     header, *rows = literal_rows(path.with_suffix(".rows.jsonl"))
     assert rows_read(path) == (header[1], rows, ended, "")
 
 
-def test_a_node_s_file_has_its_name_and_its_header(tmp_path: Path) -> None:
+def test_a_node_writes_a_journal_with_the_expected_name_and_header(tmp_path: Path) -> None:
     conf = tmp_path / "stepflow.conf"
     conf.write_text(f"record {{\n folder {tmp_path}/traffic\n key {KEY}\n segment 64K\n}}\n")
     node = Node(Peer("s-1"))
@@ -257,18 +257,18 @@
 
 @pytest.fixture(scope="module")
 def trace(tmp_path_factory: pytest.TempPathFactory) -> Path:
-    """The trace of the recorded files, made by the command."""
+    """The trace of the recorded files, made by `stepflow fleet convert`."""
     folder = tmp_path_factory.mktemp("trace") / "made"
     assert main(["fleet", "convert", str(JOURNAL), str(LATER_JOURNAL), "-o", str(folder)]) == 0
     return folder
 
 
-def test_a_trace_has_its_files(trace: Path) -> None:
+def test_a_trace_has_the_expected_files(trace: Path) -> None:
     assert {path.name for path in trace.iterdir()} == {"trace.json", *(f"{name}.parquet" for name in COLUMNS)}
 
 
 @pytest.mark.parametrize("table", COLUMNS)
-def test_a_trace_s_table_has_its_columns_and_rows(trace: Path, table: str) -> None:
+def test_each_table_of_a_trace_has_the_expected_columns_and_rows(trace: Path, table: str) -> None:
     found = parquet.read_table(trace / f"{table}.parquet")
     types = [(field.name, re.sub(r"<\w+: ", "<", str(field.type))) for field in found.schema]
     assert types == COLUMNS[table]
@@ -277,7 +277,7 @@
 
 
 def sources() -> list[dict[str, object]]:
-    """What a trace tells of the recorded files."""
+    """The manifest's entries for the recorded files."""
     common = {"node": "n0", "cut": ""}
     return [
         {"path": str(JOURNAL), "ended": False, "lost": 0, "rows": 53, **common},
@@ -285,7 +285,7 @@
     ]
 
 
-def test_a_trace_s_manifest_has_its_keys(trace: Path) -> None:
+def test_the_manifest_of_a_trace_has_the_expected_keys_and_values(trace: Path) -> None:
     assert json.loads((trace / "trace.json").read_text()) == {
         "version": 1,
         "from_us": BEGAN_US + 1,
@@ -298,7 +298,7 @@
     }
 
 
-def test_what_inspect_tells_programs_has_its_keys(trace: Path, capsys: pytest.CaptureFixture[str]) -> None:
+def test_inspect_json_has_the_expected_keys(trace: Path, capsys: pytest.CaptureFixture[str]) -> None:
     assert main(["fleet", "inspect", "--json", str(trace)]) == 0
     results = ("OK", "ERROR", "FULL", "TIMEOUT", "CONNECT_FAILED", "RESET", "CANCELLED", "NOT_SENT")
     assert json.loads(capsys.readouterr().out) == {
