--- a/stepflow/fleet/fitting/__init__.py
+++ b/stepflow/fleet/fitting/__init__.py
@@ -1,8 +1,8 @@
-"""From a trace to a scenario: what the traffic and the servers were, and how surely that is known.
+"""Fits a scenario to a trace: estimates the traffic and the servers, with confidence intervals.
 
 `estimators` has the estimators of single figures, `sessions` the typed rows of a trace. `arrivals`, `classes`
-and `servers` fit a part of the scenario each, and add what they find to a `Fit`; `scenario_text` writes it as
-a file.
+and `servers` each fit a part of the scenario and add their estimates to a `Fit`; `scenario_text` renders it
+as a scenario file.
 """
 
 from stepflow.fleet.fitting.arrivals import fit_arrivals
@@ -18,16 +18,16 @@
 
 
 def fit(trace: Trace, group_load: float = Day.group_load) -> Fit:
-    """Fit a scenario to a trace; what it says nothing of keeps its default and is named.
+    """Fit a scenario to a trace. What the trace doesn't show keeps its default and is listed in `absent`.
 
-    `group_load` is what a server bears for a group beside its sessions, in mean session loads: no trace shows
-    it.
+    `group_load` is the load of an affinity group on its server beside that of its sessions, in mean session
+    loads; no trace shows it. Raises FitError for a trace without connections or without duration.
     """
     manifest = trace.manifest
     sessions = sessions_of(trace)
     seconds = (manifest.to_us - manifest.from_us) / SECOND
     if seconds <= 0 or not sessions:
-        raise FitError(f"{trace.folder}: no connection in it")
+        raise FitError(f"{trace.folder}: contains no connection")
     found = Fit(nodes=len({source.node for source in manifest.sources}))
     fit_arrivals(found, sessions, seconds, manifest.from_us)
     fit_classes(found, manifest.classes, sessions, manifest.from_us)
--- a/stepflow/fleet/fitting/classes.py
+++ b/stepflow/fleet/fitting/classes.py
@@ -1,9 +1,10 @@
 """Fits the classes of requests: their shares, lives and loads.
 
-Lives are exponential; a session that was migrated, broke, or was established at the start or the end of the
-trace lends its exposure and no event. Loads are lognormal: within a session by the differences of successive
-loads, between sessions by what is left of the variance of their first ones. How long a load holds is a life
-as well.
+Lives are exponential. A session that was migrated, that broke or that was still established at the end of the
+trace adds its exposure and no event; one that was established before the trace adds its exposure from the
+trace's start on. Loads are lognormal: the deviation within a session is estimated from the differences of
+successive loads, the deviation between sessions from the remaining variance of their first loads. The time
+that a load holds is estimated as a life, too.
 """
 
 from __future__ import annotations
@@ -16,19 +17,13 @@
 
 import numpy as np
 
-from stepflow.fleet.fitting.estimators import (
-    LEAST_EVENTS,
-    Estimate,
-    deviation,
-    exponential_mean,
-    mean_estimate,
-)
+from stepflow.fleet.fitting.estimators import MIN_EVENTS, Estimate, deviation, exponential_mean, mean_estimate
 from stepflow.fleet.fitting.result import Fit
 from stepflow.fleet.fitting.sessions import SECOND, Session
 from stepflow.fleet.scenario import Class, Day
 
-OWN_ENDS = ("ok", "cancelled")  # ends of a session that are its client's doing
-LEAST_LOAD = 1e-9  # whose logarithm is taken for a load of 0
+OWN_ENDS = ("ok", "cancelled")  # ends of a session that its client caused
+MIN_LOAD = 1e-9  # smaller loads count as this one, since 0 has no logarithm
 
 
 @dataclass(frozen=True)
@@ -45,7 +40,7 @@
 ) -> None:
     """Add each class's share, life and loads, the mean life of the day, and how long a load holds.
 
-    `class_settings` are the classes as the trace's manifest has them.
+    `class_settings` are the classes of the trace's manifest.
     """
     names = [settings["name"] for settings in class_settings]
     lives: dict[str, Estimate] = {}
@@ -79,13 +74,15 @@
 def _fit_day_life(
     found: Fit, lives: Mapping[str, Estimate], shares: Mapping[str, float], count: int
 ) -> float:
-    """Add the life of a mean first request, over all classes; returns it in seconds."""
+    """Add the mean life of all classes, weighted by their shares of first requests; returns it in seconds."""
     known = {name: one.value for name, one in lives.items() if math.isfinite(one.value)}
     weight = sum(shares[name] for name in known) or 1.0
     value = sum(shares[name] * life for name, life in known.items()) / weight if known else Day.life
     halves = [(one.high - one.low) / 2 * shares[name] / weight for name, one in lives.items() if one.known]
-    half = math.sqrt(sum(one**2 for one in halves))
-    found.estimates.append(Estimate("life", value, max(value / 4, value - half), value + half, count))
+    half_width = math.sqrt(sum(one**2 for one in halves))
+    found.estimates.append(
+        Estimate("life", value, max(value / 4, value - half_width), value + half_width, count)
+    )
     return value
 
 
@@ -97,18 +94,18 @@
     loads: Mapping[str, _Loads],
     day_life: float,
 ) -> None:
-    """Add the scenario's classes, lives and loads relative to the day's; absent ones have a share of 0."""
+    """Add the scenario's classes, lives and loads relative to the day's; absent classes have a share of 0."""
     means = [shares[name] * loads[name].mean for name in shares if math.isfinite(loads[name].mean)]
     mean_load = sum(means) or 1.0
     for settings in class_settings:
         name = settings["name"]
-        told = {
+        from_settings = {
             "aim_ms": settings["aim_us"] / 1000,
             "wait_ms": settings["deadline_us"] / 1000,
             "worth": settings["worth"],
         }
         if name not in lives:
-            found.classes[name] = Class(share=0.0, **told)
+            found.classes[name] = Class(share=0.0, **from_settings)
             continue
         life = lives[name].value if math.isfinite(lives[name].value) else day_life
         relative = life / day_life if day_life else 1.0
@@ -119,7 +116,7 @@
             life=(relative, relative),
             load_sigma=loads[name].between_sigma,
             swing_sigma=loads[name].within_sigma,
-            **told,
+            **from_settings,
         )
 
 
@@ -127,10 +124,10 @@
     """Add the mean load of a class, and the deviations of its logarithm between and within sessions."""
     series = [session.loads for session in sessions if session.loads]
     firsts = np.array([one[0].load for one in series])
-    if len(firsts) < LEAST_EVENTS:
+    if len(firsts) < MIN_EVENTS:
         found.absent.append(f"loads of {name}")
         return _Loads(float(firsts.mean()) if len(firsts) else math.nan)
-    logs = [np.log([max(reported.load, LEAST_LOAD) for reported in one]) for one in series]
+    logs = [np.log([max(reported.load, MIN_LOAD) for reported in one]) for one in series]
     changes = np.concatenate([np.diff(one) for one in logs])
     within = float(np.sqrt(np.mean(changes**2) / 2)) if len(changes) else 0.0
     total = float(np.var([one[0] for one in logs], ddof=1))
@@ -144,7 +141,7 @@
 
 
 def _fit_load_spans(found: Fit, sessions: Sequence[Session]) -> None:
-    """Add how long a load holds; the last one of a session ends with it, unseen."""
+    """Add how long a load holds; the last load of a session is censored by the session's end."""
     spans: list[float] = []
     ended: list[bool] = []
     for session in sessions:
@@ -154,5 +151,5 @@
             spans += [(until - at) / SECOND for at, until in zip(times, ends, strict=True)]
             ended += [True] * (len(times) - 1) + [False]
     if spans:
-        seen = np.array(ended)
-        found.estimates.append(exponential_mean("a load holds, s", np.array(spans), seen, seen))
+        uncensored = np.array(ended)
+        found.estimates.append(exponential_mean("a load holds, s", np.array(spans), uncensored, uncensored))
--- a/stepflow/fleet/fitting/demand.py
+++ b/stepflow/fleet/fitting/demand.py
@@ -1,4 +1,4 @@
-"""What each server was asked for over time, by all nodes that recorded."""
+"""The demand on each server over time, from the sessions of all nodes that recorded."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class _Change(NamedTuple):
-    """A change of a server's demand; `sessions` is +1 or -1 where one begins or ends, else 0."""
+    """A change of a server's demand; `sessions` is +1 or -1 where a session begins or ends, else 0."""
 
     at_us: int
     load: float
@@ -25,25 +25,25 @@
 
 @dataclass(frozen=True)
 class Demand:
-    """The demand on a server as steps: the level from each time on, and its integral up to that time."""
+    """The demand on a server as a step function: the level from each time on, and the integral up to it."""
 
     at_us: NDArray[np.int64]
     level: Floats
     integral: Floats
 
     def mean(self, from_us: int, to_us: int, span_us: float) -> float:
-        """The mean over a span of time."""
+        """The mean from `from_us` to `to_us`, a span of `span_us` microseconds."""
         return (self._integral_at(to_us) - self._integral_at(from_us)) / span_us
 
     def _integral_at(self, at: int) -> float:
-        place = int(np.searchsorted(self.at_us, at, side="right")) - 1
-        if place < 0:
+        position = int(np.searchsorted(self.at_us, at, side="right")) - 1
+        if position < 0:
             return 0.0
-        return float(self.integral[place] + self.level[place] * (at - self.at_us[place]))
+        return float(self.integral[position] + self.level[position] * (at - self.at_us[position]))
 
 
 def demand_by_server(sessions: Sequence[Session], mean_load: float, group_load: float) -> dict[str, Demand]:
-    """Each server's demand, in mean session loads: that of its sessions, and `group_load` for each group."""
+    """Each server's demand, in mean session loads: its sessions' loads, and `group_load` for each group."""
     changes: dict[str, list[_Change]] = defaultdict(list)
     for session in sessions:
         if session.up_us is not None:
@@ -65,16 +65,16 @@
 
 
 def _steps(changes: list[_Change], group_load: float) -> Demand:
-    # At one time, what begins comes first: a group that stays is not counted anew.
+    # At the same time, beginnings sort before ends, so that a group that stays is not dropped in between.
     changes.sort(key=lambda one: (one.at_us, -one.sessions))
-    held: Counter[int] = Counter()
+    sessions_by_group: Counter[int] = Counter()
     levels, total, groups = [], 0.0, 0
     for change in changes:
         total += change.load
         if change.group and change.sessions:
-            before = held[change.group] > 0
-            held[change.group] += change.sessions
-            groups += (held[change.group] > 0) - before
+            before = sessions_by_group[change.group] > 0
+            sessions_by_group[change.group] += change.sessions
+            groups += (sessions_by_group[change.group] > 0) - before
         levels.append(total + group_load * groups)
     at_us, level = np.array([one.at_us for one in changes], dtype=np.int64), np.array(levels)
     integral = np.concatenate([[0.0], np.cumsum(level[:-1] * np.diff(at_us))])
--- a/stepflow/fleet/fitting/estimators.py
+++ b/stepflow/fleet/fitting/estimators.py
@@ -1,8 +1,9 @@
-"""Estimators of single figures, each with its interval of 95%.
+"""Estimators of single figures, each with its 95% confidence interval.
 
 Rates are those of a Poisson process, with Garwood's exact interval (1936). Lives are exponential, estimated
-by events over exposure: one that was cut off (right-censored) or watched from later on (left-truncated) lends
-its exposure and no event (Lawless, Statistical Models and Methods for Lifetime Data, 2003, section 4.1).
+by events over exposure. The exposure of a life is the time that it was watched, also if that began later than
+the life (left-truncated). A life that was cut off (right-censored) adds its exposure and no event. (Lawless,
+Statistical Models and Methods for Lifetime Data, 2003, section 4.1.)
 """
 
 from __future__ import annotations
@@ -14,17 +15,17 @@
 from numpy.typing import NDArray
 from scipy import stats
 
-LOW, HIGH = 0.025, 0.975  # the quantiles between which an interval lies
-LEAST_EVENTS = 8  # that an estimate or a test of one needs
-LEAST_SAMPLE = 2  # values that show any deviation
-POOR = 2.58  # standard errors: one in a hundred sound fits is called poor
+LOW, HIGH = 0.025, 0.975  # the quantiles that bound an interval
+MIN_EVENTS = 8  # needed for an estimate, or for a test of its fit
+MIN_SAMPLE = 2  # values needed for a deviation
+MAX_STANDARD_ERRORS = 2.58  # beyond which a fit is called poor: so is one sound fit in a hundred
 
 Floats = NDArray[np.float64]
 
 
 @dataclass(frozen=True)
 class Estimate:
-    """One figure, with its interval of 95%, what it rests on, and what speaks against it."""
+    """One figure with its 95% interval, the number of events behind it, and why its fit is poor, if so."""
 
     name: str
     value: float
@@ -35,12 +36,12 @@
 
     @property
     def known(self) -> bool:
-        """Whether its interval is bounded."""
+        """Whether the interval is bounded."""
         return math.isfinite(self.low) and math.isfinite(self.high)
 
 
 def poisson_rate(name: str, events: int, exposure: float, flaw: str = "") -> Estimate:
-    """The rate of a Poisson process by its count, with the exact interval."""
+    """The rate of a Poisson process from a count of events over an exposure, with the exact interval."""
     low = float(stats.chi2.ppf(LOW, 2 * events)) / 2 if events else 0.0
     high = float(stats.chi2.ppf(HIGH, 2 * events + 2)) / 2
     return Estimate(name, events / exposure, low / exposure, high / exposure, events, flaw)
@@ -48,13 +49,15 @@
 
 def mean_estimate(name: str, sample: Floats, flaw: str = "") -> Estimate:
     """The mean of a sample with Student's interval; unbounded for fewer than two values."""
-    if len(sample) < LEAST_SAMPLE:
+    if len(sample) < MIN_SAMPLE:
         return Estimate(
             name, float(sample.mean()) if len(sample) else math.nan, -math.inf, math.inf, len(sample)
         )
-    half = float(stats.t.ppf(HIGH, len(sample) - 1)) * float(np.std(sample, ddof=1)) / math.sqrt(len(sample))
+    half_width = (
+        float(stats.t.ppf(HIGH, len(sample) - 1)) * float(np.std(sample, ddof=1)) / math.sqrt(len(sample))
+    )
     mean = float(sample.mean())
-    return Estimate(name, mean, mean - half, mean + half, len(sample), flaw)
+    return Estimate(name, mean, mean - half_width, mean + half_width, len(sample), flaw)
 
 
 def exponential_mean(
@@ -66,7 +69,7 @@
         name: of the estimate.
         spans: how long each life was watched, in seconds.
         ended: which lives ended while they were watched.
-        fresh: which lives were watched from their beginning; only those have an age to test the law by.
+        fresh: which lives were watched from their beginning; only their ages are known, to test the fit.
     """
     events, exposure = int(ended.sum()), float(spans.sum())
     if not events:
@@ -77,8 +80,8 @@
 
 
 def _hazard_flaw(spans: Floats, ended: NDArray[np.bool_]) -> str:
-    """What speaks against a constant hazard, if anything: that of young lives against that of old."""
-    if int(ended.sum()) < 2 * LEAST_EVENTS:
+    """Why the hazard is not constant, if so: compares it below and above the median age of ended lives."""
+    if int(ended.sum()) < 2 * MIN_EVENTS:
         return ""
     middle = float(np.median(spans[ended]))
     young = int((ended & (spans <= middle)).sum()), float(np.minimum(spans, middle).sum())
@@ -87,14 +90,14 @@
         return ""
     ratio = young[0] / young[1] * old[1] / old[0]
     error = math.sqrt(1 / young[0] + 1 / old[0])
-    if abs(math.log(ratio)) <= POOR * error:
+    if abs(math.log(ratio)) <= MAX_STANDARD_ERRORS * error:
         return ""
-    return f"not exponential: the young end {ratio:.2f} times as often as the old"
+    return f"not exponential: young lives end {ratio:.2f} times as often as old ones"
 
 
 def deviation(name: str, sigma: float, count: int) -> Estimate:
-    """A standard deviation of so many values, with the interval by chi-square."""
-    if count < LEAST_SAMPLE or not math.isfinite(sigma):
+    """The standard deviation of `count` values, with its chi-square interval."""
+    if count < MIN_SAMPLE or not math.isfinite(sigma):
         return Estimate(name, sigma, 0.0, math.inf, count)
     low = sigma * math.sqrt((count - 1) / float(stats.chi2.ppf(HIGH, count - 1)))
     high = sigma * math.sqrt((count - 1) / float(stats.chi2.ppf(LOW, count - 1)))
--- a/stepflow/fleet/fitting/result.py
+++ b/stepflow/fleet/fitting/result.py
@@ -1,4 +1,4 @@
-"""What a fit of a trace finds."""
+"""The result of fitting a trace."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 
 
 class FitError(InputError):
-    """Why a trace can't be fitted."""
+    """A trace can't be fitted."""
 
 
 class KindFit(NamedTuple):
-    """A kind of servers: its share of the fleet, and the range of its speeds relative to the mean core."""
+    """A kind of servers: its share of the fleet, its cores, and its speeds relative to the mean core."""
 
     share: float
     cores: float
@@ -25,10 +25,10 @@
 
 @dataclass
 class Fit:
-    """All that a trace says of a fleet.
+    """All that a trace shows of a fleet.
 
-    `absent` names what it says nothing of, which keeps the scenario's defaults. `peak_rate` (first requests a
-    second) and `peak_load` (load over capacity) are the highest that it shows.
+    `absent` lists what the trace doesn't show, which keeps the scenario's defaults. `peak_rate` (first
+    requests a second) and `peak_load` (load over capacity) are the highest values in the trace.
     """
 
     estimates: list[Estimate] = field(default_factory=list)
@@ -43,5 +43,5 @@
     absent: list[str] = field(default_factory=list)
 
     def of(self, name: str) -> Estimate:
-        """The estimate of a figure."""
+        """The estimate of this name; raises StopIteration if there is none."""
         return next(one for one in self.estimates if one.name == name)
--- a/stepflow/fleet/fitting/scenario_text.py
+++ b/stepflow/fleet/fitting/scenario_text.py
@@ -1,4 +1,4 @@
-"""Writes a fit as a scenario file."""
+"""Renders a fit as the text of a scenario file."""
 
 from __future__ import annotations
 
@@ -10,13 +10,13 @@
 
 
 def scenario_text(found: Fit, source: str) -> str:
-    """A scenario file, its head naming the source, what was not in it, and what fits poorly."""
+    """The text of a scenario file; comments at its head name the source, what is absent, and poor fits."""
     head = [f"# Fitted to {source}", "# Not in the trace, so by default: " + ", ".join(found.absent)]
     head += [f"# Poor fit: {one.name}: {one.flaw}" for one in found.estimates if one.flaw]
     blocks = _day_blocks(found)
     if found.peak_rate:
-        seen = [f"    rate {found.peak_rate:.4g}", f"    utilization {found.peak_load:.4g}"]
-        blocks.append(_block("trace", seen))
+        peaks = [f"    rate {found.peak_rate:.4g}", f"    utilization {found.peak_load:.4g}"]
+        blocks.append(_block("trace", peaks))
     for name, kind in found.kinds.items():
         speeds = f"    speed {kind.low_speed:.4g}..{kind.high_speed:.4g}"
         lines = [f"    share {kind.share:.4g}", f"    cores {kind.cores:g}", speeds]
@@ -26,7 +26,7 @@
 
 
 def _day_blocks(found: Fit) -> list[str]:
-    """The blocks `day`, each estimate with its events, and `fitted`, with the intervals that are known."""
+    """The blocks `day`, with the events of each estimate, and `fitted`, with the bounded intervals."""
     day = [
         f"    servers {found.servers}",
         f"    nodes {found.nodes}",
--- a/stepflow/fleet/fitting/servers.py
+++ b/stepflow/fleet/fitting/servers.py
@@ -1,7 +1,7 @@
 """Fits the servers: their capacities, speeds by kind, the fleet's utilization and the noise of load reports.
 
-A server's capacity is the load that its sessions and groups asked for, over the `x0` that it reported at that
-moment: the median over its health checks; the range of a kind is that over its servers.
+A server's capacity is the load of its sessions and groups over the `x0` that it reported at that moment: the
+median over its health checks. A kind's range of speeds is the range over its servers.
 """
 
 from __future__ import annotations
@@ -16,21 +16,21 @@
 import numpy as np
 
 from stepflow.fleet.fitting.demand import Demand, demand_by_server
-from stepflow.fleet.fitting.estimators import LEAST_EVENTS, Estimate, deviation, mean_estimate
+from stepflow.fleet.fitting.estimators import MIN_EVENTS, Estimate, deviation, mean_estimate
 from stepflow.fleet.fitting.result import Fit, KindFit
 from stepflow.fleet.fitting.sessions import SECOND, Session
 from stepflow.fleet.scenario import NORMAL_95
 from stepflow.fleet.trace import Trace
 from stepflow.interface import Availability
 
-LOAD_FIELD = "x0"  # of a load report: the load over the capacity
-LEAST_X0 = 0.05  # a server of a lower load tells little of its capacity
-WINDOW_S = 5.0  # over which the fleet's utilization is taken
-REPORT_AGE_S = 1.1  # a report is up to so old: the demand is averaged back over it
-MAD_TO_SIGMA = 1.4826  # of a normal law: its deviation over its median absolute deviation
-LEAST_WINDOWS = 4  # that show whether the utilization is steady
-STEADY = 0.15  # relative deviation up to which it is called so
-DEFAULT_CORES = 3.0  # where the name of a kind says nothing
+LOAD_FIELD = "x0"  # the field of a load report with the load over the capacity
+MIN_X0 = 0.05  # reports of a lower load show little of the capacity
+WINDOW_S = 5.0  # length of the windows of the fleet's utilization
+REPORT_AGE_S = 1.1  # the greatest age of a report; demand is averaged over this time before it
+MAD_TO_SIGMA = 1.4826  # of a normal distribution: its deviation over its median absolute deviation
+MIN_WINDOWS = 4  # needed to tell whether the utilization is steady
+MAX_STEADY_DEVIATION = 0.15  # the utilization is steady below this relative deviation
+DEFAULT_CORES = 3.0  # if the name of a kind doesn't give them
 
 
 class _Report(NamedTuple):
@@ -42,14 +42,14 @@
 
 @dataclass
 class _Capacities:
-    """Capacities of servers in mean session loads, and what single reports deviate from them (logarithms)."""
+    """Capacities of servers in mean session loads, and the deviations of single reports (of logarithms)."""
 
     by_server: dict[str, float] = field(default_factory=dict)
     residuals: list[float] = field(default_factory=list)
 
 
 def fit_servers(found: Fit, trace: Trace, sessions: Sequence[Session], group_load: float) -> None:
-    """Add all that the endpoint lists and load reports of a trace tell."""
+    """Add all that the endpoint lists and load reports of a trace show."""
     kinds, availability = _listed(trace)
     found.servers = sum(1 for name in kinds if availability[name] != Availability.GONE) or len(kinds)
     if LOAD_FIELD not in trace.manifest.fields:
@@ -63,8 +63,8 @@
         found.absent.append("speeds: too few reports of servers with known loads")
         return
     _fit_utilization(found, reports, capacities.by_server, trace.manifest.from_us)
-    if len(capacities.residuals) >= LEAST_EVENTS:
-        # By the median, since loads change while a report is on its way.
+    if len(capacities.residuals) >= MIN_EVENTS:
+        # By the median of the deviations, since loads change while a report is on its way.
         found.noise = float(MAD_TO_SIGMA * np.median(np.abs(capacities.residuals)))
         found.estimates.append(deviation("report noise", found.noise, len(capacities.residuals)))
     _fit_kinds(found, trace.manifest.kinds, kinds, capacities.by_server)
@@ -80,16 +80,16 @@
 
 def _reports_of(trace: Trace) -> dict[str, list[_Report]]:
     """The load reports of each server."""
-    place = trace.manifest.fields.index(LOAD_FIELD)
+    position = trace.manifest.fields.index(LOAD_FIELD)
     reports: dict[str, list[_Report]] = defaultdict(list)
     for row in trace.table("probes").to_pylist():
-        if row["result"] == "OK" and len(row["report"]) > place:
-            reports[row["server"]].append(_Report(row["at_us"], row["report"][place]))
+        if row["result"] == "OK" and len(row["report"]) > position:
+            reports[row["server"]].append(_Report(row["at_us"], row["report"][position]))
     return reports
 
 
 def _capacities(reports: Mapping[str, Sequence[_Report]], demands: Mapping[str, Demand]) -> _Capacities:
-    """The capacities of servers with enough reports under load."""
+    """The capacities of the servers with at least MIN_EVENTS reports under load."""
     found = _Capacities()
     for server, of_server in reports.items():
         demand = demands.get(server)
@@ -99,9 +99,9 @@
         ratios = []
         for report in of_server:
             load = demand.mean(report.at_us - int(age_us), report.at_us, age_us)
-            if report.x0 >= LEAST_X0 and load > 0:
+            if report.x0 >= MIN_X0 and load > 0:
                 ratios.append(load / report.x0)
-        if len(ratios) >= LEAST_EVENTS:
+        if len(ratios) >= MIN_EVENTS:
             capacity = found.by_server[server] = float(np.median(ratios))
             found.residuals += [math.log(ratio / capacity) for ratio in ratios]
     return found
@@ -110,44 +110,49 @@
 def _fit_utilization(
     found: Fit, reports: Mapping[str, Sequence[_Report]], capacities: Mapping[str, float], began_us: int
 ) -> None:
-    """Add the fleet's utilization at the start, and the highest one."""
+    """Add the fleet's utilization at the start (the first quarter of the windows), and the highest one."""
     windows: dict[int, dict[str, float]] = defaultdict(dict)  # the last report of each server in each window
     for server in capacities:
         for at, x0 in reports[server]:
             windows[int((at - began_us) / SECOND / WINDOW_S)][server] = x0
     total = sum(capacities.values())
     by_window: dict[int, float] = {}
-    for number, told in windows.items():
-        capacity = sum(capacities[server] for server in told)
+    for number, x0_by_server in windows.items():
+        capacity = sum(capacities[server] for server in x0_by_server)
         if capacity > total / 2:
-            by_window[number] = sum(capacities[server] * x0 for server, x0 in told.items()) / capacity
-    used = np.array([by_window[number] for number in sorted(by_window)])
-    if not len(used):
+            by_window[number] = sum(capacities[server] * x0 for server, x0 in x0_by_server.items()) / capacity
+    utilizations = np.array([by_window[number] for number in sorted(by_window)])
+    if not len(utilizations):
         return
-    steady = len(used) < LEAST_WINDOWS or used.std() < STEADY * used.mean()
-    flaw = "" if steady else "not steady: a scenario has one"
-    first = float(used[: max(1, len(used) // 4)].mean())
-    # A day draws where the load is at its start, which varies: not how well its mean is known.
-    half = NORMAL_95 * float(used.std(ddof=1)) if len(used) > 1 else math.inf
+    steady = (
+        len(utilizations) < MIN_WINDOWS or utilizations.std() < MAX_STEADY_DEVIATION * utilizations.mean()
+    )
+    flaw = "" if steady else "not steady: a scenario has a single utilization"
+    first = float(utilizations[: max(1, len(utilizations) // 4)].mean())
+    # A day draws its utilization at the start from this interval, so the interval shows how much that varies,
+    # not how well the mean is known.
+    half_width = NORMAL_95 * float(utilizations.std(ddof=1)) if len(utilizations) > 1 else math.inf
     found.estimates.append(
-        Estimate("utilization", first, max(0.0, first - half), first + half, len(used), flaw)
+        Estimate(
+            "utilization", first, max(0.0, first - half_width), first + half_width, len(utilizations), flaw
+        )
     )
-    found.peak_load = float(used.max())
+    found.peak_load = float(utilizations.max())
 
 
 def _fit_kinds(
     found: Fit, names: Sequence[str], kinds: Mapping[str, int], capacities: Mapping[str, float]
 ) -> None:
-    """Add each kind's share and speeds, relative to the mean core of the fleet, which is the yardstick."""
+    """Add each kind's share and speeds; a speed is the capacity per core over the fleet's mean of it."""
     per_core: dict[int, list[float]] = defaultdict(list)
     counts = Counter(kinds.values())
     for server, capacity in capacities.items():
         kind = kinds.get(server, 0)
         per_core[kind].append(capacity / _cores(names, kind))
-    yardstick = float(np.mean([value for values in per_core.values() for value in values]))
+    mean_per_core = float(np.mean([value for values in per_core.values() for value in values]))
     for kind in sorted(counts):
         name = names[kind] if kind < len(names) else f"kind-{kind}"
-        speeds = np.array(per_core.get(kind, [])) / yardstick
+        speeds = np.array(per_core.get(kind, [])) / mean_per_core
         if len(speeds):
             found.estimates.append(mean_estimate(f"speed of {name}", speeds))
         else:
@@ -158,7 +163,7 @@
 
 
 def _cores(names: Sequence[str], kind: int) -> float:
-    """Cores by the site's way of naming its kinds (wide-4c)."""
+    """The number of cores by the name of a kind, which ends in it at this site (wide-4c)."""
     name = names[kind] if kind < len(names) else ""
-    told = re.search(r"-(\d+)c$", name)
-    return float(told[1]) if told else DEFAULT_CORES
+    match = re.search(r"-(\d+)c$", name)
+    return float(match[1]) if match else DEFAULT_CORES
--- a/stepflow/fleet/fitting/sessions.py
+++ b/stepflow/fleet/fitting/sessions.py
@@ -1,4 +1,4 @@
-"""The requests and sessions of a trace, typed, with the loads that were reported of each."""
+"""The requests and sessions of a trace as typed rows, each with its reported loads."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class ReportedLoad(NamedTuple):
-    """A load that a session had from a time on."""
+    """A reported load, and the time from which the session had it."""
 
     at_us: int
     load: float
@@ -20,7 +20,7 @@
 
 @dataclass(frozen=True)
 class Session:
-    """A row of the table `connections`, in Unix microseconds; `up_us` is None if it was never established."""
+    """A row of the table `connections`; times are in Unix microseconds, `up_us` None if never established."""
 
     at_us: int
     class_name: str
@@ -31,8 +31,8 @@
     end: str
     mean_load: float | None
     was_established: bool  # before the recording
-    is_migrated: bool  # its end was a migration
-    is_first: bool  # a client's first request, neither a retry nor a return
+    is_migrated: bool  # a migration ended it
+    is_first: bool  # neither a retry, nor a migrated session's return, nor older than the recording
     loads: list[ReportedLoad] = field(default_factory=list)
 
 
--- a/tests/fleet/test_fit.py
+++ b/tests/fleet/test_fit.py
@@ -1,4 +1,4 @@
-"""From traffic to a scenario: what a fit finds again of what made the trace, and what speaks against it."""
+"""Fitting a scenario to a trace: recovered parameters, intervals, poor fits and extrapolation."""
 
 from __future__ import annotations
 
@@ -61,7 +61,7 @@
     return Trace(folder / "trace")
 
 
-def test_a_fit_finds_again_what_made_the_trace(trace: Trace) -> None:
+def test_a_fit_recovers_the_parameters_that_made_the_trace(trace: Trace) -> None:
     found = fit(trace)
     for name, true in {
         "rate": 9.0,
@@ -82,19 +82,19 @@
     assert 0.02 < found.noise < 0.08 and found.servers == 6 and found.nodes == 2
 
 
-def test_the_scenario_of_a_fit_can_be_played_and_holds_what_is_left_open(trace: Trace) -> None:
-    told = read(scenario_text(fit(trace), "here"), "fitted")
-    assert told.classes["rare"].share == 0  # a class that is absent stays one
-    assert told.fitted.rate is not None and told.fitted.rate[0] < told.day.rate < told.fitted.rate[1]
-    rates = [told.sampled(seed).day.rate for seed in range(200)]
-    low, high = told.fitted.rate
+def test_a_fitted_scenario_can_be_played_and_draws_from_its_intervals(trace: Trace) -> None:
+    reread = read(scenario_text(fit(trace), "here"), "fitted")
+    assert reread.classes["rare"].share == 0  # a class without connections keeps a share of 0
+    assert reread.fitted.rate is not None and reread.fitted.rate[0] < reread.day.rate < reread.fitted.rate[1]
+    rates = [reread.sampled(seed).day.rate for seed in range(200)]
+    low, high = reread.fitted.rate
     assert 0.88 <= np.mean([low <= rate <= high for rate in rates]) <= 0.99
-    assert len({Simulation(told, seed).scenario.day.life for seed in (1, 2)}) == 2
-    assert told.extrapolations(told.seen.utilization) == []
+    assert len({Simulation(reread, seed).scenario.day.life for seed in (1, 2)}) == 2
+    assert reread.extrapolations(reread.seen.utilization) == []
 
 
-def test_a_question_beyond_the_trace_is_said_to_be_one() -> None:
-    """A trace of a calm day asked about overload."""
+def test_a_scenario_beyond_its_trace_is_reported_as_extrapolation() -> None:
+    """The trace is that of a calm day, the scenario asks about overload."""
     seen = Seen(rate=12.0, utilization=0.5)
     calm = Scenario(Day(rate=10), seen=seen)
     assert calm.extrapolations(0.52) == [] and Scenario(Day(rate=99)).extrapolations(9.0) == []
@@ -103,7 +103,7 @@
     assert "22 connections a second" in burst and "0.8 of the fleet's capacity" in full
 
 
-def test_compare_passes_the_warning_on() -> None:
+def test_a_comparison_reports_extrapolation_with_the_scenario_s_name() -> None:
     side = Side("trace {\n utilization 0.5\n}\n", "f", "present")
     rows = [(1, Run({"peak_load": 0.5}), Run({"peak_load": 0.7}))]
     assert Comparison((side, side), 0.95, 2, rows, 2).extrapolations() == [
@@ -111,19 +111,19 @@
     ]
 
 
-def test_lives_are_estimated_from_what_is_censored_too() -> None:
-    """Half of the connections still stand at the end: whole lives alone would be far too short."""
-    rng, hits, naive = np.random.default_rng(5), 0, []
+def test_the_estimate_of_lives_includes_censored_sessions() -> None:
+    """Half of the sessions are still established at the end: the complete lives alone are far too short."""
+    rng, hits, complete_means = np.random.default_rng(5), 0, []
     for _ in range(200):
         lives, watched = rng.exponential(50.0, 150), rng.uniform(0, 60, 150)
         ended = lives <= watched
         one = exponential_mean("life", np.minimum(lives, watched), ended, np.full(150, True))
         hits += one.low <= 50 <= one.high
-        naive.append(lives[ended].mean())
-    assert 0.9 <= hits / 200 <= 0.99 and np.mean(naive) < 30
+        complete_means.append(lives[ended].mean())
+    assert 0.9 <= hits / 200 <= 0.99 and np.mean(complete_means) < 30
 
 
-def test_lives_that_are_not_exponential_are_called_a_poor_fit() -> None:
+def test_lives_that_are_not_exponential_are_flagged_as_a_poor_fit() -> None:
     rng = np.random.default_rng(5)
     fresh, sound = np.full(400, True), 0
     for _ in range(100):
@@ -133,32 +133,32 @@
     assert "not exponential" in exponential_mean("life", rng.uniform(9, 11, 400), fresh, fresh).flaw
 
 
-def test_no_end_seen_leaves_a_life_open_above() -> None:
+def test_a_life_without_observed_ends_has_no_upper_bound() -> None:
     one = exponential_mean("life", np.full(5, 10.0), np.full(5, False), np.full(5, True))
     assert one.events == 0 and not one.known and one.low > 0
 
 
-def test_a_rate_of_nothing_seen_has_an_upper_end() -> None:
+def test_a_rate_without_events_has_an_upper_bound() -> None:
     assert poisson_rate("rate", 0, 30.0).low == 0 and poisson_rate("rate", 0, 30.0).high == pytest.approx(
         0.123, abs=0.001
     )
 
 
-def test_a_trace_with_little_in_it_is_fitted_as_far_as_it_goes(tmp_path: Path) -> None:
+def test_a_trace_of_one_session_is_fitted_in_part_and_an_empty_one_is_an_error(tmp_path: Path) -> None:
     script = Script()
     script.open(1, 100)
     script.up(1, 120)
     script.end(1, 4000)
     found = fit(script.save(tmp_path))
     assert any("loads of" in one for one in found.absent) and any("speeds" in one for one in found.absent)
-    told = read(scenario_text(found, "here"), "f")
-    assert told.fitted == Fitted(rate=told.fitted.rate, life=told.fitted.life)
+    reread = read(scenario_text(found, "here"), "f")
+    assert reread.fitted == Fitted(rate=reread.fitted.rate, life=reread.fitted.life)
     (tmp_path / "none").mkdir()
-    with pytest.raises(FitError, match="no connection in it"):
+    with pytest.raises(FitError, match="contains no connection"):
         fit(Script().save(tmp_path / "none"))
 
 
-def test_from_synth_to_compare_by_the_command_line(tmp_path: Path) -> None:
+def test_the_commands_from_synth_to_compare_work_in_sequence(tmp_path: Path) -> None:
     day, journals, made = tmp_path / "day.conf", tmp_path / "journals", str(tmp_path / "trace")
     day.write_text("day {\n seconds 15\n servers 4\n nodes 1\n rate 6\n life 10\n}\n")
     assert command("fleet", "synth", str(day), "-o", str(journals), "--seed", "2").returncode == 0
@@ -166,10 +166,10 @@
     assert again.returncode == 2 and "is there already" in again.stderr
     assert command("fleet", "convert", str(journals / "n0"), "-o", made).returncode == 0
     out = str(tmp_path / "fitted.conf")
-    told = command("fleet", "fit", made, "-o", out)
+    fit_run = command("fleet", "fit", made, "-o", out)
     assert (
-        told.returncode == 0
-        and "rate" in told.stdout
+        fit_run.returncode == 0
+        and "rate" in fit_run.stdout
         and command("fleet", "fit", made, "-o", out).returncode == 2
     )
     names = {one["name"] for one in json.loads(command("fleet", "fit", made, "--json").stdout)["estimates"]}
