--- a/stepflow/fleet/compare.py
+++ b/stepflow/fleet/compare.py
@@ -62,8 +62,8 @@
         """Run once. Two equal sides differ only in the random stream of their policies."""
         scenario = scenarios.read(self.scenario, self.file)
         measurements = Simulation(scenario, seed, policy_factory(self.policy), policy_stream).run()
-        found = score(scenario, measurements)
-        return Run({name: float(getattr(found, name)) for name in FIGURES}, series(scenario, measurements))
+        measured = score(scenario, measurements)
+        return Run({name: float(getattr(measured, name)) for name in FIGURES}, series(scenario, measurements))
 
 
 @dataclass(frozen=True)
@@ -108,7 +108,10 @@
 
 @dataclass
 class Comparison:
-    """The complete pairs of runs, in the order of their seeds; `wanted` is how many were planned."""
+    """The complete pairs of runs, in the order of their seeds; `wanted` is how many were planned.
+
+    `first` is the number of pairs of the first stage, whose variance sets the intervals.
+    """
 
     sides: tuple[Side, Side]
     level: float
@@ -123,10 +126,10 @@
     def extrapolations(self) -> list[str]:
         """What was simulated beyond the range of the trace behind a scenario: such a result is a guess."""
         texts: dict[str, None] = {}
-        for number, one in enumerate(self.sides):
-            scenario = scenarios.read(one.scenario, one.file)
-            peak = max(row[1:][number].figures["peak_load"] for row in self.rows)
-            texts |= dict.fromkeys(f"{one.file}: {text}" for text in scenario.extrapolations(peak))
+        for index, side in enumerate(self.sides):
+            scenario = scenarios.read(side.scenario, side.file)
+            peak = max(row[1:][index].figures["peak_load"] for row in self.rows)
+            texts |= dict.fromkeys(f"{side.file}: {text}" for text in scenario.extrapolations(peak))
         return list(texts)
 
     def difference(self, figure: str) -> Interval:
@@ -165,28 +168,28 @@
     After an interrupt, returns the complete pairs if there are at least two, and else raises
     KeyboardInterrupt. `on_progress` is called with the numbers of complete and of wanted pairs.
     """
-    for one in sides:
-        scenarios.read(one.scenario, one.file)
-        policy_factory(one.policy)  # a bad name raises here, before any process starts
-    found = Comparison(sides, plan.level, plan.runs, [], plan.runs)
+    for side in sides:
+        scenarios.read(side.scenario, side.file)
+        policy_factory(side.policy)  # a bad name raises here, before any process starts
+    result = Comparison(sides, plan.level, plan.runs, [], plan.runs)
     with ProcessPoolExecutor(jobs or os.cpu_count()) as pool:
         try:
             for row in _run_pairs(pool, sides, range(plan.seed, plan.seed + plan.runs)):
-                found.rows.append(row)
-                on_progress(len(found.rows), found.wanted)
-            found.rows.sort(key=lambda row: row[0])
+                result.rows.append(row)
+                on_progress(len(result.rows), result.wanted)
+            result.rows.sort(key=lambda row: row[0])
             if plan.width is not None:
-                differences = [row[2].figures["net"] - row[1].figures["net"] for row in found.rows]
-                found.wanted = min(MAX_RUNS, runs_for(differences, plan.width, plan.level))
-                for row in _run_pairs(pool, sides, range(plan.seed + plan.runs, plan.seed + found.wanted)):
-                    found.rows.append(row)
-                    on_progress(len(found.rows), found.wanted)
+                differences = [row[2].figures["net"] - row[1].figures["net"] for row in result.rows]
+                result.wanted = min(MAX_RUNS, runs_for(differences, plan.width, plan.level))
+                for row in _run_pairs(pool, sides, range(plan.seed + plan.runs, plan.seed + result.wanted)):
+                    result.rows.append(row)
+                    on_progress(len(result.rows), result.wanted)
         except KeyboardInterrupt:
             pool.shutdown(wait=False, cancel_futures=True)
-            if len(found.rows) < MIN_RUNS:
+            if len(result.rows) < MIN_RUNS:
                 raise
-    found.rows.sort(key=lambda row: row[0])
-    return found
+    result.rows.sort(key=lambda row: row[0])
+    return result
 
 
 def _run_pairs(pool: ProcessPoolExecutor, sides: tuple[Side, Side], seeds: range) -> Iterator[Any]:
@@ -195,44 +198,44 @@
         yield future.result()
 
 
-def save(found: Comparison, folder: str | Path) -> None:
+def save(result: Comparison, folder: str | Path) -> None:
     """Write the runs (Parquet) and a manifest with all that is needed to repeat them."""
     target = Path(folder)
     target.mkdir(parents=True, exist_ok=True)
     table = pa.Table.from_pylist(
         [
             {"side": name, "seed": seed, **run.figures}
-            for seed, *sides in found.rows
+            for seed, *sides in result.rows
             for name, run in zip("AB", sides, strict=True)
         ]
     )
     over_time = pa.Table.from_pylist(
         [
-            {"side": name, "seed": seed, "name": one, "values": values}
-            for seed, *sides in found.rows
+            {"side": name, "seed": seed, "name": series_name, "values": values}
+            for seed, *sides in result.rows
             for name, run in zip("AB", sides, strict=True)
-            for one, values in run.series.items()
+            for series_name, values in run.series.items()
         ],
         SERIES,
     )
-    digest = sha256(repr([(one.scenario, one.policy) for one in found.sides]).encode()).hexdigest()[:16]
-    name = f"compare-{digest}-{found.rows[0][0] if found.rows else 0}"
+    digest = sha256(repr([(side.scenario, side.policy) for side in result.sides]).encode()).hexdigest()[:16]
+    name = f"compare-{digest}-{result.rows[0][0] if result.rows else 0}"
     pq.write_table(table, target / f"{name}.parquet")
     pq.write_table(over_time, target / f"{name}-series.parquet")
     manifest = {
         "version": __version__,
-        "level": found.level,
-        "first": found.first,
-        "seeds": [row[0] for row in found.rows],
-        "wanted": found.wanted,
+        "level": result.level,
+        "first": result.first,
+        "seeds": [row[0] for row in result.rows],
+        "wanted": result.wanted,
         "sides": [
             {
-                "policy": one.policy,
-                "file": one.file,
-                "scenario": one.scenario,
-                "digest": sha256(one.scenario.encode()).hexdigest(),
+                "policy": side.policy,
+                "file": side.file,
+                "scenario": side.scenario,
+                "digest": sha256(side.scenario.encode()).hexdigest(),
             }
-            for one in found.sides
+            for side in result.sides
         ],
     }
     (target / f"{name}.json").write_bytes(msgspec.json.format(msgspec.json.encode(manifest)))
--- a/stepflow/fleet/fitting/__init__.py
+++ b/stepflow/fleet/fitting/__init__.py
@@ -28,9 +28,9 @@
     seconds = (manifest.to_us - manifest.from_us) / SECOND
     if seconds <= 0 or not sessions:
         raise FitError(f"{trace.folder}: contains no connection")
-    found = Fit(nodes=len({source.node for source in manifest.sources}))
-    fit_arrivals(found, sessions, seconds, manifest.from_us)
-    fit_classes(found, manifest.classes, sessions, manifest.from_us)
-    found.groups = max(1, len({session.group for session in sessions if session.group}))
-    fit_servers(found, trace, sessions, group_load)
-    return found
+    result = Fit(nodes=len({source.node for source in manifest.sources}))
+    fit_arrivals(result, sessions, seconds, manifest.from_us)
+    fit_classes(result, manifest.classes, sessions, manifest.from_us)
+    result.groups = max(1, len({session.group for session in sessions if session.group}))
+    fit_servers(result, trace, sessions, group_load)
+    return result
--- a/stepflow/fleet/fitting/arrivals.py
+++ b/stepflow/fleet/fitting/arrivals.py
@@ -14,7 +14,7 @@
 WINDOW_S = 5.0  # the highest rate is that of a window of this length
 
 
-def fit_arrivals(found: Fit, sessions: Sequence[Session], seconds: float, began_us: int) -> None:
+def fit_arrivals(result: Fit, sessions: Sequence[Session], seconds: float, began_us: int) -> None:
     """Add the rate of first requests, and the highest rate over WINDOW_S."""
     first_s = np.array([(session.at_us - began_us) / SECOND for session in sessions if session.is_first])
     gaps = np.diff(np.sort(first_s))
@@ -24,6 +24,6 @@
         relative_deviation = float(np.std(gaps) / gaps.mean())
         if abs(relative_deviation - 1) > MAX_STANDARD_ERRORS / math.sqrt(len(gaps)):
             flaw = f"not Poisson: the gaps' standard deviation is {relative_deviation:.2f} of their mean"
-    found.estimates.append(poisson_rate("rate", len(first_s), seconds, flaw))
+    result.estimates.append(poisson_rate("rate", len(first_s), seconds, flaw))
     counts = np.histogram(first_s, bins=max(1, int(seconds / WINDOW_S)))[0]
-    found.peak_rate = float(counts.max()) / (seconds / len(counts)) if len(first_s) else 0.0
+    result.peak_rate = float(counts.max()) / (seconds / len(counts)) if len(first_s) else 0.0
--- a/stepflow/fleet/fitting/classes.py
+++ b/stepflow/fleet/fitting/classes.py
@@ -36,7 +36,7 @@
 
 
 def fit_classes(
-    found: Fit, class_settings: Sequence[Mapping[str, Any]], sessions: Sequence[Session], began_us: int
+    result: Fit, class_settings: Sequence[Mapping[str, Any]], sessions: Sequence[Session], began_us: int
 ) -> None:
     """Add each class's share, life and loads, the mean life of the day, and how long a load holds.
 
@@ -47,47 +47,53 @@
     loads: dict[str, _Loads] = {}
     established: list[Session] = []
     for name in names:
-        of_class = [one for one in sessions if one.class_name == name and one.up_us is not None]
+        of_class = [
+            session for session in sessions if session.class_name == name and session.up_us is not None
+        ]
         if not of_class:
-            found.absent.append(f"class {name}")
+            result.absent.append(f"class {name}")
             continue
         established += of_class
         lives[name] = _life_of(name, of_class, began_us)
-        loads[name] = _fit_loads(found, name, of_class)
-        found.estimates.append(lives[name])
+        loads[name] = _fit_loads(result, name, of_class)
+        result.estimates.append(lives[name])
     first = Counter(session.class_name for session in sessions if session.is_first)
     total = sum(first.values()) or 1
     shares = {name: first[name] / total for name in lives}
-    day_life = _fit_day_life(found, lives, shares, len(sessions))
-    _add_classes(found, class_settings, shares, lives, loads, day_life)
-    found.absent += ["set-up work", "message aims", "how late the list and the reports are"]
-    _fit_load_spans(found, established)
+    day_life = _fit_day_life(result, lives, shares, len(sessions))
+    _add_classes(result, class_settings, shares, lives, loads, day_life)
+    result.absent += ["set-up work", "message aims", "delays of the list and of the reports"]
+    _fit_load_spans(result, established)
 
 
 def _life_of(name: str, sessions: Sequence[Session], began_us: int) -> Estimate:
-    spans = [(one.end_us - max(one.up_us or 0, began_us)) / SECOND for one in sessions]
-    ended = [one.end in OWN_ENDS and not one.is_migrated for one in sessions]
-    fresh = [not one.was_established for one in sessions]
-    return exponential_mean(f"life of {name}, s", np.array(spans), np.array(ended), np.array(fresh))
+    spans = [(session.end_us - max(session.up_us or 0, began_us)) / SECOND for session in sessions]
+    ended = [session.end in OWN_ENDS and not session.is_migrated for session in sessions]
+    from_start = [not session.was_established for session in sessions]
+    return exponential_mean(f"life of {name}, s", np.array(spans), np.array(ended), np.array(from_start))
 
 
 def _fit_day_life(
-    found: Fit, lives: Mapping[str, Estimate], shares: Mapping[str, float], count: int
+    result: Fit, lives: Mapping[str, Estimate], shares: Mapping[str, float], count: int
 ) -> float:
     """Add the mean life of all classes, weighted by their shares of first requests; returns it in seconds."""
-    known = {name: one.value for name, one in lives.items() if math.isfinite(one.value)}
+    known = {name: estimate.value for name, estimate in lives.items() if math.isfinite(estimate.value)}
     weight = sum(shares[name] for name in known) or 1.0
     value = sum(shares[name] * life for name, life in known.items()) / weight if known else Day.life
-    halves = [(one.high - one.low) / 2 * shares[name] / weight for name, one in lives.items() if one.known]
-    half_width = math.sqrt(sum(one**2 for one in halves))
-    found.estimates.append(
+    halves = [
+        (estimate.high - estimate.low) / 2 * shares[name] / weight
+        for name, estimate in lives.items()
+        if estimate.known
+    ]
+    half_width = math.sqrt(sum(half**2 for half in halves))
+    result.estimates.append(
         Estimate("life", value, max(value / 4, value - half_width), value + half_width, count)
     )
     return value
 
 
 def _add_classes(
-    found: Fit,
+    result: Fit,
     class_settings: Sequence[Mapping[str, Any]],
     shares: Mapping[str, float],
     lives: Mapping[str, Estimate],
@@ -105,12 +111,12 @@
             "worth": settings["worth"],
         }
         if name not in lives:
-            found.classes[name] = Class(share=0.0, **from_settings)
+            result.classes[name] = Class(share=0.0, **from_settings)
             continue
         life = lives[name].value if math.isfinite(lives[name].value) else day_life
         relative = life / day_life if day_life else 1.0
         load = loads[name].mean / mean_load if math.isfinite(loads[name].mean) else 1.0
-        found.classes[name] = Class(
+        result.classes[name] = Class(
             share=shares[name],
             load=(load, load),
             life=(relative, relative),
@@ -120,19 +126,19 @@
         )
 
 
-def _fit_loads(found: Fit, name: str, sessions: Sequence[Session]) -> _Loads:
+def _fit_loads(result: Fit, name: str, sessions: Sequence[Session]) -> _Loads:
     """Add the mean load of a class, and the deviations of its logarithm between and within sessions."""
     series = [session.loads for session in sessions if session.loads]
-    firsts = np.array([one[0].load for one in series])
+    firsts = np.array([loads[0].load for loads in series])
     if len(firsts) < MIN_EVENTS:
-        found.absent.append(f"loads of {name}")
+        result.absent.append(f"loads of {name}")
         return _Loads(float(firsts.mean()) if len(firsts) else math.nan)
-    logs = [np.log([max(reported.load, MIN_LOAD) for reported in one]) for one in series]
-    changes = np.concatenate([np.diff(one) for one in logs])
+    logs = [np.log([max(reported.load, MIN_LOAD) for reported in loads]) for loads in series]
+    changes = np.concatenate([np.diff(series_logs) for series_logs in logs])
     within = float(np.sqrt(np.mean(changes**2) / 2)) if len(changes) else 0.0
-    total = float(np.var([one[0] for one in logs], ddof=1))
+    total = float(np.var([series_logs[0] for series_logs in logs], ddof=1))
     between = math.sqrt(max(0.0, total - within**2))
-    found.estimates += [
+    result.estimates += [
         mean_estimate(f"load of {name}", firsts),
         deviation(f"load sigma of {name}", between, len(logs)),
         deviation(f"swing sigma of {name}", within, max(2, len(changes) // 2)),
@@ -140,7 +146,7 @@
     return _Loads(float(firsts.mean()), between, within)
 
 
-def _fit_load_spans(found: Fit, sessions: Sequence[Session]) -> None:
+def _fit_load_spans(result: Fit, sessions: Sequence[Session]) -> None:
     """Add how long a load holds; the last load of a session is censored by the session's end."""
     spans: list[float] = []
     ended: list[bool] = []
@@ -152,4 +158,4 @@
             ended += [True] * (len(times) - 1) + [False]
     if spans:
         uncensored = np.array(ended)
-        found.estimates.append(exponential_mean("a load holds, s", np.array(spans), uncensored, uncensored))
+        result.estimates.append(exponential_mean("a load holds, s", np.array(spans), uncensored, uncensored))
--- a/stepflow/fleet/fitting/demand.py
+++ b/stepflow/fleet/fitting/demand.py
@@ -48,7 +48,7 @@
     for session in sessions:
         if session.up_us is not None:
             changes[session.server] += _changes_of(session, session.up_us, mean_load)
-    return {server: _steps(found, group_load) for server, found in changes.items()}
+    return {server: _steps(of_server, group_load) for server, of_server in changes.items()}
 
 
 def _changes_of(session: Session, up_us: int, mean_load: float) -> list[_Change]:
@@ -66,7 +66,7 @@
 
 def _steps(changes: list[_Change], group_load: float) -> Demand:
     # At the same time, beginnings sort before ends, so that a group that stays is not dropped in between.
-    changes.sort(key=lambda one: (one.at_us, -one.sessions))
+    changes.sort(key=lambda change: (change.at_us, -change.sessions))
     sessions_by_group: Counter[int] = Counter()
     levels, total, groups = [], 0.0, 0
     for change in changes:
@@ -76,6 +76,6 @@
             sessions_by_group[change.group] += change.sessions
             groups += (sessions_by_group[change.group] > 0) - before
         levels.append(total + group_load * groups)
-    at_us, level = np.array([one.at_us for one in changes], dtype=np.int64), np.array(levels)
+    at_us, level = np.array([change.at_us for change in changes], dtype=np.int64), np.array(levels)
     integral = np.concatenate([[0.0], np.cumsum(level[:-1] * np.diff(at_us))])
     return Demand(at_us, level, integral)
--- a/stepflow/fleet/fitting/estimators.py
+++ b/stepflow/fleet/fitting/estimators.py
@@ -61,7 +61,7 @@
 
 
 def exponential_mean(
-    name: str, spans: Floats, ended: NDArray[np.bool_], fresh: NDArray[np.bool_]
+    name: str, spans: Floats, ended: NDArray[np.bool_], from_start: NDArray[np.bool_]
 ) -> Estimate:
     """The mean of exponential lives: exposure over events.
 
@@ -69,14 +69,16 @@
         name: of the estimate.
         spans: how long each life was watched, in seconds.
         ended: which lives ended while they were watched.
-        fresh: which lives were watched from their beginning; only their ages are known, to test the fit.
+        from_start: which lives were watched from their beginning; only their ages are known, to test the fit.
     """
     events, exposure = int(ended.sum()), float(spans.sum())
     if not events:
-        return Estimate(name, math.nan, exposure / 3, math.inf, 0, "no end was seen")
+        return Estimate(name, math.nan, exposure / 3, math.inf, 0, "no end was observed")
     low = 2 * exposure / float(stats.chi2.ppf(HIGH, 2 * events + 2))
     high = 2 * exposure / float(stats.chi2.ppf(LOW, 2 * events))
-    return Estimate(name, exposure / events, low, high, events, _hazard_flaw(spans[fresh], ended[fresh]))
+    return Estimate(
+        name, exposure / events, low, high, events, _hazard_flaw(spans[from_start], ended[from_start])
+    )
 
 
 def _hazard_flaw(spans: Floats, ended: NDArray[np.bool_]) -> str:
--- a/stepflow/fleet/fitting/result.py
+++ b/stepflow/fleet/fitting/result.py
@@ -44,4 +44,4 @@
 
     def of(self, name: str) -> Estimate:
         """The estimate of this name; raises StopIteration if there is none."""
-        return next(one for one in self.estimates if one.name == name)
+        return next(estimate for estimate in self.estimates if estimate.name == name)
--- a/stepflow/fleet/fitting/scenario_text.py
+++ b/stepflow/fleet/fitting/scenario_text.py
@@ -9,38 +9,40 @@
 from stepflow.fleet.scenario import Class
 
 
-def scenario_text(found: Fit, source: str) -> str:
+def scenario_text(result: Fit, source: str) -> str:
     """The text of a scenario file; comments at its head name the source, what is absent, and poor fits."""
-    head = [f"# Fitted to {source}", "# Not in the trace, so by default: " + ", ".join(found.absent)]
-    head += [f"# Poor fit: {one.name}: {one.flaw}" for one in found.estimates if one.flaw]
-    blocks = _day_blocks(found)
-    if found.peak_rate:
-        peaks = [f"    rate {found.peak_rate:.4g}", f"    utilization {found.peak_load:.4g}"]
+    head = [f"# Fitted to {source}", "# Not in the trace, so by default: " + ", ".join(result.absent)]
+    head += [
+        f"# Poor fit: {estimate.name}: {estimate.flaw}" for estimate in result.estimates if estimate.flaw
+    ]
+    blocks = _day_blocks(result)
+    if result.peak_rate:
+        peaks = [f"    rate {result.peak_rate:.4g}", f"    utilization {result.peak_load:.4g}"]
         blocks.append(_block("trace", peaks))
-    for name, kind in found.kinds.items():
+    for name, kind in result.kinds.items():
         speeds = f"    speed {kind.low_speed:.4g}..{kind.high_speed:.4g}"
         lines = [f"    share {kind.share:.4g}", f"    cores {kind.cores:g}", speeds]
         blocks.append(_block(f"kind {name}", lines))
-    blocks += [_class_block(name, cls) for name, cls in found.classes.items()]
+    blocks += [_class_block(name, cls) for name, cls in result.classes.items()]
     return "\n".join([*head, *blocks]) + "\n"
 
 
-def _day_blocks(found: Fit) -> list[str]:
+def _day_blocks(result: Fit) -> list[str]:
     """The blocks `day`, with the events of each estimate, and `fitted`, with the bounded intervals."""
     day = [
-        f"    servers {found.servers}",
-        f"    nodes {found.nodes}",
-        f"    groups {found.groups}",
-        f"    report-noise {found.noise:.4g}",
+        f"    servers {result.servers}",
+        f"    nodes {result.nodes}",
+        f"    groups {result.groups}",
+        f"    report-noise {result.noise:.4g}",
     ]
     intervals = []
     for name in ("rate", "life", "utilization"):
-        one = next((one for one in found.estimates if one.name == name), None)
-        if one is None or not math.isfinite(one.value):
+        estimate = next((estimate for estimate in result.estimates if estimate.name == name), None)
+        if estimate is None or not math.isfinite(estimate.value):
             continue
-        day.append(f"    {name} {one.value:.4g}    # {one.events} events")
-        if one.known:
-            intervals.append(f"    {name} {max(0.0, one.low):.4g}..{one.high:.4g}")
+        day.append(f"    {name} {estimate.value:.4g}    # {estimate.events} events")
+        if estimate.known:
+            intervals.append(f"    {name} {max(0.0, estimate.low):.4g}..{estimate.high:.4g}")
     return [_block("day", day), _block("fitted", intervals)]
 
 
--- a/stepflow/fleet/fitting/servers.py
+++ b/stepflow/fleet/fitting/servers.py
@@ -48,26 +48,26 @@
     residuals: list[float] = field(default_factory=list)
 
 
-def fit_servers(found: Fit, trace: Trace, sessions: Sequence[Session], group_load: float) -> None:
+def fit_servers(result: Fit, trace: Trace, sessions: Sequence[Session], group_load: float) -> None:
     """Add all that the endpoint lists and load reports of a trace show."""
     kinds, availability = _listed(trace)
-    found.servers = sum(1 for name in kinds if availability[name] != Availability.GONE) or len(kinds)
+    result.servers = sum(1 for name in kinds if availability[name] != Availability.GONE) or len(kinds)
     if LOAD_FIELD not in trace.manifest.fields:
-        found.absent.append("speeds: no x0 in the reports")
+        result.absent.append("speeds: no x0 in the reports")
         return
     reports = _reports_of(trace)
     firsts = [session.loads[0].load for session in sessions if session.loads]
     mean_load = float(np.mean(firsts)) if firsts else 1.0
     capacities = _capacities(reports, demand_by_server(sessions, mean_load, group_load))
     if not capacities.by_server:
-        found.absent.append("speeds: too few reports of servers with known loads")
+        result.absent.append("speeds: too few reports of servers with known loads")
         return
-    _fit_utilization(found, reports, capacities.by_server, trace.manifest.from_us)
+    _fit_utilization(result, reports, capacities.by_server, trace.manifest.from_us)
     if len(capacities.residuals) >= MIN_EVENTS:
         # By the median of the deviations, since loads change while a report is on its way.
-        found.noise = float(MAD_TO_SIGMA * np.median(np.abs(capacities.residuals)))
-        found.estimates.append(deviation("report noise", found.noise, len(capacities.residuals)))
-    _fit_kinds(found, trace.manifest.kinds, kinds, capacities.by_server)
+        result.noise = float(MAD_TO_SIGMA * np.median(np.abs(capacities.residuals)))
+        result.estimates.append(deviation("report noise", result.noise, len(capacities.residuals)))
+    _fit_kinds(result, trace.manifest.kinds, kinds, capacities.by_server)
 
 
 def _listed(trace: Trace) -> tuple[dict[str, int], dict[str, int]]:
@@ -90,7 +90,7 @@
 
 def _capacities(reports: Mapping[str, Sequence[_Report]], demands: Mapping[str, Demand]) -> _Capacities:
     """The capacities of the servers with at least MIN_EVENTS reports under load."""
-    found = _Capacities()
+    capacities = _Capacities()
     for server, of_server in reports.items():
         demand = demands.get(server)
         if demand is None:
@@ -102,13 +102,13 @@
             if report.x0 >= MIN_X0 and load > 0:
                 ratios.append(load / report.x0)
         if len(ratios) >= MIN_EVENTS:
-            capacity = found.by_server[server] = float(np.median(ratios))
-            found.residuals += [math.log(ratio / capacity) for ratio in ratios]
-    return found
+            capacity = capacities.by_server[server] = float(np.median(ratios))
+            capacities.residuals += [math.log(ratio / capacity) for ratio in ratios]
+    return capacities
 
 
 def _fit_utilization(
-    found: Fit, reports: Mapping[str, Sequence[_Report]], capacities: Mapping[str, float], began_us: int
+    result: Fit, reports: Mapping[str, Sequence[_Report]], capacities: Mapping[str, float], began_us: int
 ) -> None:
     """Add the fleet's utilization at the start (the first quarter of the windows), and the highest one."""
     windows: dict[int, dict[str, float]] = defaultdict(dict)  # the last report of each server in each window
@@ -132,16 +132,16 @@
     # A day draws its utilization at the start from this interval, so the interval shows how much that varies,
     # not how well the mean is known.
     half_width = NORMAL_95 * float(utilizations.std(ddof=1)) if len(utilizations) > 1 else math.inf
-    found.estimates.append(
+    result.estimates.append(
         Estimate(
             "utilization", first, max(0.0, first - half_width), first + half_width, len(utilizations), flaw
         )
     )
-    found.peak_load = float(utilizations.max())
+    result.peak_load = float(utilizations.max())
 
 
 def _fit_kinds(
-    found: Fit, names: Sequence[str], kinds: Mapping[str, int], capacities: Mapping[str, float]
+    result: Fit, names: Sequence[str], kinds: Mapping[str, int], capacities: Mapping[str, float]
 ) -> None:
     """Add each kind's share and speeds; a speed is the capacity per core over the fleet's mean of it."""
     per_core: dict[int, list[float]] = defaultdict(list)
@@ -154,12 +154,12 @@
         name = names[kind] if kind < len(names) else f"kind-{kind}"
         speeds = np.array(per_core.get(kind, [])) / mean_per_core
         if len(speeds):
-            found.estimates.append(mean_estimate(f"speed of {name}", speeds))
+            result.estimates.append(mean_estimate(f"speed of {name}", speeds))
         else:
-            found.absent.append(f"speed of {name}")
+            result.absent.append(f"speed of {name}")
             speeds = np.array([1.0])
         share = counts[kind] / sum(counts.values())
-        found.kinds[name] = KindFit(share, _cores(names, kind), float(speeds.min()), float(speeds.max()))
+        result.kinds[name] = KindFit(share, _cores(names, kind), float(speeds.min()), float(speeds.max()))
 
 
 def _cores(names: Sequence[str], kind: int) -> float:
--- a/stepflow/fleet/report.py
+++ b/stepflow/fleet/report.py
@@ -83,19 +83,19 @@
             manifest = msgspec.json.decode(path.read_bytes(), type=_Manifest)
             runs = pq.read_table(path.with_suffix(".parquet")).to_pylist()
             series_path = path.with_name(f"{path.stem}-series.parquet")
-            told = pq.read_table(series_path).to_pylist() if series_path.exists() else []
+            series_rows = pq.read_table(series_path).to_pylist() if series_path.exists() else []
         except msgspec.DecodeError as error:
             raise ReportError(f"{path}: {error}") from None
         except (OSError, pa.ArrowInvalid) as error:
             raise ReportError(f"{path}: its runs can't be read: {str(error).splitlines()[0]}") from None
-        found.append(_stored(path, manifest, runs, told))
+        found.append(_stored(path, manifest, runs, series_rows))
     if not found:
         raise ReportError(f"{folder}: contains no comparison")
     return found
 
 
 def _stored(
-    path: Path, manifest: _Manifest, runs: Sequence[dict[str, Any]], told: Sequence[dict[str, Any]]
+    path: Path, manifest: _Manifest, runs: Sequence[dict[str, Any]], series_rows: Sequence[dict[str, Any]]
 ) -> StoredComparison:
     figures: dict[str, dict[str, list[float]]] = {"A": {}, "B": {}}
     series: dict[str, dict[str, list[list[float]]]] = {"A": {}, "B": {}}
@@ -103,7 +103,7 @@
         for row in sorted(runs, key=lambda row: row["seed"]):
             for figure in FIGURES:
                 figures[row["side"]].setdefault(figure, []).append(row[figure])
-        for row in sorted(told, key=lambda row: row["seed"]):
+        for row in sorted(series_rows, key=lambda row: row["seed"]):
             series[row["side"]].setdefault(row["name"], []).append(row["values"])
         if {len(values) for side in figures.values() for values in side.values()} != {len(manifest.seeds)}:
             raise ReportError(f"{path}: the number of runs differs from the number of seeds")
@@ -137,9 +137,9 @@
     figure, axes = _axes("B less A, in points of 100", 3.0)
     axes.axvline(0, color="#999", linewidth=0.8)
     for y, name in enumerate(reversed(PARTS)):
-        one = comparison.difference(name)
-        low, mean, high = (100 * value for value in (one.low, one.mean, one.high))
-        colour = "#999" if one.includes_zero else COLOURS["B"] if name == "net" else "#333"
+        delta = comparison.difference(name)
+        low, mean, high = (100 * value for value in (delta.low, delta.mean, delta.high))
+        colour = "#999" if delta.includes_zero else COLOURS["B"] if name == "net" else "#333"
         axes.plot([low, high], [y, y], color=colour, linewidth=2)
         axes.plot([mean], [y], "o", color=colour, markersize=4)
     axes.set_yticks(range(len(PARTS)), [name.replace("_", " ") for name in reversed(PARTS)])
@@ -218,20 +218,20 @@
 
 
 def _verdict(comparison: StoredComparison) -> str:
-    one = comparison.difference("net")
-    if one.includes_zero:
-        span = f"{100 * one.low:+.2f} to {100 * one.high:+.2f}"
+    delta = comparison.difference("net")
+    if delta.includes_zero:
+        span = f"{100 * delta.low:+.2f} to {100 * delta.high:+.2f}"
         return f"No difference seen: the interval is {span} points of 100."
-    better = "B" if one.mean > 0 else "A"
-    low, high = sorted((abs(100 * one.low), abs(100 * one.high)))
+    better = "B" if delta.mean > 0 else "A"
+    low, high = sorted((abs(100 * delta.low), abs(100 * delta.high)))
     return f"{better} serves better, by {low:.2f} to {high:.2f} points of 100."
 
 
 def _warnings(comparison: StoredComparison) -> list[str]:
     found = []
     for name, side in zip("AB", comparison.manifest.sides, strict=True):
-        told = scenarios.read(side.scenario, side.file)
-        for text in told.extrapolations(max(comparison.figures[name]["peak_load"])):
+        scenario = scenarios.read(side.scenario, side.file)
+        for text in scenario.extrapolations(max(comparison.figures[name]["peak_load"])):
             found.append(f"{name} extrapolates: {text}.")
     if len(comparison.manifest.seeds) < comparison.manifest.wanted:
         found.append(
@@ -261,14 +261,14 @@
     )
     shown = [
         {
-            "name": one.name,
-            "manifest": one.manifest,
-            "verdict": _verdict(one),
-            "warnings": _warnings(one),
-            "rows": _rows(one),
-            "charts": [Markup(chart) for chart in _charts(one)],
+            "name": comparison.name,
+            "manifest": comparison.manifest,
+            "verdict": _verdict(comparison),
+            "warnings": _warnings(comparison),
+            "rows": _rows(comparison),
+            "charts": [Markup(chart) for chart in _charts(comparison)],
         }
-        for one in comparisons
+        for comparison in comparisons
     ]
     return environment.get_template("report.html").render(comparisons=shown)
 
--- a/stepflow/fleet/trace/summary.py
+++ b/stepflow/fleet/trace/summary.py
@@ -35,7 +35,7 @@
 
 def _class_summary(connections: pa.Table, name: str, seconds: float) -> dict[str, Any]:
     rows = connections.filter(pc.equal(connections["class"], name))
-    fresh = rows.filter(pc.invert(rows["stood"]))
+    from_start = rows.filter(pc.invert(rows["stood"]))
     established = rows.filter(pc.is_valid(rows["up_us"]))
     complete = established.filter(
         pc.and_(pc.invert(established["stood"]), pc.not_equal(established["end"], ""))
@@ -44,10 +44,10 @@
     return {
         "class": name,
         "connections": len(rows),
-        "stood": len(rows) - len(fresh),
-        "per_s": len(fresh) / seconds if seconds else None,
-        "answers": _counts(fresh["answer"]),
-        "connect_ms": _quantiles(pc.divide(pc.cast(fresh["connect_us"], pa.float64()), MILLISECOND)),
+        "stood": len(rows) - len(from_start),
+        "per_s": len(from_start) / seconds if seconds else None,
+        "answers": _counts(from_start["answer"]),
+        "connect_ms": _quantiles(pc.divide(pc.cast(from_start["connect_us"], pa.float64()), MILLISECOND)),
         "life_s": _quantiles(pc.divide(spans_us, SECOND)),
         "lives_censored": len(established) - len(complete),
         "load": _quantiles(rows["load"]),
@@ -62,5 +62,5 @@
 
 def _quantiles(column: Any) -> list[float] | None:
     """The quantiles of QUANTILES; None if there are no values."""
-    found = pc.quantile(column, q=QUANTILES).to_pylist()
-    return None if found[0] is None else found
+    quantiles = pc.quantile(column, q=QUANTILES).to_pylist()
+    return None if quantiles[0] is None else quantiles
--- a/tests/fleet/test_fit.py
+++ b/tests/fleet/test_fit.py
@@ -125,12 +125,12 @@
 
 def test_lives_that_are_not_exponential_are_flagged_as_a_poor_fit() -> None:
     rng = np.random.default_rng(5)
-    fresh, sound = np.full(400, True), 0
+    all_true, sound = np.full(400, True), 0
     for _ in range(100):
         spans = rng.exponential(10.0, 400)
-        sound += not exponential_mean("life", spans, fresh, fresh).flaw
+        sound += not exponential_mean("life", spans, all_true, all_true).flaw
     assert sound >= 93
-    assert "not exponential" in exponential_mean("life", rng.uniform(9, 11, 400), fresh, fresh).flaw
+    assert "not exponential" in exponential_mean("life", rng.uniform(9, 11, 400), all_true, all_true).flaw
 
 
 def test_a_life_without_observed_ends_has_no_upper_bound() -> None:
--- a/tests/fleet/test_report.py
+++ b/tests/fleet/test_report.py
@@ -44,7 +44,7 @@
 
 
 @pytest.mark.parametrize(
-    ("damage", "said"),
+    ("damage", "message"),
     [
         (lambda path: path.unlink(), "its runs can't be read"),
         (lambda path: path.write_bytes(path.read_bytes()[:-40]), "its runs can't be read"),
@@ -53,14 +53,14 @@
     ],
 )
 def test_a_damaged_folder_raises_report_error_and_leaves_the_old_page(
-    damage: object, said: str, found: Comparison, tmp_path: Path
+    damage: object, message: str, found: Comparison, tmp_path: Path
 ) -> None:
     save(found, tmp_path)
     (runs,) = (path for path in tmp_path.glob("*.parquet") if "series" not in path.name)
     damage(runs)  # type: ignore[operator]
     out = tmp_path / "page.html"
     out.write_text("as it was")
-    with pytest.raises(ReportError, match=said):
+    with pytest.raises(ReportError, match=message):
         write(tmp_path, out)
     assert out.read_text() == "as it was"
 
--- a/tests/fleet/test_trace.py
+++ b/tests/fleet/test_trace.py
@@ -162,7 +162,7 @@
 
 
 @pytest.mark.parametrize(
-    ("file", "damage", "said"),
+    ("file", "damage", "message"),
     [
         ("trace.json", lambda data: data.replace(b'"version": 1', b'"version": 9'), "a trace of version 9"),
         ("trace.json", lambda data: data[:-5], "trace.json: Input data was truncated"),
@@ -171,11 +171,13 @@
         ("connections.parquet", lambda data: b"", "cut off, or not a Parquet file"),
     ],
 )
-def test_a_damaged_trace_is_an_error_of_one_line(tmp_path: Path, file: str, damage: Any, said: str) -> None:
+def test_a_damaged_trace_is_an_error_of_one_line(
+    tmp_path: Path, file: str, damage: Any, message: str
+) -> None:
     path = Script().save(tmp_path).folder / file
     path.write_bytes(damage(path.read_bytes()))
     done = command("fleet", "inspect", str(tmp_path / "trace"))
-    assert done.returncode == 2 and said in done.stderr and done.stderr.count("\n") == 1
+    assert done.returncode == 2 and message in done.stderr and done.stderr.count("\n") == 1
 
 
 @pytest.mark.parametrize(("name", "type_"), [("load", pa.int64()), ("other", pa.float64())])
--- a/tests/traffic/test_journal.py
+++ b/tests/traffic/test_journal.py
@@ -30,21 +30,23 @@
 def test_a_journal_cut_at_any_byte_is_read_up_to_its_last_complete_block(tmp_path: Path) -> None:
     whole, path = bytes(record_sessions(6).files[0]), tmp_path / "j"
     path.write_bytes(whole)
-    full = list(read_journal(path).rows())
-    seen: set[int] = set()
+    all_rows = list(read_journal(path).rows())
+    row_counts: set[int] = set()
     for end in range(len(whole)):
         path.write_bytes(whole[:end])
         try:
             reading = read_journal(path)
         except JournalError as fault:
-            assert str(fault).startswith(f"{path}: ") and not seen
+            assert str(fault).startswith(f"{path}: ") and not row_counts
             continue
         rows = list(reading.rows())
-        assert rows == full[: len(rows)] and not reading.ended
-        seen.add(len(rows))
+        assert rows == all_rows[: len(rows)] and not reading.ended
+        row_counts.add(len(rows))
         if not reading.cut:  # cut between two blocks: only the missing END row shows it
             assert end in _block_ends(whole)
-    assert len(seen) > 5 and max(seen) == len(full) - 1  # all but END, which has a block of its own
+    assert (
+        len(row_counts) > 5 and max(row_counts) == len(all_rows) - 1
+    )  # all but END, which has a block of its own
 
 
 def _block_ends(data: bytes) -> set[int]:
@@ -61,13 +63,13 @@
     whole = bytearray(record_sessions(3).files[0])
     path = Path(os.environ.get("TMPDIR", "/tmp")) / f"stepflow-flip-{os.getpid()}"
     path.write_bytes(whole)
-    full = list(read_journal(path).rows())
+    all_rows = list(read_journal(path).rows())
     whole[at % len(whole)] ^= by
     path.write_bytes(whole)
     try:
         reading = read_journal(path)
         rows = list(reading.rows())
-        assert reading.cut and rows == full[: len(rows)]
+        assert reading.cut and rows == all_rows[: len(rows)]
     except JournalError as fault:
         assert "\n" not in str(fault)
     finally:
@@ -75,7 +77,7 @@
 
 
 @pytest.mark.parametrize(
-    ("data", "said"),
+    ("data", "message"),
     [
         (b"", "not a journal"),
         (b"PAR1 and more", "not a journal"),
@@ -85,10 +87,12 @@
         (form.encode_file_head() + form.BLOCK_HEAD.pack(1 << 31, 0), "its header is incomplete or damaged"),
     ],
 )
-def test_a_file_that_is_not_a_journal_raises_a_journal_error(tmp_path: Path, data: bytes, said: str) -> None:
+def test_a_file_that_is_not_a_journal_raises_a_journal_error(
+    tmp_path: Path, data: bytes, message: str
+) -> None:
     path = tmp_path / "j"
     path.write_bytes(data)
-    with pytest.raises(JournalError, match=said):
+    with pytest.raises(JournalError, match=message):
         read_journal(path)
 
 
