--- a/tests/traffic/test_journal.py
+++ b/tests/traffic/test_journal.py
@@ -44,9 +44,7 @@
         row_counts.add(len(rows))
         if not reading.cut:  # cut between two blocks: only the missing END row shows it
             assert end in _block_ends(whole)
-    assert (
-        len(row_counts) > 5 and max(row_counts) == len(all_rows) - 1
-    )  # all but END, which has a block of its own
+    assert len(row_counts) > 5 and max(row_counts) == len(all_rows) - 1  # all but END, in its own block
 
 
 def _block_ends(data: bytes) -> set[int]:
