--- a/stepflow/budgets/attempt_throttle.py
+++ b/stepflow/budgets/attempt_throttle.py
@@ -8,14 +8,14 @@
 
 import math
 
-MEMORY_S = 5.0  # time constant of the decay of counts
-FREE_ATTEMPTS = 4.0  # attempts allowed without any success
+DECAY_S = 5.0  # time constant of the decay of counts
+UNCONDITIONAL_ATTEMPTS = 4.0  # attempts allowed without any success
 ATTEMPTS_PER_SUCCESS = 1.3  # attempts allowed for each established session
 
 
 def decay_factor(seconds: float) -> float:
     """Return the share of a count that remains after this time."""
-    return math.exp(-seconds / MEMORY_S)
+    return math.exp(-seconds / DECAY_S)
 
 
 class AttemptThrottle:
@@ -25,23 +25,23 @@
         self.attempts = 0.0
         self.established = 0.0
         self.failed = 0.0
-        self._free_attempts = FREE_ATTEMPTS
+        self._free_attempts = UNCONDITIONAL_ATTEMPTS
 
     def decay(self, seconds: float, request_rate: float) -> None:
         """Decay the counts, and allow one second's requests as further attempts without any success."""
         factor = decay_factor(seconds)
         self.attempts, self.established = self.attempts * factor, self.established * factor
         self.failed *= factor
-        self._free_attempts = FREE_ATTEMPTS + request_rate
+        self._free_attempts = UNCONDITIONAL_ATTEMPTS + request_rate
 
-    def forgive_attempt(self) -> None:
+    def subtract_attempt(self) -> None:
         """Subtract an attempt whose result says nothing about the shared resource."""
         self.attempts = max(0.0, self.attempts - 1)
 
-    def revoke_established(self) -> None:
+    def subtract_established(self) -> None:
         """Subtract an established session that its endpoint dropped right afterwards."""
         self.established = max(0.0, self.established - 1)
 
-    def is_closed(self) -> bool:
+    def is_limiting(self) -> bool:
         """Return whether the next attempt has to wait until more sessions are established."""
         return self.attempts >= ATTEMPTS_PER_SUCCESS * self.established + self._free_attempts
--- a/stepflow/budgets/slow_start.py
+++ b/stepflow/budgets/slow_start.py
@@ -18,10 +18,10 @@
 SAFETY_SHARE = 0.8  # share of the allowed work that is used; the rest is for chance and other nodes
 MIN_MEAN_LOAD = 0.3  # a lower mean load counts as this one, since it would suggest too much room
 MIN_WARM_SHARE = 0.6  # share of the endpoints that has to be warm for learning
-MEMORY_S = 10.0  # time constant of learning
+LEARNING_DECAY_S = 10.0  # time constant of learning
 
 
-class FleetLoad(NamedTuple):
+class EndpointLoads(NamedTuple):
     """The numbers of endpoints and their mean load at one time."""
 
     endpoints: int
@@ -35,19 +35,19 @@
     def __init__(self) -> None:
         self._sessions_when_full = 0.0  # own sessions that fill an endpoint of mean size; 0 until learned
 
-    def learn(self, own: ArrivalEstimate, fleet: FleetLoad, seconds: float) -> None:
+    def learn(self, own: ArrivalEstimate, loads: EndpointLoads, seconds: float) -> None:
         """Learn the number of sessions that fill an endpoint, if enough endpoints are warm."""
-        if fleet.warm_endpoints and fleet.warm_endpoints >= MIN_WARM_SHARE * fleet.endpoints:
-            sessions = own.open_sessions / fleet.warm_endpoints / max(fleet.mean_load, MIN_MEAN_LOAD)
-            share = 1 - math.exp(-seconds / MEMORY_S) if self._sessions_when_full else 1.0
+        if loads.warm_endpoints and loads.warm_endpoints >= MIN_WARM_SHARE * loads.endpoints:
+            sessions = own.open_sessions / loads.warm_endpoints / max(loads.mean_load, MIN_MEAN_LOAD)
+            share = 1 - math.exp(-seconds / LEARNING_DECAY_S) if self._sessions_when_full else 1.0
             self._sessions_when_full += share * (sessions - self._sessions_when_full)
 
-    def attempts_per_s(self, own: ArrivalEstimate, fleet: FleetLoad, rules: SafetyRules) -> float:
+    def attempts_per_s(self, own: ArrivalEstimate, loads: EndpointLoads, rules: SafetyRules) -> float:
         """Return the attempts per second that this node may send to a mean endpoint at full capacity."""
-        min_warm_endpoints = max(1, math.ceil(MIN_WARM_SHARE * fleet.endpoints))
-        divisor = max(fleet.warm_endpoints, min_warm_endpoints)
-        sessions_when_full = own.open_sessions / divisor / max(fleet.mean_load, MIN_MEAN_LOAD)
-        if fleet.warm_endpoints < min_warm_endpoints and self._sessions_when_full:
+        min_warm_endpoints = max(1, math.ceil(MIN_WARM_SHARE * loads.endpoints))
+        divisor = max(loads.warm_endpoints, min_warm_endpoints)
+        sessions_when_full = own.open_sessions / divisor / max(loads.mean_load, MIN_MEAN_LOAD)
+        if loads.warm_endpoints < min_warm_endpoints and self._sessions_when_full:
             sessions_when_full = self._sessions_when_full
         # A node that has no sessions yet has nothing to learn from: it starts at the rate of its requests.
         rate = sessions_when_full / max(1.0, rules.slow_start_us / SECOND_US) or own.request_rate() / divisor
--- a/stepflow/node/process/snapshot.py
+++ b/stepflow/node/process/snapshot.py
@@ -19,7 +19,7 @@
         loads_counted=model.loads.count,
         mean_load=model.loads.mean,
         class_loads={class_names[index]: load for index, load in model.loads.by_class.items()},
-        kind_costs=dict(model.kind_cost),
+        kind_costs=dict(model.kind_costs),
         endpoints={
             str(endpoint.id): _take_endpoint(endpoint, now_us) for endpoint in model.endpoints.values()
         },
@@ -39,7 +39,7 @@
     model.loads.by_class.update(
         {class_indexes[name]: load for name, load in snapshot.class_loads.items() if name in class_indexes}
     )
-    model.kind_cost.update(snapshot.kind_costs)
+    model.kind_costs.update(snapshot.kind_costs)
     for endpoint in model.endpoints.values():
         if (learned := snapshot.endpoints.get(str(endpoint.id))) is not None:
             _restore_endpoint(endpoint, learned, now_us)
@@ -50,7 +50,7 @@
     # Predictions and weights are recomputed at once: a cost in one unit times a load in another would reject
     # every request.
     model.predict(list(model.endpoints.values()), 0.0)
-    policy.weights.tabulate(policy.now_us)
+    policy.weights.rebuild_draw_table(policy.now_us)
 
 
 def _take_endpoint(endpoint: EndpointState, now_us: int) -> EndpointSnapshot:
--- a/stepflow/policy/admission.py
+++ b/stepflow/policy/admission.py
@@ -50,7 +50,7 @@
     def is_overloaded(self, endpoint: EndpointState, request: RequestState) -> bool:
         """Return whether an endpoint is too loaded for the priority weight of the request's class."""
         model = self._context.model
-        if not model.reports_utilization or not model.kind_cost:
+        if not model.reports_utilization or not model.kind_costs:
             return False
         weights = [cls.priority_weight for cls in self._context.settings.classes]
         low, high = min(weights), max(weights)
@@ -68,5 +68,5 @@
         self._slow_start.refill(seconds, mean_load)
         # A placed session takes about a second to show in load reports.
         settings, throttle, model = self._context.settings, self._context.throttle, self._context.model
-        rate = settings.balancers * throttle.attempts / attempt_throttle.MEMORY_S
+        rate = settings.balancers * throttle.attempts / attempt_throttle.DECAY_S
         self.unreported_load = rate / max(1, len(model.endpoints)) * model.mean_kind_cost
--- a/stepflow/policy/attempts.py
+++ b/stepflow/policy/attempts.py
@@ -92,7 +92,7 @@
         if remaining_us <= required_us or not self._retry_safety.may_start_attempt(request):
             self._give_up(request)
             return
-        if context.throttle.is_closed():
+        if context.throttle.is_limiting():
             self._throttled[request.request.id] = None
             self._retry_later(request)
             return
@@ -139,7 +139,7 @@
         self.smoothed_latency_us += LATENCY_WEIGHT * (event.latency_us - self.smoothed_latency_us)
         if request.endpoint is not None:
             request.endpoint.record_success()
-        while self._throttled and not throttle.is_closed():  # place requests at once, oldest first
+        while self._throttled and not throttle.is_limiting():  # place requests at once, oldest first
             first = self._requests.by_id[next(iter(self._throttled))]
             del self._throttled[first.request.id]
             self.place(first)
@@ -162,7 +162,7 @@
             is_outlier = self._outliers.record_result(endpoint, event.result)
             self._handle_early_reset(request, endpoint, event.result)
         if is_outlier or event.result in SINGLE_ENDPOINT_RESULTS:
-            context.throttle.forgive_attempt()
+            context.throttle.subtract_attempt()
         elif event.result == AttemptResult.TIMEOUT:
             self.smoothed_latency_us = min(self.smoothed_latency_us * LATENCY_BACKOFF, float(MAX_LATENCY_US))
         if event.is_final or request.is_answered:
@@ -214,7 +214,7 @@
         """Treat an endpoint as saturated if it has reset a session just after it was established."""
         age_us = self._context.now_us - request.established_us
         if result == AttemptResult.RESET and request.is_established and age_us < EARLY_RESET_US:
-            self._context.throttle.revoke_established()
+            self._context.throttle.subtract_established()
             self._context.model.raise_prediction(endpoint, SATURATED_LOAD)
 
     def _give_up(self, request: RequestState, retry_after_us: int = 0) -> None:
--- a/stepflow/policy/endpoint_list.py
+++ b/stepflow/policy/endpoint_list.py
@@ -51,7 +51,7 @@
         if len(endpoints) != count_before or any_restarted:
             # Costs are 0 before the first prediction, so all requests would go to the first endpoint drawn.
             context.model.predict(list(endpoints.values()), 0.0)
-            self._weights.tabulate(context.now_us)
+            self._weights.rebuild_draw_table(context.now_us)
 
     def _mark_missing(self, entries: Iterable[Endpoint]) -> None:
         """Mark the endpoints that are missing from a full list as gone."""
--- a/stepflow/policy/load_model.py
+++ b/stepflow/policy/load_model.py
@@ -33,7 +33,7 @@
 
     def __init__(self, settings: Settings) -> None:
         self.endpoints: dict[EndpointId, EndpointState] = {}
-        self.kind_cost: dict[int, float] = {}
+        self.kind_costs: dict[int, float] = {}
         self.kind_size: dict[int, float] = {}  # the largest size seen, if the settings have live weights
         self.loads = LoadEstimate()
         self.own_load = 0.0  # sum of the loads of all own sessions
@@ -79,8 +79,8 @@
         endpoint.cost = old_weight * endpoint.cost + (1 - old_weight) * cost
         endpoint.reported_us, endpoint.placed_load = now, 0.0
         endpoint.predicted_load = endpoint.cost * balancers * (self.loads.in_sessions(endpoint.load) + pseudo)
-        kind_cost = self.kind_cost.setdefault(endpoint.kind, cost)
-        self.kind_cost[endpoint.kind] = kind_cost + KIND_REPORT_WEIGHT * (cost - kind_cost)
+        kind_cost = self.kind_costs.setdefault(endpoint.kind, cost)
+        self.kind_costs[endpoint.kind] = kind_cost + KIND_REPORT_WEIGHT * (cost - kind_cost)
 
     def predict(self, endpoints: list[EndpointState], seconds: float) -> None:
         """Predict the loads of some endpoints. Their costs return to those of their kinds over `seconds`."""
@@ -88,12 +88,12 @@
         if self.settings.live_weights:
             self._replace_live_sizes(endpoints)
         mean_size = sum(endpoint.size for endpoint in endpoints) / max(1, len(endpoints))
-        costs = self.kind_cost.values() or (UNREPORTED_LOAD / (balancers * pseudo),)
+        costs = self.kind_costs.values() or (UNREPORTED_LOAD / (balancers * pseudo),)
         self.mean_kind_cost = sum(costs) / len(costs)
         aged_share = min(1.0, seconds / COST_DECAY_S)
         for endpoint in endpoints:
             endpoint.relative_size = endpoint.size / mean_size
-            typical_cost = self.kind_cost.get(endpoint.kind, self.mean_kind_cost * mean_size / endpoint.size)
+            typical_cost = self.kind_costs.get(endpoint.kind, self.mean_kind_cost * mean_size / endpoint.size)
             if endpoint.reported_us:
                 endpoint.cost += aged_share * (typical_cost - endpoint.cost)
             else:
--- a/stepflow/policy/migration.py
+++ b/stepflow/policy/migration.py
@@ -80,7 +80,7 @@
         """Return whether the gain exceeds the price and the throttle lets migrated clients set up again."""
         gain = MIGRATION_GAIN_S * max(rate, MIN_REQUEST_RATE)
         price = self._context.settings.prices.moves * self._context.arrivals.open_sessions
-        return price < gain and not self._context.throttle.is_closed()
+        return price < gain and not self._context.throttle.is_limiting()
 
     def _is_relieved(self, endpoint: EndpointState) -> bool:
         """Return whether an endpoint needs no more migrations, or has no sessions to migrate."""
--- a/stepflow/policy/outliers.py
+++ b/stepflow/policy/outliers.py
@@ -32,15 +32,15 @@
         """Record the result of an attempt. Returns whether it is an ambiguous failure of an outlier.
 
         Without this distinction, an outlier that answers with errors at once would attract further requests
-        and close the throttle for all endpoints.
+        and make the throttle limit attempts to all endpoints.
         """
         is_ambiguous = result in AMBIGUOUS_FAILURES
         if is_ambiguous:
             endpoint.failed_count += 1
             self._context.throttle.failed += 1
         is_outlier = is_ambiguous and self._is_outlier(endpoint)
-        # While the throttle is closed, the fault is taken to be shared, unless other endpoints still serve.
-        is_shared = is_ambiguous and not is_outlier and self._context.throttle.is_closed()
+        # While the throttle limits attempts, the fault counts as shared, unless other endpoints still serve.
+        is_shared = is_ambiguous and not is_outlier and self._context.throttle.is_limiting()
         if result in FAILURES and not is_shared:
             endpoint.record_failure()
         return is_outlier
--- a/stepflow/policy/slow_start.py
+++ b/stepflow/policy/slow_start.py
@@ -7,7 +7,7 @@
 
 from __future__ import annotations
 
-from stepflow.budgets.slow_start import FleetLoad, SlowStartBudget
+from stepflow.budgets.slow_start import EndpointLoads, SlowStartBudget
 from stepflow.interface import SafetyRules
 from stepflow.policy.context import PolicyContext
 from stepflow.policy.state import EndpointState, RequestState
@@ -47,11 +47,11 @@
         """Refill the budgets after `seconds`; `mean_load` is the mean load of all endpoints."""
         context, endpoints = self._context, self._context.model.endpoints
         self.warming = [e for e in endpoints.values() if e.started_us > 0 and not self.is_warm(e)]
-        fleet = FleetLoad(len(endpoints), len(endpoints) - len(self.warming), mean_load)
-        self._budget.learn(context.arrivals, fleet, seconds)
+        loads = EndpointLoads(len(endpoints), len(endpoints) - len(self.warming), mean_load)
+        self._budget.learn(context.arrivals, loads, seconds)
         if not self.warming:
             return
-        typical_rate = self._budget.attempts_per_s(context.arrivals, fleet, context.settings.rules)
+        typical_rate = self._budget.attempts_per_s(context.arrivals, loads, context.settings.rules)
         for endpoint in self.warming:
             capacity = capacity_share(endpoint, context.settings.rules, context.now_us)
             rate = typical_rate * capacity * endpoint.relative_size
--- a/stepflow/policy/weights.py
+++ b/stepflow/policy/weights.py
@@ -62,7 +62,7 @@
                 self.adjust(members, mean_load, mean_cost, seconds)
         if ready:
             self.mean_load = sum(e.predicted_load for e in ready) / len(ready)
-        self.tabulate(now)
+        self.rebuild_draw_table(now)
 
     def adjust(
         self, members: list[EndpointState], mean_load: float, mean_cost: float, seconds: float
@@ -81,7 +81,7 @@
             endpoint.weight = clamp(weight, floor, cap)
             endpoint.health = min(1.0, endpoint.health + seconds / HEALTH_RECOVERY_S)
 
-    def tabulate(self, now: int) -> None:
+    def rebuild_draw_table(self, now: int) -> None:
         """Rebuild the table for the draw from the weights of the endpoints that are ready."""
         shares = {zone: self._zone_share(zone) for zone in self.zone_load}
         self.drawable, self.cumulative_weights, total = [], [], 0.0
--- a/tests/policy/test_attempts.py
+++ b/tests/policy/test_attempts.py
@@ -14,7 +14,7 @@
     for id in range(40):
         for send in of_type(StartAttempt, driver.request(id)):
             driver.end(send, AttemptResult.ERROR)
-    assert len(of_type(StartAttempt, driver.actions)) <= attempt_throttle.FREE_ATTEMPTS + 1
+    assert len(of_type(StartAttempt, driver.actions)) <= attempt_throttle.UNCONDITIONAL_ATTEMPTS + 1
     assert not final_answers(driver.actions)
     driver.tick(30.0)
     assert of_type(StartAttempt, driver.request(100))
@@ -48,7 +48,7 @@
             driver.end(send, AttemptResult.RESET, is_final=True)
     assert (
         len(of_type(StartAttempt, driver.actions))
-        <= attempt_throttle.FREE_ATTEMPTS * attempt_throttle.ATTEMPTS_PER_SUCCESS + 1
+        <= attempt_throttle.UNCONDITIONAL_ATTEMPTS * attempt_throttle.ATTEMPTS_PER_SUCCESS + 1
     )
 
 
@@ -70,7 +70,7 @@
 
 
 def test_an_outlier_does_not_close_the_throttle_for_others() -> None:
-    """An endpoint that answered with errors at once closed the throttle for all, and kept its health."""
+    """An endpoint that failed at once with errors made the throttle limit all others, and kept its health."""
     driver = Driver(plain_settings(), map(entry, range(3)))
     established = 0
     for id in range(200):
--- a/tests/policy/test_weights.py
+++ b/tests/policy/test_weights.py
@@ -43,7 +43,7 @@
 def test_the_draw_follows_the_weights() -> None:
     driver = Driver(plain_settings(), [entry(1), entry(2)])
     driver.policy.model.endpoints[1].weight = 3.0
-    driver.policy.weights.tabulate(driver.now)
+    driver.policy.weights.rebuild_draw_table(driver.now)
     counts: dict[EndpointId, int] = {1: 0, 2: 0}
     for id in range(400):
         counts[placed_endpoint(driver, id)] += 1
