--- a/stepflow/node/clients/connection.py
+++ b/stepflow/node/clients/connection.py
@@ -234,9 +234,9 @@
         if not self._answered and self._relay is None and has_ended(self.tcp_transport):
             self._release_request()
 
-    def opening_line(self, wait: timedelta) -> bytes:
+    def open_line(self, timeout: timedelta) -> bytes:
         """Return the OPEN line for an attempt with this timeout."""
-        return b"" if self._open_request is None else self._open_request.line_for_attempt(wait)
+        return b"" if self._open_request is None else self._open_request.line_for_attempt(timeout)
 
     def session_established(self, attempt: Attempt) -> None:
         """Send the endpoint's UP line, and connect both sides with a relay."""
--- a/stepflow/node/discovery.py
+++ b/stepflow/node/discovery.py
@@ -43,8 +43,8 @@
     """Calls discovery for the policy and passes the list updates to the core (`core.Discovery`).
 
     If lists are pushed, the policy doesn't poll: an agent on this machine holds the pushed list, and all of
-    it counts as known. This client then keeps the watch itself (`keep_watch`): the policy gets lists, as on
-    the simulator's wire, and neither requests them nor is notified of failed calls.
+    it counts as known. This client then keeps the watch itself (`start_agent_watch`): the policy gets lists,
+    as on the simulator's wire, and neither requests them nor is notified of failed calls.
 
     `connect` starts a connection to an address, for a factory and with a timeout in seconds.
     """
@@ -69,17 +69,17 @@
         self._retries_left = 0  # failures of the watch to retry here instead of reporting them to the policy
         self._keeps_agent_watch = False  # the watch is kept open, whatever the policy requests
         self._agent_retry_delay = AGENT_MIN_RETRY_DELAY
-        self._first_answered: Callable[[], None] | None = None  # until the agent's first answer
+        self._on_first_answer: Callable[[], None] | None = None  # until the agent's first answer
 
-    def keep_watch(self, first_answered: Callable[[], None]) -> None:
+    def start_agent_watch(self, on_first_answer: Callable[[], None]) -> None:
         """Start a watch of the agent, and restart it whenever it ends.
 
-        `first_answered` is called after the first answer, or after `AGENT_FIRST_ANSWER_TIMEOUT`. The agent's
+        `on_first_answer` is called after the first answer, or after `AGENT_FIRST_ANSWER_TIMEOUT`. The agent's
         list counts as known from the start of this process: no request may go to an endpoint before
-        `first_answered` is called.
+        `on_first_answer` is called.
         """
         self._keeps_agent_watch = self._watch_wanted = True
-        self._first_answered = first_answered
+        self._on_first_answer = on_first_answer
         self._timers.after(AGENT_FIRST_ANSWER_TIMEOUT, self._report_first_answer)
         self._replace_watch()
 
@@ -112,7 +112,7 @@
 
     def close(self) -> None:
         """Close all calls."""
-        self._keeps_agent_watch, self._first_answered = False, None
+        self._keeps_agent_watch, self._on_first_answer = False, None
         self.watch(False)
         for call in self._pop_fetches():
             call.close("closed")
@@ -123,9 +123,9 @@
         return fetches
 
     def _report_first_answer(self) -> None:
-        first_answered, self._first_answered = self._first_answered, None
-        if first_answered is not None:
-            first_answered()
+        on_first_answer, self._on_first_answer = self._on_first_answer, None
+        if on_first_answer is not None:
+            on_first_answer()
 
     def _replace_watch(self) -> None:
         old, self._watch = self._watch, None
--- a/stepflow/node/process/service.py
+++ b/stepflow/node/process/service.py
@@ -99,7 +99,7 @@
         if self._reloader.settings.polls_endpoint_list:
             self._listen(listener)
         else:
-            discovery.keep_watch(lambda: self._listen(listener))
+            discovery.start_agent_watch(lambda: self._listen(listener))
 
     def _restore_snapshot(self, state: HandoverState) -> None:
         try:
--- a/stepflow/node/upstreams/attempt.py
+++ b/stepflow/node/upstreams/attempt.py
@@ -37,7 +37,7 @@
 class LineDownstream(Protocol):
     """A downstream whose requests begin with a line, as in this protocol."""
 
-    def opening_line(self, timeout: timedelta) -> bytes:
+    def open_line(self, timeout: timedelta) -> bytes:
         """Return the OPEN line for an attempt with this timeout."""
 
 
@@ -122,7 +122,7 @@
         else:
             self._line_written = True
             downstream = cast(LineDownstream, self._context.downstream)
-            self.tcp_transport.write(downstream.opening_line(self._expires_at - self._services.clock.now()))
+            self.tcp_transport.write(downstream.open_line(self._expires_at - self._services.clock.now()))
 
     def stopProducing(self) -> None:
         """Do nothing: the connection was lost before the line was sent, and `connectionLost` follows."""
