--- a/stepflow/daemon/lines.py
+++ b/stepflow/daemon/lines.py
@@ -18,7 +18,7 @@
 
 from stepflow.errors import InputError
 
-MOST_BYTES = 1 << 20  # per file
+MAX_FILE_BYTES = 1 << 20  # per file
 
 
 class FileError(InputError):
--- a/stepflow/daemon/model.py
+++ b/stepflow/daemon/model.py
@@ -12,7 +12,7 @@
 
 import msgspec
 
-from stepflow.daemon.lines import MOST_BYTES, Directive, FileError, parse
+from stepflow.daemon.lines import MAX_FILE_BYTES, Directive, FileError, parse
 from stepflow.errors import mark_read_error
 
 _NUMBER = re.compile(r"[0-9]{1,12}")
@@ -56,11 +56,11 @@
     """Read and validate a file; raises FileError if it can't be read or is invalid."""
     try:
         with open(path, "rb") as file:
-            data = file.read(MOST_BYTES + 1)
+            data = file.read(MAX_FILE_BYTES + 1)
     except OSError as error:
         raise mark_read_error(FileError(path, 0, error.strerror or str(error)), error) from None
-    if len(data) > MOST_BYTES:
-        raise FileError(path, 0, f"over {MOST_BYTES} bytes")
+    if len(data) > MAX_FILE_BYTES:
+        raise FileError(path, 0, f"over {MAX_FILE_BYTES} bytes")
     try:
         return read_text(data.decode(), path)
     except UnicodeDecodeError as error:
--- a/stepflow/fleet/scenario.py
+++ b/stepflow/fleet/scenario.py
@@ -12,7 +12,7 @@
 from pathlib import Path
 from typing import Any, get_type_hints
 
-from stepflow.daemon.lines import MOST_BYTES, Directive, FileError, parse
+from stepflow.daemon.lines import MAX_FILE_BYTES, Directive, FileError, parse
 from stepflow.fleet.streams import stream
 from stepflow.interface import Limits, Prices, RequestClass, SafetyRules, Settings
 
@@ -227,7 +227,7 @@
 def load(path: str | Path) -> Scenario:
     """Read a scenario file; a FileError names the file, line and directive."""
     try:
-        text = Path(path).read_bytes()[:MOST_BYTES].decode()
+        text = Path(path).read_bytes()[:MAX_FILE_BYTES].decode()
     except OSError as fault:
         raise FileError(str(path), 0, fault.strerror or str(fault)) from None
     except UnicodeDecodeError:
--- a/stepflow/logs.py
+++ b/stepflow/logs.py
@@ -79,7 +79,7 @@
     )
 
 
-def print_plainly(text: str) -> None:
+def print_line(text: str) -> None:
     """Print a line on standard error that is not a log event."""
     stream = _LossyStream(sys.stderr)
     stream.write(text + "\n")
@@ -94,7 +94,7 @@
         sys.stderr = open(os.devnull, "w")  # noqa: SIM115 (it stays open until the exit)
 
 
-def take_twisted() -> None:
+def log_twisted_events() -> None:
     """Log Twisted's warnings and errors; otherwise an error in a Deferred would be lost."""
     log = get_logger()
 
--- a/stepflow/node/admin/site.py
+++ b/stepflow/node/admin/site.py
@@ -20,7 +20,7 @@
 from stepflow.node.runtime.timers import Timer, Timers
 from stepflow.node.runtime.transports import Port, Reactor, Transport
 
-MAX_CALLS = 12  # concurrent connections; this many descriptors are reserved for them
+MAX_ADMIN_CONNECTIONS = 12  # concurrent connections; this many descriptors are reserved for them
 REQUEST_TIMEOUT = timedelta(seconds=2)  # from connecting to the end of the response, at any transfer rate
 BACKLOG = 256
 
@@ -97,7 +97,7 @@
 
 
 class AdminSite(Factory):
-    """The factory of HTTP connections; above MAX_CALLS connections the oldest one is closed."""
+    """The factory of HTTP connections; above MAX_ADMIN_CONNECTIONS connections the oldest one is closed."""
 
     noisy = False
 
@@ -110,9 +110,9 @@
         }
 
     def buildProtocol(self, addr: object) -> _HttpConnection:
-        """Create a connection; close the oldest one first if MAX_CALLS are open."""
+        """Create a connection; close the oldest one first if MAX_ADMIN_CONNECTIONS are open."""
         # A request is answered in the turn that reads it, so open connections have no complete request.
-        if len(self.connections) >= MAX_CALLS:
+        if len(self.connections) >= MAX_ADMIN_CONNECTIONS:
             next(iter(self.connections)).abort()
         return _HttpConnection(self)
 
--- a/stepflow/node/process/descriptors.py
+++ b/stepflow/node/process/descriptors.py
@@ -6,13 +6,13 @@
 
 from __future__ import annotations
 
-from stepflow.node.admin.site import MAX_CALLS
+from stepflow.node.admin.site import MAX_ADMIN_CONNECTIONS
 from stepflow.node.core import Core
 from stepflow.node.process.handover import SOCKETS_PER_SESSION, Handover
 from stepflow.node.upstreams.pool import UpstreamConnections
 
 # For discovery, listeners, standard streams, the reactor, operators' calls.
-RESERVED = 24 + MAX_CALLS
+RESERVED = 24 + MAX_ADMIN_CONNECTIONS
 RESERVED_FOR_HEALTH_CHECKS = 24  # even if fewer are open
 
 
--- a/stepflow/node/process/reload.py
+++ b/stepflow/node/process/reload.py
@@ -42,7 +42,7 @@
 
     def update_recording(self) -> None:
         """Record traffic as the current operators' file says."""
-        self._parts.recording.follow(self._operator_file.record, self.settings)
+        self._parts.recording.apply(self._operator_file.record, self.settings)
 
     def reload(self) -> None:
         """Read the files again, and apply what can change while the node runs."""
--- a/stepflow/node/process/run.py
+++ b/stepflow/node/process/run.py
@@ -13,7 +13,7 @@
 
 from stepflow.daemon import OperatorFile
 from stepflow.logs import close as close_logs
-from stepflow.logs import take_twisted
+from stepflow.logs import log_twisted_events
 from stepflow.node.process.config import NodeConfig
 from stepflow.node.process.reload import ReadFiles
 from stepflow.node.process.service import EXIT_FAILED, Node
@@ -28,7 +28,7 @@
 
     `early_reloads` holds the SIGHUPs that arrived before; if there are any, the node reloads once it runs.
     """
-    take_twisted()
+    log_twisted_events()
     reactor = serving_reactor()
     node = Node(config, operator_file, reactor, read_files)
     signals = _install_signal_handlers(node, reactor)
--- a/stepflow/node/process/service.py
+++ b/stepflow/node/process/service.py
@@ -15,7 +15,7 @@
 
 from stepflow.address import Address
 from stepflow.daemon import OperatorFile
-from stepflow.logs import get_logger, print_plainly
+from stepflow.logs import get_logger, print_line
 from stepflow.node.admin.metrics import Gauges, count_excluded, render
 from stepflow.node.admin.site import AdminSite
 from stepflow.node.admin.site import listen as listen_for_operators
@@ -25,7 +25,7 @@
 from stepflow.node.process.handover_messages import HandoverMessageError, HandoverState, read_snapshot
 from stepflow.node.process.reload import ReadFiles, Reloader
 from stepflow.node.process.snapshot import restore_snapshot, take_snapshot
-from stepflow.node.recording import DISK_WAIT
+from stepflow.node.recording import CLOSE_WAIT
 from stepflow.node.runtime.clock import ZERO, micros
 from stepflow.node.runtime.transports import Reactor
 from stepflow.node.session_transfer import SessionTransfer
@@ -149,7 +149,7 @@
 
     def print_counters(self) -> None:
         """Print the counters to standard error, whatever the log's level."""
-        print_plainly(f"counters: {self._parts.counters}")
+        print_line(f"counters: {self._parts.counters}")
 
     # Hand-over: called by handover.py for the messages of its channel.
 
@@ -205,8 +205,8 @@
     def close(self) -> None:
         """End the recording, and close what stays open after the clients' connections."""
         shutdown = self._parts.shutdown
-        left = shutdown.time_left() if shutdown.has_begun else DISK_WAIT
-        self._parts.recording.end(max(left, DISK_WAIT))
+        left = shutdown.time_left() if shutdown.has_begun else CLOSE_WAIT
+        self._parts.recording.end(max(left, CLOSE_WAIT))
         self._parts.handover.close()
         self._parts.discovery.close()
         self._parts.upstreams.close()
--- a/stepflow/node/recording.py
+++ b/stepflow/node/recording.py
@@ -19,7 +19,7 @@
 
 log = get_logger()
 
-DISK_WAIT = timedelta(seconds=CLOSE_TIMEOUT_S)  # the longest wait for the disk at the end of a recording
+CLOSE_WAIT = timedelta(seconds=CLOSE_TIMEOUT_S)  # the longest wait for the disk at the end of a recording
 FLUSH_INTERVAL = timedelta(milliseconds=500)  # a killed process loses at most the records of this time
 US_PER_MS = 1000
 
@@ -34,7 +34,7 @@
         self._recorder: Recorder | None = None
         self._flush_timer: Timer | None = None
 
-    def follow(self, config: Record | None, settings: Settings) -> None:
+    def apply(self, config: Record | None, settings: Settings) -> None:
         """Apply the configuration of a recording; None ends the recording.
 
         A recording with an unchanged configuration continues in its file.
@@ -48,7 +48,7 @@
         if config is not None:
             self._start(config, settings)
 
-    def end(self, wait: timedelta = DISK_WAIT) -> None:
+    def end(self, wait: timedelta = CLOSE_WAIT) -> None:
         """End the recording, if any; write the pending rows within `wait`, unless the disk fails."""
         self._core.record_events(None)
         if self._flush_timer is not None:
--- a/tests/node/admin/test_admin_site.py
+++ b/tests/node/admin/test_admin_site.py
@@ -9,7 +9,7 @@
 import pytest
 
 from stepflow.node.admin.metrics import Gauges, render
-from stepflow.node.admin.site import MAX_CALLS
+from stepflow.node.admin.site import MAX_ADMIN_CONNECTIONS
 from stepflow.node.runtime.counters import Counters
 from tests.node_kit import PATIENCE, Line, Node, Peer, opening
 
@@ -39,7 +39,7 @@
 def test_incomplete_requests_do_not_block_other_connections(part: bytes) -> None:
     """Incomplete requests are closed after a time limit, and take no descriptors from the node's clients."""
     with Node(Peer("s-1")) as node:
-        held = [Line(socket.create_connection(node.ops_address)) for _ in range(3 * MAX_CALLS)]
+        held = [Line(socket.create_connection(node.ops_address)) for _ in range(3 * MAX_ADMIN_CONNECTIONS)]
         for line in held:
             with suppress(ConnectionError):  # a later connection may have replaced it already
                 line.sock.sendall(part)
