--- a/stepflow/fleet/attempts.py
+++ b/stepflow/fleet/attempts.py
@@ -55,11 +55,13 @@
         wait = min(action.timeout_us, left) if action.timeout_us else left
         attempt, trip = client.attempt_id, self._day.trip_us
         if not server.is_running:
-            simulation.after(2 * trip, partial(self._fail, client, attempt, AttemptResult.CONNECT_FAILED))
+            simulation.call_later(
+                2 * trip, partial(self._fail, client, attempt, AttemptResult.CONNECT_FAILED)
+            )
             return
-        simulation.after(max(1, wait), partial(self._fail, client, attempt, AttemptResult.TIMEOUT))
+        simulation.call_later(max(1, wait), partial(self._fail, client, attempt, AttemptResult.TIMEOUT))
         if simulation.faults.unreachable_since(node, server) is None:
-            simulation.after(2 * trip, partial(self._reach_server, client, attempt, server))
+            simulation.call_later(2 * trip, partial(self._reach_server, client, attempt, server))
 
     def _count_attempt(self, server: Server) -> None:
         measurements = self._simulation.measurements
@@ -81,13 +83,13 @@
             self.end(client, AttemptResult.CONNECT_FAILED)
             return
         if server.availability != Availability.READY or server.connections >= server.max_sessions:
-            simulation.after(day.trip_us, partial(self._fail, client, attempt, AttemptResult.FULL))
+            simulation.call_later(day.trip_us, partial(self._fail, client, attempt, AttemptResult.FULL))
             return
         if simulation.faults.reset_share and self._failure_draws.random() < simulation.faults.reset_share:
-            simulation.after(day.trip_us, partial(self._fail, client, attempt, AttemptResult.RESET))
+            simulation.call_later(day.trip_us, partial(self._fail, client, attempt, AttemptResult.RESET))
             return
         if server.errors and self._failure_draws.random() < server.errors:
-            simulation.after(day.trip_us, partial(self._fail, client, attempt, AttemptResult.ERROR))
+            simulation.call_later(day.trip_us, partial(self._fail, client, attempt, AttemptResult.ERROR))
             return
         cls = simulation.classes[client.class_index]
         work = cls.work_ms / 1000 * float(simulation.traffic.work[client.number])
@@ -107,7 +109,7 @@
             + work / (server.speed * server.speed_share) * SECOND
             + store_delay_us
         )
-        simulation.after(ready + day.trip_us, partial(self._establish, client, attempt, server, work))
+        simulation.call_later(ready + day.trip_us, partial(self._establish, client, attempt, server, work))
 
     def _establish(self, client: Client, attempt: int, server: Server, work: float) -> None:
         simulation, node = self._simulation, client.node
@@ -208,7 +210,7 @@
         if not server.is_running or unreachable:
             result = AttemptResult.TIMEOUT if unreachable else AttemptResult.CONNECT_FAILED
             wait = HEALTH_CHECK_TIMEOUT_US if unreachable else 2 * day.trip_us
-            simulation.after(
+            simulation.call_later(
                 wait, partial(self._health_check_ended, node, incarnation, server, result, (), now)
             )
             return
@@ -221,7 +223,7 @@
             server.report, server.report_us = self._report(server), now
         result = AttemptResult.OK if duration_us <= HEALTH_CHECK_TIMEOUT_US else AttemptResult.TIMEOUT
         answer = server.report if result == AttemptResult.OK else ()
-        simulation.after(
+        simulation.call_later(
             min(duration_us, HEALTH_CHECK_TIMEOUT_US),
             partial(self._health_check_ended, node, incarnation, server, result, answer, now),
         )
--- a/stepflow/fleet/clients.py
+++ b/stepflow/fleet/clients.py
@@ -54,7 +54,7 @@
         )
         client.load = float(traffic.loads[number, 0])
         self.active[client] = None
-        self._simulation.at(client.ends_us, partial(self._finish, client))
+        self._simulation.call_at(client.ends_us, partial(self._finish, client))
         return client
 
     def add_established(self, number: int, server: Server) -> None:
@@ -117,9 +117,11 @@
         client.expires_us = simulation.now + int(cls.wait_ms * 1000)
         client.node = node
         if node is None:
-            simulation.after(BACKOFF_US, partial(self._retry_later, client, client.request_id, 0))
+            simulation.call_later(BACKOFF_US, partial(self._retry_later, client, client.request_id, 0))
             return
-        simulation.after(self._day.trip_us, partial(self._request_received, client, client.request_id, node))
+        simulation.call_later(
+            self._day.trip_us, partial(self._request_received, client, client.request_id, node)
+        )
 
     def _request_received(self, client: Client, request: int, node: Node) -> None:
         if client.finished or client.request_id != request:
@@ -151,7 +153,7 @@
         if client.attempt_id:
             simulation.attempts.end(client, AttemptResult.CANCELLED, answered=True)
         node.clients.pop(request, None)
-        simulation.after(self._day.trip_us, partial(self._retry_later, client, request, retry_after_us))
+        simulation.call_later(self._day.trip_us, partial(self._retry_later, client, request, retry_after_us))
 
     def _retry_later(self, client: Client, request: int, retry_after_us: int) -> None:
         """Schedule a new request after a rejection, a failure, or because no node took the request."""
@@ -163,7 +165,9 @@
         wait = BACKOFF_US * 2 ** min(client.backoffs - 1, MAX_DOUBLINGS)
         draw = self._retry_draw(client, client.backoffs)
         client.request_id = -1
-        self._simulation.after(max(retry_after_us, wait * (0.5 + draw)), partial(self._send_request, client))
+        self._simulation.call_later(
+            max(retry_after_us, wait * (0.5 + draw)), partial(self._send_request, client)
+        )
 
     def reconnect(self, client: Client) -> None:
         """Schedule a new request after a session broke or was migrated."""
@@ -173,7 +177,7 @@
         client.backoffs = 0
         client.is_migrated, client.request_id = True, -1
         draw = self._retry_draw(client, client.requests_sent)
-        self._simulation.after(1000 * (low + (high - low) * draw), partial(self._send_request, client))
+        self._simulation.call_later(1000 * (low + (high - low) * draw), partial(self._send_request, client))
 
     def _retry_draw(self, client: Client, count: int) -> float:
         """Return the client's random draw for one of its waits, uniform from 0 to 1."""
@@ -211,7 +215,7 @@
         client.load_index = number
         if number + 1 < LOADS_PER_SESSION:
             span = float(self._traffic.load_spans_s[client.number, number]) * SECOND
-            simulation.after(span, partial(self.apply_load, client, request, number + 1))
+            simulation.call_later(span, partial(self.apply_load, client, request, number + 1))
 
     def report_load(self, client: Client, request: int) -> None:
         """Report the work done for a session to its node: HUNG_SHARE of its load while the server hangs."""
--- a/stepflow/fleet/context.py
+++ b/stepflow/fleet/context.py
@@ -177,11 +177,11 @@
         """The time in microseconds since the run began."""
         ...
 
-    def at(self, due: int, call: Callable[[], None]) -> None:
+    def call_at(self, due: int, call: Callable[[], None]) -> None:
         """Schedule a call at a time."""
         ...
 
-    def after(self, delay: float, call: Callable[[], None]) -> None:
+    def call_later(self, delay: float, call: Callable[[], None]) -> None:
         """Schedule a call after a delay in microseconds."""
         ...
 
--- a/stepflow/fleet/endpoint_list.py
+++ b/stepflow/fleet/endpoint_list.py
@@ -35,16 +35,18 @@
         """Fetch the list for a node and start its watch; the call waits for those before it."""
         simulation, day, incarnation = self._simulation, self._day, node.incarnation
         if self._down:
-            simulation.after(FAILED_CALL_US, partial(self._answer, node, incarnation, ListUpdateKind.FAILED))
+            simulation.call_later(
+                FAILED_CALL_US, partial(self._answer, node, incarnation, ListUpdateKind.FAILED)
+            )
         elif not day.list_calls:
             self._answer(node, incarnation, ListUpdateKind.FULL)
         elif self._free_at_us - simulation.now > day.list_wait_s * SECOND:
-            simulation.after(
+            simulation.call_later(
                 day.list_wait_s * SECOND, partial(self._answer, node, incarnation, ListUpdateKind.FAILED)
             )
         else:
             self._free_at_us = max(self._free_at_us, simulation.now) + SECOND / day.list_calls
-            simulation.after(
+            simulation.call_later(
                 self._free_at_us - simulation.now,
                 partial(self._answer, node, incarnation, ListUpdateKind.FULL),
             )
@@ -67,7 +69,7 @@
             float(stream(self._simulation.seed, "list", self._updates_scheduled).uniform(low, high)) * SECOND
         )
         self._updates_scheduled += 1
-        self._simulation.after(delay_us, partial(self._publish, server))
+        self._simulation.call_later(delay_us, partial(self._publish, server))
 
     def _publish(self, server: Server) -> None:
         entry = _entry(server)
@@ -86,7 +88,7 @@
             if node.watching and node.policy is not None:
                 node.watching = False
                 self._send_update(node, ListUpdateKind.FAILED, ())
-        self._simulation.after(span_us, partial(setattr, self, "_down", False))
+        self._simulation.call_later(span_us, partial(setattr, self, "_down", False))
 
 
 def _entry(server: Server) -> Endpoint:
--- a/stepflow/fleet/event_queue.py
+++ b/stepflow/fleet/event_queue.py
@@ -14,14 +14,14 @@
         self._heap: list[tuple[int, int, Callable[[], None]]] = []
         self._added = 0
 
-    def at(self, due: int, call: Callable[[], None]) -> None:
+    def call_at(self, due: int, call: Callable[[], None]) -> None:
         """Schedule a call at a time; a time in the past means now."""
         self._added += 1
         heapq.heappush(self._heap, (max(due, self.now), self._added, call))
 
-    def after(self, delay: float, call: Callable[[], None]) -> None:
+    def call_later(self, delay: float, call: Callable[[], None]) -> None:
         """Schedule a call after a delay in microseconds."""
-        self.at(self.now + int(delay), call)
+        self.call_at(self.now + int(delay), call)
 
     def run_until(self, end: int) -> None:
         """Run all calls due by a time, including those that they schedule."""
--- a/stepflow/fleet/faults.py
+++ b/stepflow/fleet/faults.py
@@ -64,7 +64,7 @@
                 self._begin_for_nodes(fault, rng, self._shut_down_node)
             case "resets":
                 self.reset_share = fault.part
-                simulation.after(duration_us, partial(setattr, self, "reset_share", 0.0))
+                simulation.call_later(duration_us, partial(setattr, self, "reset_share", 0.0))
             case "settings":
                 simulation.reload_settings()
             case "replace":
@@ -77,17 +77,17 @@
 
     def _begin_for_nodes(self, fault: Fault, rng: np.random.Generator, call: Callable[[Node], None]) -> None:
         for position, node in self._in_batches(fault, rng):
-            self._simulation.after(fault.lasts * SECOND * position, partial(call, node))
+            self._simulation.call_later(fault.lasts * SECOND * position, partial(call, node))
 
     def _replace_in_turn(self, servers: Sequence[Server], fault: Fault) -> None:
         for position, server in enumerate(servers):
             delay = fault.lasts * SECOND * position / len(servers)
-            self._simulation.after(delay, partial(self._replace, server, fault.drain_s))
+            self._simulation.call_later(delay, partial(self._replace, server, fault.drain_s))
 
     def _isolate_zone(self, zone: int, duration_us: float) -> None:
         """Cut a zone's servers and nodes off from the nodes and servers of all other zones."""
         self._isolated_zone, self._isolated_since_us = zone, self._simulation.now
-        self._simulation.after(duration_us, partial(setattr, self, "_isolated_zone", None))
+        self._simulation.call_later(duration_us, partial(setattr, self, "_isolated_zone", None))
 
     def _in_batches(self, fault: Fault, rng: np.random.Generator) -> list[tuple[float, Node]]:
         """Return the nodes to restart, each with its start as a fraction (0 to 1) of the fault's duration."""
@@ -120,20 +120,20 @@
         if fault.what in ("hang", "cut"):
             server.hung, server.hung_us = True, simulation.now
             self._report_loads(server, int(duration_us))
-            simulation.after(duration_us, partial(self._recover, server))
+            simulation.call_later(duration_us, partial(self._recover, server))
         elif fault.what == "errors":
             server.errors = fault.share
-            simulation.after(duration_us, partial(setattr, server, "errors", 0.0))
+            simulation.call_later(duration_us, partial(setattr, server, "errors", 0.0))
         elif fault.what == "slow":
             self._set_speed(server, fault.share)
-            simulation.after(duration_us, partial(self._set_speed, server, 1.0))
+            simulation.call_later(duration_us, partial(self._set_speed, server, 1.0))
         elif fault.what == "crash":
             self.crash(server)
         elif fault.what == "drain":
             self._drain(server, duration_us)
         else:  # `start` or `zone`: the server stops and restarts
             self._stop(server)
-            simulation.after(duration_us, partial(self._start, server))
+            simulation.call_later(duration_us, partial(self._start, server))
 
     def _recover(self, server: Server) -> None:
         server.hung = False
@@ -146,7 +146,7 @@
             for request, client in node.clients.items():
                 if client.established and client.server is server:
                     span = rng.uniform(0, min(within, REPORT_WITHIN_US))
-                    self._simulation.after(
+                    self._simulation.call_later(
                         span, partial(self._simulation.clients.report_load, client, request)
                     )
 
@@ -163,7 +163,7 @@
     def _drain(self, server: Server, span: float) -> None:
         server.availability = int(Availability.DRAINING)
         self._simulation.endpoint_list.schedule_update(server)
-        self._simulation.after(span, partial(self._stop, server))
+        self._simulation.call_later(span, partial(self._stop, server))
 
     def _stop(self, server: Server) -> None:
         server.availability = int(Availability.GONE)
@@ -206,7 +206,7 @@
             simulation.clients.reconnect(client)
         node.clients = {}
         down = float(stream(simulation.seed, "down", node.number, node.incarnation).uniform(*RESTART_S))
-        simulation.after(down * SECOND, partial(simulation.start_node, node))
+        simulation.call_later(down * SECOND, partial(simulation.start_node, node))
 
     def _shut_down_node(self, node: Node) -> None:
         """Shut a node down as SIGTERM does: it takes no new requests, migrates its sessions and exits."""
@@ -217,8 +217,8 @@
         established_requests = [request for request, client in node.clients.items() if client.established]
         for position, request in enumerate(established_requests):
             span = SHUTDOWN_S * SECOND * (position + 1) / (len(established_requests) + 1)
-            simulation.after(span, partial(self._migrate, node, node.incarnation, request))
-        simulation.after(SHUTDOWN_S * SECOND, partial(self._exit, node, node.incarnation))
+            simulation.call_later(span, partial(self._migrate, node, node.incarnation, request))
+        simulation.call_later(SHUTDOWN_S * SECOND, partial(self._exit, node, node.incarnation))
 
     def _migrate(self, node: Node, incarnation: int, request: int) -> None:
         if node.incarnation == incarnation:
--- a/stepflow/fleet/latency_reports.py
+++ b/stepflow/fleet/latency_reports.py
@@ -25,12 +25,12 @@
 
     def start(self) -> None:
         """Start the periodic reports."""
-        self._simulation.after(REPORT_EVERY_US, self._report_all)
+        self._simulation.call_later(REPORT_EVERY_US, self._report_all)
 
     def _report_all(self) -> None:
         for node in self._simulation.nodes:
             self._report(node)
-        self._simulation.after(REPORT_EVERY_US, self._report_all)
+        self._simulation.call_later(REPORT_EVERY_US, self._report_all)
 
     def _report(self, node: Node) -> None:
         simulation = self._simulation
--- a/stepflow/fleet/sampling.py
+++ b/stepflow/fleet/sampling.py
@@ -21,7 +21,7 @@
 
     def start(self) -> None:
         """Start sampling."""
-        self._simulation.after(SAMPLE_US, self._sample)
+        self._simulation.call_later(SAMPLE_US, self._sample)
 
     def close(self) -> None:
         """Add each server's mean utilization to the measurements."""
@@ -37,7 +37,7 @@
             self._sample_service(second)
             if simulation.now % SECOND == 0:
                 self._sample_loads()
-        simulation.after(SAMPLE_US, self._sample)
+        simulation.call_later(SAMPLE_US, self._sample)
 
     def _sample_service(self, second: int) -> None:
         simulation, span = self._simulation, SAMPLE_US / SECOND
--- a/stepflow/fleet/scenario.py
+++ b/stepflow/fleet/scenario.py
@@ -127,7 +127,7 @@
 
 
 @dataclass(frozen=True)
-class Seen:
+class TraceMaximum:
     """The highest values in the trace that a scenario was fitted to; 0 if it was fitted to no trace."""
 
     rate: float = 0.0
@@ -148,7 +148,7 @@
     classes: Mapping[str, Class] = field(default_factory=lambda: {"view": Class()})
     faults: tuple[Fault, ...] = ()
     fitted: Fitted = field(default_factory=Fitted)
-    seen: Seen = field(default_factory=Seen)
+    trace_maximum: TraceMaximum = field(default_factory=TraceMaximum)
 
     def sampled(self, seed: int) -> Scenario:
         """Return this scenario for one run, with fitted parameters drawn from their intervals.
@@ -170,8 +170,8 @@
         """Return a text for each quantity of a run that exceeds the trace that the scenario was fitted to."""
         bursts = [fault.times for fault in self.faults if fault.what == "burst"]
         requested = {
-            "connections a second": (self.day.rate * max([1.0, *bursts]), self.seen.rate),
-            "of the fleet's capacity": (peak_load, self.seen.utilization),
+            "connections a second": (self.day.rate * max([1.0, *bursts]), self.trace_maximum.rate),
+            "of the fleet's capacity": (peak_load, self.trace_maximum.utilization),
         }
         return [
             f"up to {most:.3g} {name}, and the trace held {held:.3g} at the most"
@@ -221,7 +221,7 @@
 
 
 _NAMED_BLOCKS: dict[str, type] = {"kind": Kind, "class": Class}
-_UNNAMED_BLOCKS: dict[str, type] = {"day": Day, "fitted": Fitted, "trace": Seen}
+_UNNAMED_BLOCKS: dict[str, type] = {"day": Day, "fitted": Fitted, "trace": TraceMaximum}
 
 
 def load(path: str | Path) -> Scenario:
--- a/stepflow/fleet/simulation.py
+++ b/stepflow/fleet/simulation.py
@@ -125,13 +125,13 @@
         """The time in microseconds since the run began."""
         return self._queue.now
 
-    def at(self, due: int, call: Callable[[], None]) -> None:
+    def call_at(self, due: int, call: Callable[[], None]) -> None:
         """Schedule a call at a time."""
-        self._queue.at(due, call)
+        self._queue.call_at(due, call)
 
-    def after(self, delay: float, call: Callable[[], None]) -> None:
+    def call_later(self, delay: float, call: Callable[[], None]) -> None:
         """Schedule a call after a delay in microseconds."""
-        self._queue.after(delay, call)
+        self._queue.call_later(delay, call)
 
     def run(self) -> Measurements:
         """Run the scenario to its end; return the measurements taken after the warm-up.
@@ -145,9 +145,9 @@
         for number, index in enumerate(self.place_sessions()):
             self.clients.add_established(number, self.servers[index])
         for number in range(self.traffic.established, len(self.traffic.at_us)):
-            self.at(int(self.traffic.at_us[number]), partial(self.clients.arrive, number))
+            self.call_at(int(self.traffic.at_us[number]), partial(self.clients.arrive, number))
         for number, fault in enumerate(self.scenario.faults):
-            self.at(int(fault.at * SECOND), partial(self.faults.begin, number, fault))
+            self.call_at(int(fault.at * SECOND), partial(self.faults.begin, number, fault))
         self._sampler.start()
         self._latency_reports.start()
         end = int((day.warm + day.seconds) * SECOND)
@@ -198,7 +198,7 @@
                 call(node, action)
 
     def _set_timer(self, node: Node, action: SetTimer) -> None:
-        self.after(action.delay_us, partial(self._timer_fired, node, node.incarnation, action.token))
+        self.call_later(action.delay_us, partial(self._timer_fired, node, node.incarnation, action.token))
 
     def _timer_fired(self, node: Node, incarnation: int, token: int) -> None:
         if node.incarnation == incarnation:
--- a/tests/fleet/test_fit.py
+++ b/tests/fleet/test_fit.py
@@ -13,7 +13,7 @@
 from stepflow.fleet.fitting import FitError, fit, scenario_text
 from stepflow.fleet.fitting.estimators import exponential_mean, poisson_rate
 from stepflow.fleet.policy_specs import policy_factory
-from stepflow.fleet.scenario import Day, Fault, Fitted, Scenario, Seen, read
+from stepflow.fleet.scenario import Day, Fault, Fitted, Scenario, TraceMaximum, read
 from stepflow.fleet.simulation import Simulation
 from stepflow.fleet.synth import synth
 from tests.command_kit import command
@@ -90,15 +90,17 @@
     low, high = reread.fitted.rate
     assert 0.88 <= np.mean([low <= rate <= high for rate in rates]) <= 0.99
     assert len({Simulation(reread, seed).scenario.day.life for seed in (1, 2)}) == 2
-    assert reread.extrapolations(reread.seen.utilization) == []
+    assert reread.extrapolations(reread.trace_maximum.utilization) == []
 
 
 def test_a_scenario_beyond_its_trace_is_reported_as_extrapolation() -> None:
     """The trace is that of a calm day, the scenario asks about overload."""
-    seen = Seen(rate=12.0, utilization=0.5)
-    calm = Scenario(Day(rate=10), seen=seen)
+    trace_maximum = TraceMaximum(rate=12.0, utilization=0.5)
+    calm = Scenario(Day(rate=10), trace_maximum=trace_maximum)
     assert calm.extrapolations(0.52) == [] and Scenario(Day(rate=99)).extrapolations(9.0) == []
-    (burst,) = Scenario(Day(rate=10), faults=(Fault("burst", 3, times=2.2),), seen=seen).extrapolations(0.52)
+    (burst,) = Scenario(
+        Day(rate=10), faults=(Fault("burst", 3, times=2.2),), trace_maximum=trace_maximum
+    ).extrapolations(0.52)
     (full,) = calm.extrapolations(0.8)
     assert "22 connections a second" in burst and "0.8 of the fleet's capacity" in full
 
