--- a/tests/node/runtime/test_timers.py
+++ b/tests/node/runtime/test_timers.py
@@ -10,12 +10,12 @@
 from stepflow.node.runtime.counters import Counters
 from stepflow.node.runtime.timers import MIN_CANCELLED_TO_COMPACT, Timers
 from stepflow.node.runtime.transports import Reactor
-from tests.node.runtime.virtual_clock import HandClock
+from tests.node.runtime.virtual_clock import ManualClock
 
 
 def test_timers_fire_in_order_through_one_delayed_call_of_the_reactor() -> None:
     reactor = TwistedClock()
-    timers = Timers(HandClock(reactor), cast(Reactor, reactor), Counters())
+    timers = Timers(ManualClock(reactor), cast(Reactor, reactor), Counters())
     fired: list[int] = []
 
     def fail() -> None:
--- a/tests/node/runtime/virtual_clock.py
+++ b/tests/node/runtime/virtual_clock.py
@@ -9,7 +9,7 @@
 from stepflow.node.runtime.clock import Clock
 
 
-class HandClock(Clock):
+class ManualClock(Clock):
     """A clock whose time is that of Twisted's test clock."""
 
     def __init__(self, reactor: TwistedClock) -> None:
--- a/tests/node/upstreams/test_liveness.py
+++ b/tests/node/upstreams/test_liveness.py
@@ -15,7 +15,7 @@
 from stepflow.node.runtime.timers import Timers
 from stepflow.node.runtime.transports import Reactor
 from stepflow.node.upstreams.liveness import LivenessMonitor, LivenessServices
-from tests.node.runtime.virtual_clock import HandClock
+from tests.node.runtime.virtual_clock import ManualClock
 from tests.node.upstreams.test_session_reports import make_classifier
 
 
@@ -37,7 +37,7 @@
     That line was taken for a stall of the endpoint, and the endpoint's other, idle sessions were ended.
     """
     reactor = TwistedClock()
-    clock = HandClock(reactor)
+    clock = ManualClock(reactor)
     reports: list[object] = []
     core = cast(Core, SimpleNamespace(session_report=lambda *report: reports.append(report)))
     timers = Timers(clock, cast(Reactor, reactor), Counters())
--- a/tests/refused.py
+++ b/tests/refused.py
@@ -28,13 +28,13 @@
         refuse(f"socket family {int(family)}", errno.EAFNOSUPPORT)
 
 
-def no_copy(*args: object) -> int:
+def refuse_copy(*args: object) -> int:
     refuse("sendfile or splice", errno.ENOSYS)
     return 0
 
 
 def main() -> int:
-    os.sendfile = os.splice = no_copy  # type: ignore[assignment]
+    os.sendfile = os.splice = refuse_copy  # type: ignore[assignment]
     sys.addaudithook(hook)
     from stepflow.__main__ import main as node
 
--- a/tests/test_format_files.py
+++ b/tests/test_format_files.py
@@ -20,7 +20,7 @@
 from stepflow.interface import Settings
 from stepflow.node.process.config import ConfigError, load_config
 from stepflow.settings import parse_node_settings, parse_settings
-from tests.test_simhost import batch, boot, host
+from tests.test_simhost import batch, run_host, start_records
 
 KEY = "0123456789abcdef"
 
@@ -409,7 +409,7 @@
 
 
 def test_error_of_the_simulator_names_the_invalid_setting() -> None:
-    done = host(batch(1, boot(1, 5, "classes.count=1\nclasses.0.key_scope=town\n")))
+    done = run_host(batch(1, start_records(1, 5, "classes.count=1\nclasses.0.key_scope=town\n")))
     message = b"stepflow: setting classes.0.key_scope: 'town' is not one of all, zone, cell\n"
     assert (done.returncode, done.stderr) == (1, message)
 
--- a/tests/test_terms.py
+++ b/tests/test_terms.py
@@ -59,7 +59,7 @@
     code = (
         "import tests.refused as r, sys, os, socket, subprocess\n"
         "sys.addaudithook(r.hook)\n"
-        "os.sendfile = r.no_copy\n"
+        "os.sendfile = r.refuse_copy\n"
         "for call in (os.fork, lambda: subprocess.Popen(['true']), lambda: os.system('true'),\n"
         "             lambda: os.posix_spawn('/bin/true', ['true'], {}), lambda: os.sendfile(1, 0, 0, 1),\n"
         "             lambda: socket.socket(socket.AF_INET6)):\n"
