--- a/stepflow/cli/fleet.py
+++ b/stepflow/cli/fleet.py
@@ -46,7 +46,7 @@
     for source in sources:
         paths += journals(source) if Path(source).is_dir() else [source]
     if not paths:
-        raise InputError(f"{sources[0]}: no journal in it")
+        raise InputError(f"{sources[0]}: contains no journals")
 
     with click.progressbar(paths, label="journals", file=sys.stderr) as bar:
         manifest = make(bar, out)
@@ -123,7 +123,7 @@
         span = f"{estimated.low:.4g} to {estimated.high:.4g}"
         rows.append((estimated.name, f"{estimated.value:.4g}", span, str(estimated.events), estimated.flaw))
     print_table(rows)
-    click.echo(f"not in the trace, so by default: {', '.join(fitted.absent)}")
+    click.echo(f"not in the trace, using defaults: {', '.join(fitted.absent)}")
     if out is not None:
         click.echo(f"{out}: {fitted.servers} servers, {fitted.nodes} nodes that recorded")
 
--- a/stepflow/daemon/lines.py
+++ b/stepflow/daemon/lines.py
@@ -62,7 +62,7 @@
         try:
             return list(lexer)
         except ValueError:
-            raise FileError(self._file, line, "a quote that is never closed") from None
+            raise FileError(self._file, line, "unterminated quote") from None
 
     def add(self, words: list[str], line: int) -> None:
         """Add the words of a line; there is at least one."""
@@ -74,7 +74,7 @@
         elif values and values[-1] == "{":
             self._begin_block(Directive(name, tuple(values[:-1]), line))
         elif "{" in values or "}" in values:
-            raise FileError(self._file, line, f"{name}: a brace amid a line")
+            raise FileError(self._file, line, f"{name}: unexpected brace")
         else:
             siblings = self._directives if self._open_block is None else self._block_directives
             siblings.append(Directive(name, tuple(values), line))
@@ -82,19 +82,19 @@
     def finish(self) -> tuple[Directive, ...]:
         """Return all directives; call it after the last line."""
         if self._open_block is not None:
-            message = f"{self._open_block.name}: its block is never closed"
+            message = f"{self._open_block.name}: block is not closed"
             raise FileError(self._file, self._open_block.line, message)
         return tuple(self._directives)
 
     def _begin_block(self, directive: Directive) -> None:
         if self._open_block is not None:
-            message = f"{directive.name}: a block in the block {self._open_block.name!r}"
+            message = f"{directive.name}: nested block in {self._open_block.name!r}"
             raise FileError(self._file, directive.line, message)
         self._open_block, self._block_directives = directive, []
 
     def _close_block(self, values: list[str], line: int) -> None:
         if values:
-            raise FileError(self._file, line, "'}' stands by itself")
+            raise FileError(self._file, line, "'}' must be alone on its line")
         if self._open_block is None:
             raise FileError(self._file, line, "'}' without a block")
         self._directives.append(self._open_block._replace(block=tuple(self._block_directives)))
--- a/stepflow/daemon/model.py
+++ b/stepflow/daemon/model.py
@@ -75,7 +75,7 @@
     for directive in directives:
         name = directive.name
         if name in tree:
-            raise FileError(file, directive.line, f"{name}: stands a second time")
+            raise FileError(file, directive.line, f"{name}: duplicate directive")
         if directive.block is None or directive.values:
             raise FileError(file, directive.line, f"{name}: not a block of directives, as {name} {{")
         directive_at[name] = directive
@@ -95,7 +95,7 @@
     for directive in directives:
         key = f"{path}.{directive.name}"
         if directive.name in values:
-            raise FileError(file, directive.line, f"{key}: stands a second time")
+            raise FileError(file, directive.line, f"{key}: duplicate directive")
         if len(directive.values) != 1:
             message = f"{key}: takes one value, not {len(directive.values)}"
             raise FileError(file, directive.line, message)
--- a/stepflow/fleet/fitting/scenario_text.py
+++ b/stepflow/fleet/fitting/scenario_text.py
@@ -11,7 +11,7 @@
 
 def scenario_text(result: Fit, source: str) -> str:
     """The text of a scenario file; comments at its head name the source, what is absent, and poor fits."""
-    head = [f"# Fitted to {source}", "# Not in the trace, so by default: " + ", ".join(result.absent)]
+    head = [f"# Fitted to {source}", "# Not in the trace, using defaults: " + ", ".join(result.absent)]
     head += [
         f"# Poor fit: {estimate.name}: {estimate.flaw}" for estimate in result.estimates if estimate.flaw
     ]
--- a/stepflow/fleet/rule_checker.py
+++ b/stepflow/fleet/rule_checker.py
@@ -86,13 +86,13 @@
         self._nodes: dict[int, _NodeHistory] = {}
         self.late = Rule("answer or attempt after the deadline, s", 0.07)
         self.unanswered = Rule("requests without an answer", 0)
-        self.extra_answers = Rule("answers too many", 0)
+        self.extra_answers = Rule("extra final answers", 0)
         self.attempts = Rule("attempts of one request over its limit", 0)
-        self.overlap = Rule("attempts while one was out", 0)
-        self.sent_to_draining = Rule("sent after a drain was told, s", 0.5 + SLACK_US / SECOND)
-        self.unlisted = Rule("sent to a server that no list named", 0)
-        self.slow_start = Rule("work sent to a cold server, of what makes it fall", 1)
-        self.migrations = Rule("moves of what does not stand", 0)
+        self.overlap = Rule("attempts while another was active", 0)
+        self.sent_to_draining = Rule("sent after a drain was announced, s", 0.5 + SLACK_US / SECOND)
+        self.unlisted = Rule("sent to an unlisted server", 0)
+        self.slow_start = Rule("load sent to a warming server, of what overloads it", 1)
+        self.migrations = Rule("migrations of sessions not established", 0)
         self.rules = [
             self.late,
             self.unanswered,
--- a/stepflow/fleet/scenario.py
+++ b/stepflow/fleet/scenario.py
@@ -174,7 +174,7 @@
             "of the fleet's capacity": (peak_load, self.seen.utilization),
         }
         return [
-            f"up to {most:.3g} {name}, and the trace held {held:.3g} at the most"
+            f"up to {most:.3g} {name}, but the trace reached at most {held:.3g}"
             for name, (most, held) in requested.items()
             if held and most > EXTRAPOLATION * held
         ]
@@ -261,7 +261,7 @@
                 raise FileError(file, block.line, f"fault {name}: at: required directive is missing")
             faults.append(Fault(name, **pairs))
         elif name in named[block.name]:
-            raise FileError(file, block.line, f"{block.name} {name}: stands a second time")
+            raise FileError(file, block.line, f"{block.name} {name}: duplicate directive")
         else:
             named[block.name][name] = _NAMED_BLOCKS[block.name](
                 **_parse_block(_NAMED_BLOCKS[block.name], block, file)
@@ -288,7 +288,7 @@
                 file, entry.line, f"{where}: no such directive; expected one of {', '.join(known)}"
             )
         if known[entry.name] in pairs:
-            raise FileError(file, entry.line, f"{where}: stands a second time")
+            raise FileError(file, entry.line, f"{where}: duplicate directive")
         if len(entry.values) != 1:
             raise FileError(file, entry.line, f"{where}: takes one value, not {len(entry.values)}")
         value = _parse_value(entry.values[0], types[known[entry.name]])
--- a/stepflow/fleet/synth.py
+++ b/stepflow/fleet/synth.py
@@ -81,7 +81,7 @@
     """
     target = Path(folder)
     if target.exists():
-        raise InputError(f"{target}: is there already")
+        raise InputError(f"{target}: already exists")
     target.mkdir(parents=True)
     writer = JournalWriter(target)
     Simulation(scenario, seed, policy_factory, observers=(writer,)).run()
--- a/stepflow/fleet/trace/converter.py
+++ b/stepflow/fleet/trace/converter.py
@@ -279,7 +279,7 @@
     """
     target = Path(folder)
     if target.exists():
-        raise TraceError(f"{target}: is there already")
+        raise TraceError(f"{target}: already exists")
     temporary = target.with_name(f".{target.name}.{os.getpid()}")
     temporary.mkdir(parents=True)
     try:
--- a/stepflow/interface/settings.py
+++ b/stepflow/interface/settings.py
@@ -149,7 +149,7 @@
             checks[f"price of {name}"] = 0 <= getattr(self.prices, name) < math.inf
         for name, possible in checks.items():
             if not possible:
-                raise ValueError(f"impossible setting: {name}")
+                raise ValueError(f"setting out of range: {name}")
 
     def class_of(self, request: Request) -> RequestClass:
         """Return the class of a request.
--- a/stepflow/node/process/config.py
+++ b/stepflow/node/process/config.py
@@ -91,7 +91,7 @@
         except (SettingsError, ValueError) as error:
             raise self.error(str(error)) from None
         if not self.file.settings.get("classes"):
-            raise self.error("settings.classes: there is none")
+            raise self.error("settings.classes: expected at least one class")
         return settings
 
     def error(self, text: str) -> ConfigError:
@@ -116,14 +116,14 @@
     """
     path = environ.get("GW_CONFIG", "")
     if not path:
-        raise ConfigError("GW_CONFIG names no configuration file")
+        raise ConfigError("GW_CONFIG is not set")
     tree = _read_json_object(path)
     try:
         file = msgspec.convert(tree, PlatformFile)
     except msgspec.ValidationError as error:
         raise ConfigError(f"{path}: {_describe(error)}") from None
     if replaced is not None and (key := find_missing_key(replaced.tree, tree)):
-        raise ConfigError(f"{path}: {key} is missing, or not what it was")
+        raise ConfigError(f"{path}: {key} is missing or has another type than before")
     source = _Source(path, file, environ)
     # The order matters: of several errors, the first is reported.
     ops, seed = source.ops_address(), source.seed()
--- a/stepflow/settings/parser.py
+++ b/stepflow/settings/parser.py
@@ -46,7 +46,7 @@
     reader = SettingsReader(pairs_of_json(tree))
     policy = read_policy_settings(reader)
     if len({cls.name for cls in policy.classes}) < len(policy.classes):
-        raise SettingsError("two classes have one name")
+        raise SettingsError("two classes have the same name")
     return NodeSettings(
         policy=policy,
         connect_timeout=reader.duration("policy_limits.connect_timeout_us", DEFAULT_CONNECT_TIMEOUT),
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -23,7 +23,7 @@
     for line in lines:
         test, _, cause = line.partition(" ")
         if "::" not in test or len(cause.split()) < 2:
-            raise pytest.UsageError(f"KNOWN-RED.txt: not a test, its cause and its issue: {line!r}")
+            raise pytest.UsageError(f"KNOWN-RED.txt: expected a test id, its cause and its issue: {line!r}")
         tests[test] = cause.strip()
     return tests
 
--- a/tests/fleet/test_fit.py
+++ b/tests/fleet/test_fit.py
@@ -107,7 +107,7 @@
     side = Side("trace {\n utilization 0.5\n}\n", "f", "present")
     rows = [(1, Run({"peak_load": 0.5}), Run({"peak_load": 0.7}))]
     assert Comparison((side, side), 0.95, 2, rows, 2).extrapolations() == [
-        "f: up to 0.7 of the fleet's capacity, and the trace held 0.5 at the most"
+        "f: up to 0.7 of the fleet's capacity, but the trace reached at most 0.5"
     ]
 
 
@@ -163,7 +163,7 @@
     day.write_text("day {\n seconds 15\n servers 4\n nodes 1\n rate 6\n life 10\n}\n")
     assert command("fleet", "synth", str(day), "-o", str(journals), "--seed", "2").returncode == 0
     again = command("fleet", "synth", str(day), "-o", str(journals))
-    assert again.returncode == 2 and "is there already" in again.stderr
+    assert again.returncode == 2 and ": already exists" in again.stderr
     assert command("fleet", "convert", str(journals / "n0"), "-o", made).returncode == 0
     out = str(tmp_path / "fitted.conf")
     fit_run = command("fleet", "fit", made, "-o", out)
--- a/tests/fleet/test_fleet.py
+++ b/tests/fleet/test_fleet.py
@@ -206,7 +206,7 @@
         ("day {\n rate nan\n}", "f:2: day.rate: 'nan' is not a valid value"),
         ("fault flood {\n at 3\n}", "f:1: fault: unknown fault 'flood', expected one of hang"),
         ("fault hang {\n}", "f:1: fault hang: at: required directive is missing"),
-        ("class a {\n}\nclass a {\n}", "f:3: class a: stands a second time"),
+        ("class a {\n}\nclass a {\n}", "f:3: class a: duplicate directive"),
         ("day big {\n}", "f:1: day: expected one of the blocks"),
     ],
 )
--- a/tests/fleet/test_trace.py
+++ b/tests/fleet/test_trace.py
@@ -157,7 +157,7 @@
     assert done.returncode == 2 and done.stderr.endswith(f"stepflow: {path}: not a journal of traffic\n")
     assert [one.name for one in tmp_path.iterdir()] == ["j"]
     (tmp_path / "trace").mkdir()
-    with pytest.raises(TraceError, match="is there already"):
+    with pytest.raises(TraceError, match=": already exists"):
         convert([path], tmp_path / "trace")
 
 
--- a/tests/policy/test_fault_scenarios.py
+++ b/tests/policy/test_fault_scenarios.py
@@ -60,9 +60,9 @@
 SLOW = (Fault("slow", 4, 20, part=1.0, share=0.3),)
 RESTARTED = (Fault("zone", 6, 1, part=0.2), Fault("restart", 8, 1, part=0.7, at_once=0.7))
 MUTATIONS: list[tuple[str, str, tuple[Fault, ...], dict[str, str]]] = [
-    ("sent after a drain was told, s", "join", (), {NOT_READY: "endpoint.id in tried"}),
+    ("sent after a drain was announced, s", "join", (), {NOT_READY: "endpoint.id in tried"}),
     (
-        "work sent to a cold server, of what makes it fall",
+        "load sent to a warming server, of what overloads it",
         "join",
         RESTARTED,
         {
@@ -77,7 +77,7 @@
         {MAY_START: "if request.is_attempt_active:"},
     ),
     (
-        "attempts while one was out",
+        "attempts while another was active",
         "split",
         (),
         {
@@ -86,13 +86,13 @@
         },
     ),
     (
-        "answers too many",
+        "extra final answers",
         "zone",
         (),
         {IGNORES_TIMER.format(" or request.is_answered"): IGNORES_TIMER.format(""), REMOVE: "        if"},
     ),
     (
-        "moves of what does not stand",
+        "migrations of sessions not established",
         "zone",
         SLOW,
         {
--- a/tests/test_command_line.py
+++ b/tests/test_command_line.py
@@ -38,7 +38,7 @@
     ("change", "message"),
     [
         ({"settings": []}, "settings: Expected `object`, got `array`"),
-        ({"settings": {}}, "settings.classes: there is none"),
+        ({"settings": {}}, "settings.classes: expected at least one class"),
         ({"name": None}, "name: Expected `str`, got `null`"),
         ({"limits": {"sockets": 8}}, "limits.sockets: Expected `int` >= 64"),
         ({"known": [1]}, "known: Expected `object | null`, got `array`"),
@@ -69,4 +69,4 @@
 
 def test_folder_without_journals_is_an_input_error(tmp_path: Path) -> None:
     done = command("fleet", "convert", str(tmp_path), "-o", str(tmp_path / "trace"))
-    assert done.returncode == 2 and done.stderr == f"stepflow: {tmp_path}: no journal in it\n"
+    assert done.returncode == 2 and done.stderr == f"stepflow: {tmp_path}: contains no journals\n"
--- a/tests/test_format_commands.py
+++ b/tests/test_format_commands.py
@@ -170,7 +170,7 @@
         cwd=ROOT,
     )
     assert (done.returncode, done.stdout) == (2, "")
-    assert done.stderr == "stepflow: GW_CONFIG names no configuration file\n"
+    assert done.stderr == "stepflow: GW_CONFIG is not set\n"
 
 
 def test_package_has_its_names() -> None:
--- a/tests/test_format_files.py
+++ b/tests/test_format_files.py
@@ -185,7 +185,7 @@
         ("log {\n level loud\n}\n", ":2: log.level: Invalid enum value 'loud'"),
         ("log x {\n}\n", ":1: log: not a block of directives, as log {"),
         ("log {\n form text json\n}\n", ":2: log.form: takes one value, not 2"),
-        ("log {\n} x\n", ":2: '}' stands by itself"),
+        ("log {\n} x\n", ":2: '}' must be alone on its line"),
         ("record {\n}\n", ":1: record: Object missing required field `folder`"),
         ("record {\n folder x\n}\n", ":1: record: Object missing required field `key`"),
         (f'record {{\n folder ""\n key {KEY}\n}}\n', ":2: record.folder: Expected `str` of length >= 1"),
@@ -460,7 +460,7 @@
         ("no_such_key", {}),
         ("listen", {"fault": "listen: '' is not HOST:PORT"}),
         ("discovery", {"fault": "discovery: '' is not HOST:PORT"}),
-        ("settings", {"fault": "settings.classes: there is none"}),
+        ("settings", {"fault": "settings.classes: expected at least one class"}),
     ],
 )
 def test_missing_key_of_the_platform_file_has_its_default_or_error(
@@ -489,7 +489,7 @@
         "discovery": "127.9.0.2:2",
         "ops": "127.9.0.3:3",
     }
-    assert platform_by_key({}) == {"fault": "GW_CONFIG names no configuration file"}
+    assert platform_by_key({}) == {"fault": "GW_CONFIG is not set"}
 
 
 def file_with_settings(**settings: object) -> dict[str, Any]:
@@ -529,11 +529,11 @@
             file_with_settings(classes=[{"name": "a", "key_scope": "town"}]),
             ": setting classes.0.key_scope: 'town' is not one of all, zone, cell",
         ),
-        (file_with_settings(classes=[{"name": "a"}, {"name": "a"}]), ": two classes have one name"),
-        (file_with_settings(classes=[]), ": settings.classes: there is none"),
-        (file_with_settings(safety={"cold_share": 1.5}), ": impossible setting: cold_share"),
-        (file_with_settings(safety={"fall_multiple": 0}), ": impossible setting: fall_multiple"),
-        (file_with_settings(tick_us=0), ": impossible setting: tick_us"),
+        (file_with_settings(classes=[{"name": "a"}, {"name": "a"}]), ": two classes have the same name"),
+        (file_with_settings(classes=[]), ": settings.classes: expected at least one class"),
+        (file_with_settings(safety={"cold_share": 1.5}), ": setting out of range: cold_share"),
+        (file_with_settings(safety={"fall_multiple": 0}), ": setting out of range: fall_multiple"),
+        (file_with_settings(tick_us=0), ": setting out of range: tick_us"),
         (None, ": No such file or directory"),
     ],
 )
@@ -566,7 +566,7 @@
 ) -> None:
     before, path = write_config(tmp_path / "before.json", PLATFORM_FILE), tmp_path / "later.json"
     content = platform_by_key(write_config(path, later), before)
-    assert content == {"fault": f"{path}: {key} is missing, or not what it was"}
+    assert content == {"fault": f"{path}: {key} is missing or has another type than before"}
 
 
 def test_reloaded_file_may_omit_the_endpoint_list(tmp_path: Path) -> None:
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -51,7 +51,7 @@
         ("", True, "1 failed"),
         (LINE, False, "1 failed"),
         (LINE * 4, True, "4 lines, 3 at the most"),
-        ("tests/test_it.py::test_red\n", True, "not a test, its cause and its issue"),
+        ("tests/test_it.py::test_red\n", True, "expected a test id, its cause and its issue"),
     ],
 )
 def test_unlisted_failures_and_invalid_lists_fail_the_run(
