--- a/stepflow/interface/settings.py
+++ b/stepflow/interface/settings.py
@@ -159,6 +159,6 @@
         """
         if not 0 <= request.class_index < len(self.classes):
             raise ValueError(
-                f"request {request.id} has class index {request.class_index}, which the settings lack"
+                f"request {request.id} is of class {request.class_index}, which the settings lack"
             )
         return self.classes[request.class_index]
--- a/tests/traffic/test_journal.py
+++ b/tests/traffic/test_journal.py
@@ -81,7 +81,10 @@
         (b"PAR1 and more", "not a journal"),
         (form.FILE_HEAD.pack(form.MAGIC, 0) + b"x" * 20, "not a journal"),
         (form.FILE_HEAD.pack(form.MAGIC, 2) + b"x" * 20, "written in version 2; this program reads up to 1"),
-        (form.encode_file_head() + form.encode_block(b"\x93\x01\x02\x03", 1), "first row is not a header"),
+        (
+            form.encode_file_head() + form.encode_block(b"\x93\x01\x02\x03", 1),
+            "its first row is not a header",
+        ),
         (form.encode_file_head() + form.BLOCK_HEAD.pack(1 << 31, 0), "its header is incomplete or damaged"),
     ],
 )
