--- a/stepflow/interface/settings.py
+++ b/stepflow/interface/settings.py
@@ -149,7 +149,7 @@
             checks[f"price of {name}"] = 0 <= getattr(self.prices, name) < math.inf
         for name, possible in checks.items():
             if not possible:
-                raise ValueError(f"impossible setting: {name}")
+                raise ValueError(f"setting out of range: {name}")
 
     def class_of(self, request: Request) -> RequestClass:
         """Return the class of a request.
@@ -159,6 +159,6 @@
         """
         if not 0 <= request.class_index < len(self.classes):
             raise ValueError(
-                f"request {request.id} has class index {request.class_index}, which the settings lack"
+                f"request {request.id} is of class {request.class_index}, which the settings lack"
             )
         return self.classes[request.class_index]
