--- a/stepflow/node/process/build.py
+++ b/stepflow/node/process/build.py
@@ -38,7 +38,7 @@
 from stepflow.policy import Policy
 from stepflow.upstream import EndpointGroup
 
-LATENCY_THRESHOLD_DIVISOR = 3  # a message is late after the shortest objective divided by this
+LATENCY_THRESHOLD_DIVISOR = 3  # the threshold is the shortest latency objective divided by this
 NEVER_LATE = timedelta(days=1)
 
 
--- a/stepflow/node/process/channel_transport.py
+++ b/stepflow/node/process/channel_transport.py
@@ -17,7 +17,7 @@
 
 from stepflow.node.runtime.transports import Connector, Port, Reactor, Transport, has_unread
 
-MAX_READS = 10_000  # two for each message at the most; data beyond this is taken to have no end
+MAX_READS = 10_000  # a message takes at most two; data that needs more reads is taken to be endless
 BACKLOG = 50
 
 
--- a/stepflow/node/process/config.py
+++ b/stepflow/node/process/config.py
@@ -1,8 +1,9 @@
 """The node's configuration: the platform's file, named by GW_CONFIG.
 
-Responsible for reading the whole file, for the environment variables that supplement it, and for whether a
-file may replace the one before. Owns nothing. Errors: ConfigError, one line that begins with the file's path;
-it is marked transient if reading the file failed for a reason that may pass. Source: docs/settings.md.
+Responsible for reading the whole file, for the environment variables that supplement it, and for deciding
+whether a new file may replace the current one. Owns nothing. Errors: ConfigError, one line that begins with
+the file's path; it is marked transient if reading the file failed for a reason that may pass. Source:
+docs/settings.md.
 """
 
 from __future__ import annotations
@@ -66,7 +67,7 @@
         self.path, self.file, self.environ = path, file, environ
 
     def text(self, key: str) -> str:
-        """Return the value in the file, or that of the environment if the file has none."""
+        """Return the file's value, or the environment's value if the file has none."""
         value: object = msgspec.structs.asdict(self.file)[key]
         return str(value or self.environ.get(f"GW_{key.upper()}", ""))
 
@@ -108,11 +109,11 @@
 def load_config(environ: Mapping[str, str], replaced: NodeConfig | None = None) -> NodeConfig:
     """Return the configuration from the file named by GW_CONFIG.
 
-    GW_NAME, GW_LISTEN and GW_DISCOVERY replace values that the file lacks. A file that replaces the one of
-    `replaced` needs all of its keys: a truncated file would silently bring defaults.
+    GW_NAME, GW_LISTEN and GW_DISCOVERY supply values that the file lacks. If `replaced` is given, the file
+    needs all the keys of the file that it replaces: a truncated file would silently apply defaults.
 
     Raises:
-        ConfigError: The file can't be read or is invalid, or may not replace the one before.
+        ConfigError: The file can't be read or is invalid, or may not replace the current one.
     """
     path = environ.get("GW_CONFIG", "")
     if not path:
@@ -142,7 +143,7 @@
 
 
 def find_missing_key(before: object, now: object, path: str = "") -> str:
-    """Return the path of the first key of `before` that `now` lacks or holds as another type; else empty."""
+    """Return the path of the first key of `before` that `now` lacks or holds as another type, or ""."""
     if isinstance(before, dict):
         if not isinstance(now, dict):
             return path
--- a/stepflow/node/process/handover.py
+++ b/stepflow/node/process/handover.py
@@ -39,7 +39,7 @@
 log = get_logger()
 
 SEARCH_TIMEOUT = timedelta(seconds=2)  # how long a starting process waits for the predecessor's state
-# Between two reports of the open descriptors: the other process's count is this old at the most.
+# Interval between reports of the open descriptors, and so the maximum age of the other process's count.
 DESCRIPTORS_INTERVAL = timedelta(milliseconds=100)
 LISTEN_RETRY_DELAY = timedelta(seconds=1)  # after listening on the path failed
 MAX_PATH_BYTES = 100  # slightly less than the address of a Unix socket can hold
@@ -93,7 +93,7 @@
         self._refuses_successors = False  # whether the process is shutting down
         self.has_successor = False  # whether a successor is connected
         self.successor_serves = False  # whether the successor has reported that it serves
-        self.other_descriptors = 0  # how many the other process holds, as last reported
+        self.other_descriptors = 0  # descriptors that the other process holds, as last reported
 
     def find_predecessor(self, on_found: FoundPredecessor) -> None:
         """Connect to the predecessor, if there is one; `on_found` gets what it hands over."""
@@ -230,7 +230,7 @@
             os.close(endpoint)
 
     def _end_search(self, state: HandoverState | None) -> None:
-        """End the search, with the predecessor's state if one was found; later calls have no effect."""
+        """End the search, with the state of the predecessor if there is one; later calls have no effect."""
         on_found, self._on_found = self._on_found, None
         if on_found is None:
             return
--- a/stepflow/node/process/handover_channel.py
+++ b/stepflow/node/process/handover_channel.py
@@ -61,7 +61,7 @@
         return cast(UnixTransport, self.transport)
 
     def send(self, message: HandoverState | Message) -> None:
-        """Write a message; send the descriptors that belong to it before."""
+        """Write a message; the descriptors that belong to it must have been sent before."""
         self._wire.write(encode_message(message) + self.delimiter)
 
     def send_descriptor(self, descriptor: int) -> None:
--- a/stepflow/node/process/handover_messages.py
+++ b/stepflow/node/process/handover_messages.py
@@ -28,7 +28,7 @@
 
 
 class EndpointSnapshot(msgspec.Struct, frozen=True):
-    """What is learned of an endpoint: cost, weight controller state, and age of the last load report."""
+    """The learned state of an endpoint: cost, weight controller state, and age of the last load report."""
 
     cost: float
     health: float
@@ -39,12 +39,16 @@
 
 
 class Snapshot(msgspec.Struct, frozen=True):
-    """What the policy has learned; classes are keyed by name, as their indexes differ between processes."""
+    """The state that the policy has learned.
+
+    Classes are keyed by name, as their indexes differ between processes.
+    """
 
     loads_counted: int = msgspec.field(name="loads_told")
     mean_load: float
     class_loads: dict[str, float] = msgspec.field(name="class_load")
-    # By kind of endpoint. The key states the unit of all costs, so costs in another unit can't be read.
+    # Costs by kind of endpoint. The stored key names the unit of all costs, so costs in another unit can't
+    # be read.
     kind_costs: dict[int, float] = msgspec.field(name="cost_in_means")
     endpoints: dict[str, EndpointSnapshot] = msgspec.field(name="servers")
     attempt_latency_us: float = msgspec.field(name="wait_us")
@@ -75,7 +79,7 @@
 
 
 class SessionAnswer(msgspec.Struct, frozen=True):
-    """Tells whether the successor has adopted the session that was offered under this number."""
+    """Reports whether the successor has adopted the session that was offered under this number."""
 
     number: int = msgspec.field(name="taken")
     accepted: bool = msgspec.field(name="by_other", default=False)
@@ -88,14 +92,14 @@
 
 
 class DescriptorCount(msgspec.Struct, frozen=True):
-    """Tells how many descriptors the sender holds open; sent at intervals from when it serves."""
+    """The number of descriptors that the sender holds open; sent at intervals once the sender serves."""
 
     descriptors: int
 
 
 Message = SessionOffer | SessionAnswer | SessionsComplete | DescriptorCount
 
-# By the key that identifies the kind, in the order in which the keys are looked up.
+# The kinds of messages by the key that identifies each, in the order in which the keys are looked up.
 _KINDS: dict[str, type[Message]] = {
     "session": SessionOffer,
     "all": SessionsComplete,
--- a/stepflow/node/process/reload.py
+++ b/stepflow/node/process/reload.py
@@ -18,8 +18,8 @@
 
 log = get_logger()
 
-# If reading a file fails with a transient error, it is read again. The node has to know a new configuration
-# 4 s after the signal.
+# If reading a file fails with a transient error, the file is read again. The node has to use a new
+# configuration within 4 s of the signal.
 READ_RETRY_DELAY, READ_RETRY_LIMIT = timedelta(milliseconds=50), timedelta(seconds=3)
 
 # Fields of NodeConfig that a reload applies, or ignores without a warning: the last three matter only at the
--- a/stepflow/node/process/run.py
+++ b/stepflow/node/process/run.py
@@ -26,7 +26,8 @@
 ) -> int:
     """Run the node until SIGTERM or SIGINT; return its exit code.
 
-    `early_reloads` holds the SIGHUPs that arrived before; if there are any, the node reloads once it runs.
+    `early_reloads` holds the SIGHUPs that arrived before the node's handlers were installed; if there are
+    any, the node reloads once it runs.
     """
     log_twisted_events()
     reactor = serving_reactor()
@@ -50,7 +51,7 @@
 
 
 def _install_signal_handlers(node: Node, reactor: Reactor) -> Sequence[int]:
-    """Handle signals in a turn of the reactor; return their numbers."""
+    """Install handlers that process signals in a turn of the reactor; return the signals' numbers."""
     calls: dict[int, Callable[[timedelta], None]] = {
         signal.SIGTERM: node.terminate,
         signal.SIGINT: node.terminate,
@@ -59,7 +60,7 @@
     }
 
     def on_signal(number: int, frame: object) -> None:
-        # The only reactor call that is safe in a signal handler, as in another thread.
+        # `callFromThread` is the only reactor call that is safe in a signal handler, as in another thread.
         reactor.callFromThread(calls[number], node.now())
 
     for number in calls:
--- a/stepflow/node/process/service.py
+++ b/stepflow/node/process/service.py
@@ -50,7 +50,7 @@
         self._listener: ClientListener | None = None
         self._stopped = False
         self._started_at = ZERO
-        self._predecessor_state: HandoverState | None = None  # until all of its sessions have arrived
+        self._predecessor_state: HandoverState | None = None  # kept until all of its sessions have arrived
         self._predecessor_found_at = ZERO
         self.exit_code = 0
 
@@ -93,7 +93,7 @@
         self._parts.core.start(self._parts.upstreams, discovery, known)
         if state.has_snapshot:
             log.info("taking over from predecessor", node=self.name)
-            self._predecessor_state = HandoverState(snapshot=state.snapshot)  # without the list
+            self._predecessor_state = HandoverState(snapshot=state.snapshot)  # the list is not needed again
             self._predecessor_found_at = self.now()
             self._restore_snapshot(state)
         if self._reloader.settings.polls_endpoint_list:
@@ -155,7 +155,7 @@
 
     def handover_state(self) -> tuple[int, HandoverState]:
         """Return the listening socket's descriptor, and the state for a successor."""
-        assert self._listener is not None  # successors are accepted only after clients
+        assert self._listener is not None  # this process awaits a successor only once it accepts clients
         snapshot = take_snapshot(self._parts.policy, micros(self.now()))
         state = HandoverState(endpoint_list=self._parts.endpoint_group.to_message(), snapshot=snapshot)
         return self._listener.fileno(), state
@@ -165,7 +165,7 @@
         return self._parts.descriptors.in_use(self._parts.clients.open_connections)
 
     def adopt_session(self, session: SessionTransfer, client: int, endpoint: int) -> bool:
-        """Adopt a session of the predecessor; return False if it has to stay there."""
+        """Adopt a session of the predecessor; return False if that process has to keep the session."""
         return self._can_serve() and self._parts.clients.adopt(session, client, endpoint)
 
     def sessions_complete(self) -> None:
@@ -203,7 +203,7 @@
             self._reactor.stop()
 
     def close(self) -> None:
-        """End the recording, and close what stays open after the clients' connections."""
+        """End the recording, and close the connections to the other process, discovery and endpoints."""
         shutdown = self._parts.shutdown
         left = shutdown.time_left() if shutdown.has_begun else CLOSE_WAIT
         self._parts.recording.end(max(left, CLOSE_WAIT))
--- a/stepflow/node/process/shutdown.py
+++ b/stepflow/node/process/shutdown.py
@@ -1,7 +1,7 @@
 """Graceful shutdown after SIGTERM: the process hands over or migrates its sessions, answers, and exits.
 
 Responsible for the order of those steps; shutdown_schedule.py computes when each is due, and docs/endings.md
-says what is owed to clients and endpoints at each. Owns the session offers that the successor has not
+lists what clients and endpoints must receive at each. Owns the session offers that the successor has not
 answered yet. Points in time are timedeltas of the node's clock.
 """
 
@@ -30,8 +30,8 @@
 log = get_logger()
 
 OFFER_INTERVAL = timedelta(milliseconds=20)  # between two passes over the sessions to offer
-# While a session is offered, neither process reads it; an end that arrives meanwhile has to be passed on
-# within a second.
+# While a session is offered, neither process reads its connections; the end of one of them that arrives
+# meanwhile has to be relayed within a second.
 OFFER_TIMEOUT = LINGER_TIMEOUT
 MAX_OPEN_OFFERS = 32  # each open offer holds two descriptors in both processes
 CLIENTS_CHECK_INTERVAL = timedelta(milliseconds=50)  # between checks whether all clients have disconnected
@@ -82,7 +82,8 @@
         """Begin the shutdown; later calls have no effect.
 
         All steps are timed from `signalled_at`, when the signal arrived: a busy process handles it late.
-        Without a listener the process has accepted no client yet, so it owes no answers and stops at once.
+        Without a listener the process has accepted no client yet, so it has no request to answer and stops at
+        once.
         """
         if self.has_begun:
             return
@@ -108,7 +109,7 @@
     # Shutdown with a successor.
 
     def _check_successor(self) -> None:
-        """Go on serving until the successor serves, or until `listener_end` if there is no successor.
+        """Keep serving until the successor serves, or until `listener_end` if there is no successor.
 
         A connected successor may still be starting, so its state is checked every `OFFER_INTERVAL`.
         """
@@ -154,14 +155,14 @@
         self._timers.after(OFFER_INTERVAL, self._offer_sessions)
 
     def _withdraw_offers(self) -> None:
-        """Treat every open offer as refused: no answer will come, or none in time."""
+        """Treat every open offer as refused: its answer will not come, or not in time."""
         for number in tuple(self._offers):
             self.session_answered(number, False)
 
     def _withdraw_overdue_offers(self) -> None:
         """Migrate the sessions whose offers have been open for `OFFER_TIMEOUT`.
 
-        A successor that still adopts one of them finds both of its connections ended.
+        A successor that adopts such a session afterwards finds both of the session's connections ended.
         """
         now = self._clock.now()
         for number, offer in tuple(self._offers.items()):
@@ -186,7 +187,7 @@
         self._close_listener()
         # A session is served here until it is migrated, and a client that is migrated early may find no other
         # node: in a rolling restart, the nodes that restarted earlier may still be starting, but are back
-        # before this one exits. So the migrations use all the time left.
+        # before this one exits. So the migrations extend to the end of the time left.
         left = self._signalled_at + self._schedule().sessions_end - self._clock.now()
         sessions = self._core.established_sessions()
         delays = migration_delays(left, len(sessions), MIGRATION_START_SHARE)
--- a/stepflow/node/process/shutdown_schedule.py
+++ b/stepflow/node/process/shutdown_schedule.py
@@ -1,8 +1,8 @@
 """The schedule of a graceful shutdown, counted from SIGTERM.
 
-Responsible for how long each phase takes; owns nothing. All durations are timedeltas. Source:
+Responsible for the length of each phase; owns nothing. All durations are timedeltas. Source:
 docs/endings.md, and the platform's protocol ("Figures"): clients keep connecting for up to 0.4 s, and SIGKILL
-comes no sooner than 0.7 s after the longest deadline, which counts as 3 s at the most.
+comes no sooner than 0.7 s after the longest deadline, which counts as at most 3 s.
 """
 
 from __future__ import annotations
@@ -10,12 +10,12 @@
 from datetime import timedelta
 from typing import NamedTuple
 
-CLIENT_LINGER = timedelta(milliseconds=450)  # no client connects any more after this
+CLIENT_LINGER = timedelta(milliseconds=450)  # no client connects later than this
 MAX_DEADLINE_COUNTED = timedelta(seconds=3)
 KILL_AFTER = timedelta(milliseconds=700)
-EXIT_TIME = timedelta(milliseconds=150)  # taken by the exit itself on a busy core
-LAST_ANSWERS_TIME = timedelta(milliseconds=500)  # limit for clients to read the last answers
-# Share of the time from the listener's end to the last migration in which no session is migrated yet.
+EXIT_TIME = timedelta(milliseconds=150)  # time that the exit itself takes on a busy core
+LAST_ANSWERS_TIME = timedelta(milliseconds=500)  # time limit for clients to read the last answers
+# No session is migrated in this first share of the time from the listener's end to the last migration.
 MIGRATION_START_SHARE = 0.55
 
 
@@ -36,5 +36,5 @@
 
 
 def migration_delays(span: timedelta, count: int, start_share: float) -> list[timedelta]:
-    """Return the delays of `count` migrations, spread evenly over `span` less its first `start_share`."""
+    """Return the delays of `count` migrations, spread evenly over `span` except its first `start_share`."""
     return [span * (start_share + (1 - start_share) * i / count) for i in range(1, count + 1)]
--- a/stepflow/node/process/start.py
+++ b/stepflow/node/process/start.py
@@ -1,7 +1,7 @@
 """Starts a node's process: reads its two files, sets up the logs, and runs the node.
 
 Responsible for exit code 2 if a file is invalid, and for signals that arrive before the node runs. If reading
-a file fails with a transient error, it is read again (stepflow/errors.py).
+a file fails with a transient error, the file is read again (stepflow/errors.py).
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 
 
 def load_operator_file() -> OperatorFile:
-    """Read the operators' file: STEPFLOW_CONF, or else the default path, where no file means an empty one."""
+    """Read the operators' file at STEPFLOW_CONF or the default path; a missing default file is empty."""
     if path := os.environ.get("STEPFLOW_CONF", ""):
         return read(path)
     try:
@@ -39,7 +39,7 @@
 
 def start() -> int:
     """Read the files and run the node; return the exit code, which is 2 if a file is invalid."""
-    early_reloads: list[int] = []  # SIGHUPs received before the node runs, maybe after its files were read
+    early_reloads: list[int] = []  # SIGHUPs received before the node runs; its files may be read already
     signal.signal(signal.SIGHUP, lambda number, frame: early_reloads.append(number))
     try:
         operator_file = read_with_retries(load_operator_file)
--- a/stepflow/node/relay/__init__.py
+++ b/stepflow/node/relay/__init__.py
@@ -1,4 +1,4 @@
-"""The relay of established sessions: forwards bytes in both directions, then the end of the connection.
+"""The relay of established sessions: forwards bytes in both directions, and then the end of each.
 
 `relay` joins the two connections of a session. `closing` ends one connection after its data is delivered.
 `client_stall` detects clients that stop reading. `pending_echoes` times lines that have no echo yet.
--- a/stepflow/node/relay/client_stall.py
+++ b/stepflow/node/relay/client_stall.py
@@ -1,8 +1,8 @@
 """Detects clients that have stopped reading while data for them is buffered.
 
 Backpressure from such a client pauses its endpoint, and both connections would stay open forever. PROTOCOL
-requires its connection to end within 3 s, and within 1 s once its endpoint has ended. A client that reads
-slowly is not closed.
+requires the client's connection to end within 3 s, and within 1 s once the endpoint's has ended. A client
+that reads slowly is not closed.
 """
 
 from __future__ import annotations
@@ -44,7 +44,7 @@
         self._ended_since: timedelta | None = None  # when the endpoint's end was detected
 
     def buffer_full_changed(self, full: bool) -> None:
-        """Start watching when the client's buffer is full; stop when it has been sent."""
+        """Start watching when the client's buffer is full; stop when the buffer has been sent."""
         self._cancel()
         if full and self._on_stalled is not None:
             self._check_later(unsent_bytes(self._client), self._clock.now())
@@ -62,7 +62,7 @@
         self._timer = self._timers.after(CLIENT_STALL_CHECK_INTERVAL, partial(self._check, unsent, since))
 
     def _check(self, unsent: int, since: timedelta) -> None:
-        """Report the client if its `unsent` bytes have not decreased from `since` until its timeout."""
+        """Report the client if its `unsent` bytes have not decreased for the timeout since `since`."""
         still_unsent, now = unsent_bytes(self._client), self._clock.now()
         if self._ended_since is None and has_ended(self._endpoint):
             self._ended_since = now
--- a/stepflow/node/relay/closing.py
+++ b/stepflow/node/relay/closing.py
@@ -1,8 +1,8 @@
 """Ends one connection of a session, by a FIN or a reset, after everything written to it was delivered.
 
 Data that one side wrote before it ended its connection has to reach the other side before that end does. So
-an end waits for the bytes before it, for at most `LINGER_TIMEOUT`. Nothing here raises an exception. Source:
-PROTOCOL, "Figures".
+an end is relayed after the bytes before it; it waits for them for at most `LINGER_TIMEOUT`. Nothing here
+raises an exception. Source: PROTOCOL, "Figures".
 """
 
 from __future__ import annotations
@@ -43,7 +43,7 @@
         self.tcp_transport = tcp_transport
         self._source, self._clock, self._timers = source, clock, timers
         self._log: SideLog | None = log
-        self._timer: Timer | None = None  # of the next step: linger, delivery check or close deadline
+        self._timer: Timer | None = None  # for the linger timeout, delivery check or close deadline
         self._ending_since = ZERO
         self._input_ended = self._output_ended = self._resetting = False
 
@@ -59,7 +59,7 @@
             self.tcp_transport.loseConnection()
 
     def send_fin(self) -> None:
-        """Send a FIN after the data written so far, and wait up to `LINGER_TIMEOUT` for this side's FIN.
+        """Send a FIN after the data written so far, and wait up to `LINGER_TIMEOUT` for a FIN from this side.
 
         Closing at once while received data is unread would send a reset, which can make the other host
         discard data that it has not read yet.
@@ -93,7 +93,7 @@
         self._log = None
 
     def _begin_end(self, cause: EndCause) -> bool:
-        """Refuse further data for this side and start the linger timeout; return False if it was ending."""
+        """Refuse further data for this side and start the linger timeout; return False if already ending."""
         if self._output_ended:
             return False
         self._output_ended = True
@@ -114,7 +114,7 @@
             self._expire()
 
     def _expire(self) -> None:
-        """Close the connection; the kernel goes on delivering what it holds, unless the close is a reset."""
+        """Close the connection; the kernel keeps delivering its data, unless the close is a reset."""
         if unsent_bytes(self.tcp_transport):
             self._report_dropped()
         self._watch_close()
--- a/stepflow/node/relay/pending_echoes.py
+++ b/stepflow/node/relay/pending_echoes.py
@@ -11,7 +11,7 @@
 class PendingEchoes:
     """Counts the lines without an echo, and stores the send times of the oldest `MAX_TIMED_LINES`.
 
-    A line beyond those is timed from when an echo frees an entry for it, so its age is never overestimated.
+    Any further line is timed from when an echo frees an entry for it, so its age is never overestimated.
     """
 
     def __init__(self) -> None:
--- a/stepflow/node/relay/relay.py
+++ b/stepflow/node/relay/relay.py
@@ -36,8 +36,8 @@
 )
 from stepflow.node.upstreams.liveness import LivenessMonitor
 
-# A session whose oldest line has had no echo for this long is broken. It has to end within 7 s of its
-# endpoint's last line, and up to 2 s of these pass before the client sends the next line.
+# A session whose oldest line has had no echo for this long is broken. Such a session has to end within 7 s of
+# its endpoint's last line, and up to 2 s of the 7 s pass before the client sends the next line.
 ECHO_TIMEOUT = timedelta(milliseconds=2500)
 
 MIGRATE_LINE = b"MOVE\r\n"
@@ -48,7 +48,7 @@
 
 
 class TransferState(NamedTuple):
-    """The state of a session to hand over: its sockets, and what the relay knows beyond them.
+    """The state of a session to hand over: its sockets, half lines and pending echoes.
 
     `SessionTransfer`, the hand-over's message, has fields of the same names.
     """
@@ -82,9 +82,9 @@
 class Relay:
     """Joins a client and its endpoint from UP until the session ends, is migrated or is handed over.
 
-    `on_ended` is called once, when the session has ended and its connections remain to be closed; not after a
-    hand-over. The protocols on both sides have to drop their reference to the relay in `connectionLost`: the
-    relay refers to both, so that reference counting alone would free none of the three.
+    `on_ended` is called once, when the session has ended and its connections remain to be closed; it is not
+    called after a hand-over. The protocols on both sides have to drop their reference to the relay in
+    `connectionLost`: the relay refers to both, so that reference counting alone would free none of the three.
     """
 
     def __init__(
@@ -101,7 +101,7 @@
         self._client_lines, self._upstream_lines = LineScanner(), LineScanner()
         self._pending_echoes = PendingEchoes()
         self._echo_timer: Timer | None = None
-        self._line_timer: Timer | None = None  # of a migration that waits for the endpoint's half line
+        self._line_timer: Timer | None = None  # limits a migration's wait for the endpoint's half line
         self._client = self._side(client.tcp_transport, upstream.tcp_transport, Side.CLIENT)
         self._upstream = self._side(upstream.tcp_transport, client.tcp_transport, Side.ENDPOINT)
         self._client_stall = ClientStallWatch(
@@ -185,7 +185,7 @@
     # Echo timeout.
 
     def _check_echo(self) -> None:
-        """Migrate the session if the oldest pending line has timed out; else check again when it would."""
+        """Migrate the session if the oldest pending line has timed out; else check again when it is due."""
         self._echo_timer = None
         oldest = self._pending_echoes.oldest
         if self._finished or self._offered or oldest is None:
@@ -222,7 +222,7 @@
         self._migrating = True
         if self._upstream_lines.between_lines:
             self._migrate_now()
-        else:  # bounded: the endpoint may never finish its line
+        else:  # a bounded wait: the endpoint may never finish its line
             self._line_timer = self._timers.after(LINGER_TIMEOUT, self._migrate_now)
 
     def _migrate_now(self) -> None:
@@ -237,7 +237,7 @@
     # Hand-over to another process.
 
     def prepare_transfer(self) -> TransferState | None:
-        """Stop reading and return the session's state; None if data is unsent or it is ending."""
+        """Stop reading and return the session's state; None if data is unsent or the session is ending."""
         if self._finished or self._migrating or self._offered:
             return None
         client, upstream = self._client.tcp_transport, self._upstream.tcp_transport
@@ -313,8 +313,8 @@
     def upstream_lost(self, reset: bool, network_failed: bool) -> AttemptResult:
         """End the client's connection in the same way as the endpoint's, which is closed; return the result.
 
-        After a network failure the endpoint itself has ended nothing, so the client is migrated if the
-        endpoint's data ends with a whole line.
+        After a network failure the endpoint itself has not ended the connection, so the client is migrated if
+        the endpoint's data ends with a whole line.
         """
         self._upstream.closed()
         migrates = not self._finished and network_failed and self._upstream_lines.between_lines
