--- a/stepflow/node/runtime/connection.py
+++ b/stepflow/node/runtime/connection.py
@@ -66,7 +66,7 @@
     connected: int
     _aborting: bool
 
-    broken_by = 0  # error number; 0 if no error has occurred, and after a FIN
+    broken_by = 0  # number of the error that broke the connection; 0 without an error, and after a FIN
     left_unread = 0  # bytes left unread in the kernel, set when the socket is closed
     _held_end: Failure | None = None  # the end of a broken connection, while data before it is unread
     _is_paused = False
--- a/stepflow/node/runtime/connection_log.py
+++ b/stepflow/node/runtime/connection_log.py
@@ -48,8 +48,8 @@
     def closed(self, request_id: str, side: Side, how: str, answered: bool) -> None:
         """Log that a socket is closed.
 
-        `how` is the name of Twisted's exception or of the error number; `answered` says whether the client
-        had received its answer, or the attempt the endpoint's answer.
+        `how` is the name of Twisted's exception or of the error number. `answered` says whether the client
+        had received its answer or, for an attempt's connection, whether the endpoint had answered.
         """
         if debugging():
             log.debug("connection closed", request=request_id, side=side.value, how=how, answered=answered)
--- a/stepflow/node/runtime/counters.py
+++ b/stepflow/node/runtime/counters.py
@@ -25,7 +25,7 @@
 
     clients: int = 0  # client connections accepted
     requests: int = 0  # OPEN lines accepted
-    standing: int = 0  # of these, from clients that return to the endpoint of a previous session
+    standing: int = 0  # OPEN lines accepted from clients that return to the endpoint of a previous session
     accept_failures: int = 0  # accept calls that failed for lack of descriptors or memory
     malformed: int = 0  # clients answered ERR for bad or late input; sessions ended by an overlong line
     evicted: int = 0  # connections closed for lack of descriptors before OPEN; stalled clients of sessions
@@ -50,7 +50,7 @@
     late_deadlines: int = 0  # times that timers fired over 0.25 s late
     truncated: int = 0  # connections of sessions that were closed with bytes for them dropped
     outlived: int = 0  # connections still open 1 s after this process decided to close them
-    classes: dict[str, ClassCounts] = field(default_factory=dict)  # by name; kept when a class is removed
+    classes: dict[str, ClassCounts] = field(default_factory=dict)  # by class; kept when a class is removed
 
     def for_class(self, name: str) -> ClassCounts:
         """The counts of a class, created with zeros on first use."""
--- a/stepflow/node/runtime/lines.py
+++ b/stepflow/node/runtime/lines.py
@@ -29,7 +29,7 @@
     """
 
     delimiter = b"\r\n"
-    MAX_LENGTH = 4096  # of a line, including its delimiter
+    MAX_LENGTH = 4096  # bytes of a line, including its delimiter
 
     def __init__(self) -> None:
         self._buffer = b""
--- a/stepflow/node/runtime/reactor.py
+++ b/stepflow/node/runtime/reactor.py
@@ -3,10 +3,10 @@
 It changes three behaviors of Twisted, through names that Twisted doesn't document:
 
 - Twisted schedules calls by `time.time`. After the wall clock is set back, a due call waits until the clock
-  has caught up; after it is set forward, calls are made too early, timeouts of connections among them. Here
+  has caught up; after it is set forward, calls are made too early, including timeouts of connections. Here
   calls are scheduled by the monotonic clock.
-- Twisted keeps a file descriptor in reserve. Once no other is left, it uses that one to accept and close all
-  waiting clients. Here they wait until a descriptor is free.
+- Twisted keeps a file descriptor in reserve. Once no other is left, it uses the reserved one to accept and
+  close all waiting clients. Here the clients wait until a descriptor is free.
 - Twisted raises the error of a failed epoll_ctl(2) in whatever call starts or stops reading or writing. Here
   the registration of a descriptor for which the kernel lacks memory is retried after a short delay.
 """
--- a/stepflow/node/runtime/request_log.py
+++ b/stepflow/node/runtime/request_log.py
@@ -76,7 +76,7 @@
             )
 
     def answered(self, context: LoggedRequest, answer: str, reason: str) -> None:
-        """Log the final answer of a request, or that its client left; `reason` names what decided it."""
+        """Log the final answer of a request, or that its client left; `reason` names the cause."""
         time_left = self._time_left(context)
         if time_left < -OVERDUE_AFTER:
             self._counters.overdue += 1
--- a/stepflow/node/runtime/timers.py
+++ b/stepflow/node/runtime/timers.py
@@ -37,7 +37,7 @@
             self._timers.count_cancelled()
 
     def fire(self) -> None:
-        """Make the call, and drop the reference to it, which frees the objects that it holds."""
+        """Make the call, and drop the reference to the call, which frees the objects that the call holds."""
         call, self._call = self._call, _no_op
         call()
 
@@ -77,7 +77,7 @@
         return self.at(self._clock.now() + span, call)
 
     def count_cancelled(self) -> None:
-        """Count a cancelled timer; compact the heap once there are many and they exceed half of it."""
+        """Count a cancelled timer; compact the heap once there are many and they fill over half of it."""
         self._cancelled += 1
         if self._cancelled >= MIN_CANCELLED_TO_COMPACT and 2 * self._cancelled > len(self._heap):
             self._heap = [entry for entry in self._heap if entry[2].is_pending]
--- a/stepflow/node/runtime/transports.py
+++ b/stepflow/node/runtime/transports.py
@@ -18,7 +18,7 @@
 from twisted.python.failure import Failure
 
 CLOSED_DESCRIPTOR = -1  # `fileno()` of a closed transport
-MAX_PENDING_BYTES = 1 << 18  # read at once from one connection, by `read_pending`
+MAX_PENDING_BYTES = 1 << 18  # limit of the bytes that one call of `read_pending` reads
 
 
 class DelayedCall(Protocol):
@@ -168,13 +168,13 @@
 
 
 def unacknowledged_bytes(descriptor: int) -> int:
-    """The number of sent bytes that the other host has not acknowledged; 0 as for `unread_bytes`."""
+    """The number of sent bytes that the other host has not acknowledged; 0 if unknown or closed."""
     return _queue_length(descriptor, termios.TIOCOUTQ)
 
 
 def _queue_length(descriptor: int, request: int) -> int:
     """The length of a socket's queue; `request` is SIOCINQ or SIOCOUTQ of tcp(7), by its older name."""
-    if descriptor == CLOSED_DESCRIPTOR:  # for which ioctl raises ValueError, and would interrupt a close
+    if descriptor == CLOSED_DESCRIPTOR:  # ioctl raises ValueError for it, which would interrupt a close
         return 0
     length = array("i", [0])
     try:
@@ -203,9 +203,9 @@
 
 
 def flush(transport: Transport) -> None:
-    """Write buffered data now instead of in the reactor's next turn, in which an error is handled.
+    """Write buffered data now instead of in the reactor's next turn; an error is handled in that turn.
 
-    Repeats partial writes until the kernel accepts no more.
+    Partial writes are repeated until the kernel accepts no more data.
     """
     while unsent := unsent_bytes(transport):
         cast(Any, transport).doWrite()
--- a/stepflow/node/runtime/wall_clock.py
+++ b/stepflow/node/runtime/wall_clock.py
@@ -39,5 +39,5 @@
 
 
 def _wall_clock_offset() -> timedelta:
-    """How far the wall clock is ahead of the monotonic clock."""
+    """The time by which the wall clock is ahead of the monotonic clock."""
     return timedelta(microseconds=(time.time_ns() - time.monotonic_ns()) // NS_PER_MICROSECOND)
