--- a/stepflow/node/clients/admission.py
+++ b/stepflow/node/clients/admission.py
@@ -3,8 +3,8 @@
 An unopened connection has not sent a complete OPEN line yet. It uses a descriptor and carries no session, so
 unopened connections are evicted when descriptors run low; otherwise many silent connections could keep real
 clients out. This module owns the count of open client connections and the list of unopened ones. The
-connections own their sockets and close them themselves. Units are descriptors. This module raises no errors
-of its own.
+connections own their sockets and close them themselves. Free space is counted in descriptors. This module
+raises no errors of its own.
 
 Sources: docs/design.md for the rule, docs/endings.md for what is sent to an evicted client.
 """
@@ -71,7 +71,7 @@
             self._within_line[client] = None
 
     def remove_candidate(self, client: UnopenedClient) -> None:
-        """Exclude a client from eviction, since it has opened or is being closed."""
+        """Exclude a client from eviction, since it has sent its OPEN line or is being closed."""
         self._between_lines.pop(client, None)
         self._within_line.pop(client, None)
 
@@ -83,7 +83,7 @@
         return (*self._between_lines, *self._within_line)
 
     def ensure_descriptor(self) -> bool:
-        """Evict a client if few descriptors are free; return whether one is free for another connection.
+        """Evict a client if few descriptors are free; return whether a descriptor is free for a connection.
 
         Clients with unread bytes are skipped: closing a socket with unread bytes sends a reset, which could
         overtake the answer.
--- a/stepflow/node/clients/connection.py
+++ b/stepflow/node/clients/connection.py
@@ -38,12 +38,12 @@
 from stepflow.node.upstreams.attempt import UpstreamAttempt
 
 # Counted from the time of connection. Neither single bytes nor PINGs extend it, since many clients that send
-# those could hold all of the node's descriptors. Real clients may take 2 s to write their line; bad clients
-# must get an answer within 3 s.
+# those could hold all of the node's descriptors. Real clients may take 2 s to write their OPEN line; bad
+# clients must get an answer within 3 s.
 FIRST_LINE_TIMEOUT = timedelta(seconds=2.6)
-CLOSE_TIMEOUT = timedelta(milliseconds=600)  # for the client to read its answer and close
+CLOSE_TIMEOUT = timedelta(milliseconds=600)  # time for the client to read its answer and close
 MAX_PINGS = 8  # per connection
-MAX_DISCARDED_BYTES = 1 << 18  # after the answer; then reading is paused
+MAX_DISCARDED_BYTES = 1 << 18  # bytes discarded after the answer before reading is paused
 
 log = get_logger()
 
@@ -63,8 +63,8 @@
 class ClientConnection(LineProtocol):
     """The protocol of one client connection; owns the socket until a relay takes it over.
 
-    `request_ids` holds the ids of all open requests of the node; the connection adds the id of its own.
-    `parse` parses an OPEN line by the current settings.
+    `request_ids` holds the ids of all open requests of the node; the connection adds the id of its own
+    request. `parse` parses an OPEN line by the current settings.
     """
 
     def __init__(
@@ -165,7 +165,7 @@
             self._request_ids.discard(self._registered_id)
         if self._relay is not None:
             self._relay.client_lost(reset=was_reset(reason))
-            # Both refer to this connection; reference counting could free none of the three objects.
+            # Relay and context refer to this connection; reference counting could free none of the three.
             self._relay = self._context = None
         else:
             self._release_request()
@@ -223,7 +223,7 @@
         self._registered_id, self._context = id, context
 
     def restore_transferred(self, session: SessionTransfer) -> None:
-        """Pass the half lines and the number of owed echoes from the predecessor to the relay."""
+        """Pass the predecessor's half lines and its number of pending echoes to the relay."""
         if self._relay is not None:
             self._relay.restore_transferred(*session.half_lines(), session.echoes_owed)
 
@@ -305,7 +305,7 @@
     def _end_unopened_stage(self) -> None:
         """Exclude the connection from eviction and cancel its timer.
 
-        Called when the client has opened, or its lines are no longer read.
+        Called when the OPEN line has arrived, or when the client's lines are no longer read.
         """
         self._admission.remove_candidate(self)
         self._cancel_timer()
--- a/stepflow/node/clients/factory.py
+++ b/stepflow/node/clients/factory.py
@@ -46,8 +46,8 @@
         self.classes, self.tenants = classes, tenants
         self._services, self._reactor, self._upstreams = services, reactor, upstreams
         self._admission = DescriptorAdmission(free_descriptors, services.counters)
-        self._request_ids: set[int] = set()  # of open requests
-        # Bound once and shared, or each connection would hold a bound method of its own.
+        self._request_ids: set[int] = set()  # ids of open requests
+        # Bound once and shared, since otherwise each connection would hold a bound method of its own.
         self._parse_line: Callable[[bytes], OpenRequest] = self._parse
 
     @property
--- a/stepflow/node/clients/listener.py
+++ b/stepflow/node/clients/listener.py
@@ -1,11 +1,12 @@
 """The listening socket: keeps accepting clients after errors of accept(2), and closes without resets.
 
 The port owns the listening socket, which two processes may share during a hand-over. An error of accept(2)
-that concerns a single connection is ignored; any other one is counted as `accept_failures`, and accepting
-resumes after `ACCEPT_RETRY_DELAY`. An exception while a client's protocol is created is logged and counted as
-a fault, and ends only that client's connection. `listen` raises OSError if the address can't be bound.
+that concerns a single connection is ignored; any other error, except EAGAIN and EINTR, is counted as
+`accept_failures`, and accepting resumes after `ACCEPT_RETRY_DELAY`. An exception while a client's protocol is
+created is logged and counted as a fault, and ends only that client's connection. `listen` raises OSError if
+the address can't be bound.
 
-Source for clients in the kernel's accept queue when the socket closes: docs/endings.md.
+Source for the treatment of clients in the kernel's accept queue when the socket closes: docs/endings.md.
 """
 
 # Twisted's ports have no type annotations.
@@ -34,7 +35,7 @@
 log = get_logger()
 
 BACKLOG = 4096  # connections; all clients of a failed node reconnect at once
-MAX_ACCEPTS_PER_TURN = 200  # of the reactor, which also serves other sockets
+MAX_ACCEPTS_PER_TURN = 200  # clients accepted in one turn of the reactor, which also serves other sockets
 
 
 class ClientListener(Protocol):
@@ -64,7 +65,7 @@
     """
 
     counters: Counters  # set by `listen`, since Twisted creates the port
-    is_accepting = True  # False once stopped or closed; another process may still accept
+    is_accepting = True  # False once stopped or closed; another process may still accept clients
     _is_paused = False
 
     def doRead(self) -> None:
--- a/stepflow/node/clients/open_request.py
+++ b/stepflow/node/clients/open_request.py
@@ -1,6 +1,6 @@
 """Parses the OPEN line, with which a client requests a session.
 
-Parsing depends on the line and its arguments only; it does no I/O and keeps no state. The line is
+Parsing depends on its arguments only; it does no I/O and keeps no state. The line is
 
     OPEN ID KEY NAME=VALUE,NAME=VALUE,...
 
@@ -28,7 +28,7 @@
 WORD_COUNT = 4  # OPEN, ID, KEY and the list of fields
 FIRST_PRINTABLE, DELETE = 0x20, 0x7F  # the bounds of the printable ASCII characters
 
-# int() and float() also accept signs, underscores, prefixes, `nan` and `inf`, which endpoints don't.
+# int() and float() also accept signs, underscores, prefixes, `nan` and `inf`, which endpoints reject.
 _HEXADECIMAL = re.compile(rb"[0-9A-Fa-f]{1,16}")
 _MILLISECONDS = re.compile(rb"[0-9]{1,9}")
 _LOAD = re.compile(rb"[0-9]{1,15}(\.[0-9]{1,15})?([eE][-+]?[0-9]{1,2})?")
@@ -125,7 +125,7 @@
 
 
 def _check_numbers(id: bytes, key: bytes, values: Mapping[bytes, bytes]) -> None:
-    """Raise MalformedRequestError unless endpoints can parse all numbers of a line, too."""
+    """Raise MalformedRequestError unless endpoints, too, can parse all numbers of the line."""
     are_valid = (
         _HEXADECIMAL.fullmatch(id)
         and _HEXADECIMAL.fullmatch(key)
--- a/stepflow/node/core/action_handlers.py
+++ b/stepflow/node/core/action_handlers.py
@@ -60,7 +60,7 @@
                 CloseIdleConnections: lambda action: self._upstream.close_idle(action.endpoint),
                 WatchEndpointList: lambda action: self._discovery.watch(action.enabled),
                 FetchEndpointList: lambda action: self._discovery.fetch(),
-                SendPeerMessage: lambda action: None,  # nodes have no way to talk to each other
+                SendPeerMessage: lambda action: None,  # there is no connection between nodes
                 LogMessage: lambda action: log.info("policy message", text=action.text),
             }
         )
--- a/stepflow/node/core/attempts.py
+++ b/stepflow/node/core/attempts.py
@@ -19,7 +19,7 @@
 
 log = get_logger()
 
-RETRY_PREVIOUS_AFTER = timedelta(milliseconds=250)  # before a retry at the endpoint of a previous session
+RETRY_PREVIOUS_AFTER = timedelta(milliseconds=250)  # delay of a retry at the endpoint of a previous session
 RETRIED_RESULTS = frozenset({AttemptResult.CONNECT_FAILED, AttemptResult.FULL})
 
 
--- a/stepflow/node/core/event_queue.py
+++ b/stepflow/node/core/event_queue.py
@@ -1,4 +1,4 @@
-"""Passes events to the policy one at a time, and carries out the actions of each before the next."""
+"""Passes events to the policy one at a time, and carries out each event's actions before the next event."""
 
 from __future__ import annotations
 
--- a/stepflow/node/core/interfaces.py
+++ b/stepflow/node/core/interfaces.py
@@ -1,7 +1,7 @@
 """The protocols of the components that the core calls, and the state of each request.
 
 The core doesn't depend on the line protocol. A `Downstream` talks to a client, an `Upstream` to the
-endpoints; another implementation of either is subject to the same decisions.
+endpoints; the policy's decisions are the same for any implementation of the two.
 """
 
 from __future__ import annotations
@@ -64,7 +64,10 @@
 
 
 class Discovery(Protocol):
-    """The source of the endpoint list; `Core.endpoint_list_updated` follows each answer and each failure."""
+    """The source of the endpoint list.
+
+    `Core.endpoint_list_updated` follows each list and each failure that the policy has to handle.
+    """
 
     def watch(self, enabled: bool) -> None:
         """Start or stop watching the list."""
@@ -79,15 +82,15 @@
 
     request: Request
     downstream: Downstream
-    previous_endpoint: str = ""  # of the client's session before this node's start, as the client names it
+    previous_endpoint: str = ""  # endpoint of a session before this node's start, as named by the client
     client_request_id: str = ""
     attempt: Attempt | None = None  # the attempt that has not ended
-    attempts: int = 0  # started so far
-    endpoint: str = ""  # of the latest attempt
+    attempts: int = 0  # attempts started so far
+    endpoint: str = ""  # endpoint of the latest attempt
     attempt_started: timedelta = ZERO  # on the node's clock
     established: bool = False
     answered: bool = False
-    max_attempts: int = 1  # by the settings in force when the request was accepted
+    max_attempts: int = 1  # limit in the settings when the request was accepted
 
     @property
     def id(self) -> int:
--- a/stepflow/node/core/requests.py
+++ b/stepflow/node/core/requests.py
@@ -80,7 +80,7 @@
         self.log.answered(context, "UP", "endpoint answer")
 
     def mark_disconnected(self, context: RequestContext) -> None:
-        """Record that the client disconnected before its answer; the request needs none any more."""
+        """Record that the client disconnected before its answer; the request no longer needs an answer."""
         context.answered = True
         self._counters.left += 1
         self.log.answered(context, "none", "client disconnected")
