--- a/stepflow/node/admin/metrics.py
+++ b/stepflow/node/admin/metrics.py
@@ -16,19 +16,19 @@
 from stepflow.policy import EndpointState
 
 PREFIX = "edge_gw"
-EXCLUDED_BELOW_HEALTH = 0.1  # below this fraction of its weight an endpoint gets next to no requests
+# Health is a factor of an endpoint's weight: below this value the endpoint gets next to no requests.
+EXCLUDED_BELOW_HEALTH = 0.1
 # Counters that are reported under the names of their fields.
 PLAIN_COUNTERS = ("overdue", "retries", "clock_steps", "late_deadlines", "truncated", "outlived")
-_RESERVED = re.compile(
-    r"[^\w.-]", re.ASCII
-)  # characters of a class's name that could be separators of a line
+# Characters of a class's name that could be read as separators of a line.
+_RESERVED = re.compile(r"[^\w.-]", re.ASCII)
 
 
 class Gauges(NamedTuple):
     """The current values; each field has the name of its metric."""
 
-    in_flight: int  # accepted connections that have not ended
-    map_servers_known: int  # in the endpoint list
+    in_flight: int  # accepted requests and sessions that have not ended
+    map_servers_known: int  # endpoints in the endpoint list
     map_servers_excluded: int  # listed endpoints that get no new requests, or next to none
 
 
--- a/stepflow/node/admin/site.py
+++ b/stepflow/node/admin/site.py
@@ -111,7 +111,7 @@
 
     def buildProtocol(self, addr: object) -> _HttpConnection:
         """Create a connection; close the oldest one first if MAX_ADMIN_CONNECTIONS are open."""
-        # A request is answered in the turn that reads it, so open connections have no complete request.
+        # A request is answered in the turn that reads it, so open connections have no whole request.
         if len(self.connections) >= MAX_ADMIN_CONNECTIONS:
             next(iter(self.connections)).abort()
         return _HttpConnection(self)
--- a/stepflow/node/discovery.py
+++ b/stepflow/node/discovery.py
@@ -35,18 +35,18 @@
 AGENT_ANSWER_TIMEOUT = timedelta(seconds=1)
 AGENT_MIN_RETRY_DELAY = timedelta(milliseconds=100)  # doubled after each failure
 AGENT_MAX_RETRY_DELAY = timedelta(seconds=1)
-AGENT_FIRST_ANSWER_TIMEOUT = timedelta(milliseconds=500)  # limit on a start's wait for the agent's list
+AGENT_FIRST_ANSWER_TIMEOUT = timedelta(milliseconds=500)  # limit on a starting node's wait for the list
 LIST_PATH = "/v1/servers"
 
 
 class DiscoveryClient:
     """Calls discovery for the policy and passes the list updates to the core (`core.Discovery`).
 
-    If lists are pushed, the policy doesn't poll: an agent on this machine holds the pushed list, and all of
-    it counts as known. This client then keeps the watch itself (`start_agent_watch`): the policy gets lists,
-    as on the simulator's wire, and neither requests them nor is notified of failed calls.
+    If lists are pushed, the policy doesn't poll: an agent on this machine holds the pushed list, and the
+    whole list counts as known. This client then keeps the watch itself (`start_agent_watch`): the policy gets
+    lists, as on the simulator's wire, and neither requests them nor is notified of failed calls.
 
-    `connect` starts a connection to an address, for a factory and with a timeout in seconds.
+    `connect` takes an address, a factory and a timeout in seconds, and starts a connection.
     """
 
     def __init__(
@@ -60,7 +60,7 @@
     ) -> None:
         self._connect, self._address = connect, address
         self._group, self._core, self._timers, self._counters = group, core, timers, counters
-        self._watch_wanted = False  # by the policy
+        self._watch_wanted = False  # requested by the policy or `start_agent_watch`
         self._watch: DiscoveryCall | None = None
         self._fetches: dict[DiscoveryCall, None] = {}
         # The watch was started by a change of the address, before the policy's next poll.
@@ -69,7 +69,7 @@
         self._retries_left = 0  # failures of the watch to retry here instead of reporting them to the policy
         self._keeps_agent_watch = False  # the watch is kept open, whatever the policy requests
         self._agent_retry_delay = AGENT_MIN_RETRY_DELAY
-        self._on_first_answer: Callable[[], None] | None = None  # until the agent's first answer
+        self._on_first_answer: Callable[[], None] | None = None  # kept until the agent's first answer
 
     def start_agent_watch(self, on_first_answer: Callable[[], None]) -> None:
         """Start a watch of the agent, and restart it whenever it ends.
@@ -99,9 +99,12 @@
         call.begin()
 
     def change_address(self, address: Address) -> None:
-        """Replace all calls by calls to another address, from the revision held, and report no failure."""
+        """Replace all calls by calls to another address; the ends of the old calls aren't reported.
+
+        The new watch starts from the revision held.
+        """
         self._address, self._agent_retry_delay = address, AGENT_MIN_RETRY_DELAY
-        # After a failure that was reported to it, the policy polls after its backoff, which may be too late.
+        # After a reported failure, the policy polls only at the end of its backoff, which may be too late.
         is_open = self._watch is not None or self._retry_timer is not None
         self._watch_started_early = self._watch_wanted and not is_open
         self._retries_left = ADDRESS_CHANGE_RETRY_SPAN // ADDRESS_CHANGE_RETRY_DELAY
@@ -170,7 +173,7 @@
     def _call_ended(self, call: DiscoveryCall, reason: str) -> None:
         is_watch, is_fetch = call is self._watch, self._fetches.pop(call, call) is None
         if not is_watch and (call.answered or not is_fetch):
-            return  # a fetch that brought its list, or a call that was replaced
+            return  # a fetch that has received its list, or a call that was replaced
         self._counters.lists_failed += 1
         log.info("discovery call failed", why=reason)
         if is_watch:
--- a/stepflow/node/discovery_call.py
+++ b/stepflow/node/discovery_call.py
@@ -21,7 +21,7 @@
 from stepflow.upstream import JsonStream, JsonStreamError
 from stepflow.upstream.poll_schedule import WATCH_SILENCE_LIMIT_US
 
-# Between two parts of the body, once its first value has begun.
+# The maximum time between two parts of the body, once its first value has begun.
 IDLE_TIMEOUT = timedelta(microseconds=WATCH_SILENCE_LIMIT_US)
 
 
@@ -31,8 +31,8 @@
     Args of the constructor:
         connect: Starts the connection of the given call.
         request: The request, without a body; sent once the connection is established.
-        answer_timeout: The time from the start of the call until its first value begins.
-        received: Called with each JSON value of the answer. It sets `answered` or closes the call.
+        answer_timeout: The maximum time from the start of the call until its first value begins.
+        received: Called with each JSON value of the answer; has to set `answered` or close the call.
         ended: Called once, when the call has ended, with the reason.
     """
 
@@ -53,7 +53,7 @@
         self._closed = self._connect_failed = False
 
     def begin(self) -> None:
-        """Start to connect. The owner must have stored the call, since it may end before this returns."""
+        """Start to connect. The owner must have stored the call, since it may end during `begin`."""
         self._timer: Timer = self._timers.after(self._answer_timeout, self._timed_out)
         self._connector = self._connect(self)
 
--- a/stepflow/node/member_port.py
+++ b/stepflow/node/member_port.py
@@ -25,7 +25,7 @@
 class MemberPort(DatagramProtocol):
     """Runs one member's `SharedLimits` on a UDP socket.
 
-    `addresses` holds the address of every member, by member number; this member's own is not used.
+    `addresses` holds the address of every member, by member number. Nothing is sent to this member's own.
     `before_tick` is called before each tick.
     """
 
--- a/stepflow/node/session_transfer.py
+++ b/stepflow/node/session_transfer.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-# JSON holds text, sockets deliver bytes: this encoding has one character for each byte.
+# JSON holds text, but sockets deliver bytes: this encoding maps each byte to one character.
 BYTES_ENCODING = "latin-1"
 
 
@@ -22,7 +22,7 @@
     from_client: str
     from_endpoint: str = msgspec.field(name="from_peer")
     echoes_owed: int = msgspec.field(name="owed")  # lines whose echo has not come yet
-    request_id: int = msgspec.field(name="id")  # as sent by the client
+    request_id: int = msgspec.field(name="id")  # the ID of the client's OPEN line, as a number
     class_name: str = msgspec.field(name="class")
     tenant: str = ""
     load: float | None
@@ -34,6 +34,6 @@
         """Return the half lines from the client and from the endpoint as bytes.
 
         Raises:
-            ValueError: A half line has a character that stands for no byte.
+            ValueError: A half line has a character that represents no byte.
         """
         return self.from_client.encode(BYTES_ENCODING), self.from_endpoint.encode(BYTES_ENCODING)
--- a/stepflow/node/upstreams/attempt.py
+++ b/stepflow/node/upstreams/attempt.py
@@ -63,7 +63,7 @@
         self._load_report: tuple[float, ...] = ()
         self._answer = b""
         self._connected = self._closed = False
-        # The OPEN line was passed to the transport; its last byte was written to the socket.
+        # Whether the OPEN line was passed to the transport, and whether its last byte was sent.
         self._line_written = self._line_sent = False
         self._detached = False
         self._relay: Relay | None = None
@@ -210,7 +210,7 @@
         self._on_closed()
 
     def _mark_sent(self) -> None:
-        """Record that the line was sent; an answer may arrive before the transport reports that."""
+        """Record that the line was sent; the answer may arrive before the transport reports this."""
         if not self._line_sent:
             self._line_sent = True
             self._services.core.attempt_sent(self._context)
@@ -219,7 +219,7 @@
         self._give_up(AttemptResult.TIMEOUT)
 
     def _give_up(self, result: AttemptResult) -> None:
-        """Close the socket with this result, unless the attempt already has one."""
+        """Close the socket with this result, unless the attempt already has a result."""
         if self._closed or self._result is not None:
             return
         self._result = result
--- a/stepflow/node/upstreams/dialer.py
+++ b/stepflow/node/upstreams/dialer.py
@@ -1,4 +1,4 @@
-"""Opens one outgoing connection, and retries if the connect failed on this machine."""
+"""Opens one outgoing connection, and retries if a transient error of this machine prevents it."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class Dialer(ClientFactory):
-    """Connects one existing protocol. For an adopted connection it is only the factory.
+    """Connects one existing protocol. For an adopted connection the dialer is only Twisted's factory.
 
     If a transient error of this machine prevents the connection (`LOCAL_CONNECT_ERRORS`), the dialer retries
     after `CONNECT_RETRY_DELAY`. It has no deadline: the owner sets one and calls `cancel` when it expires.
@@ -57,7 +57,7 @@
         return protocol
 
     def clientConnectionFailed(self, connector: Connector, reason: Failure) -> None:
-        """Retry after an error of this machine; report any other failure."""
+        """Retry after a transient error of this machine; report any other failure."""
         if self._connector is not None and errno_of(reason.value) in LOCAL_CONNECT_ERRORS:
             self._retry_call = self._reactor.callLater(CONNECT_RETRY_DELAY.total_seconds(), self._retry_dial)
         else:
--- a/stepflow/node/upstreams/liveness.py
+++ b/stepflow/node/upstreams/liveness.py
@@ -1,7 +1,7 @@
-"""Liveness of each endpoint: the latency of its echoes, and whether it sends any.
+"""Liveness of each endpoint: the latency of its echoes, and whether it sends echoes at all.
 
-An endpoint that hangs sends no FIN, and a single session shows it late, since a client sends a line only
-every 2 s. All sessions at the endpoint together show within a second that there are no echoes. Only echoes
+An endpoint that hangs sends no FIN, and a single session shows the hang late, since a client sends a line
+only every 2 s. All sessions at the endpoint together show within a second that no echoes arrive. Only echoes
 count: an endpoint that hangs may still report loads.
 """
 
@@ -21,14 +21,14 @@
 
 log = get_logger()
 
-DELAY_REPORT_INTERVAL = timedelta(seconds=1)  # between two delay reports for one endpoint
+DELAY_REPORT_INTERVAL = timedelta(seconds=1)  # time between two delay reports for one endpoint
 STALL_TIMEOUT = timedelta(seconds=2)  # an endpoint without an echo on any session for this time has stalled
 _MILLISECOND = timedelta(milliseconds=1)
 
 
 @dataclass(frozen=True, slots=True)
 class LivenessServices:
-    """The parts of the node that the liveness monitor uses. It owns none of them."""
+    """The parts of the node that the liveness monitor uses and does not own."""
 
     clock: Clock
     core: Core
@@ -103,7 +103,7 @@
         """Record the latency of an echo.
 
         As in the simulator, one session reports the mean latency once a second while the mean is above the
-        threshold, and once more when it has fallen below.
+        threshold, and once more when the mean has fallen below it.
         """
         self._waiting_since = self._waiting_session = None
         now = self._clock.now()
@@ -129,7 +129,7 @@
             self._end_sessions()
             return
         next_check = DELAY_REPORT_INTERVAL
-        # Reported before the stall timeout, so that the policy checks the endpoint and sends it less.
+        # Reported before the stall timeout: the policy then checks the endpoint and sends it fewer requests.
         if waited >= DELAY_REPORT_INTERVAL:
             self._was_slow = True
             self._report_delay(next(iter(self._sessions)), waited)
@@ -157,7 +157,7 @@
             liveness.latency_threshold = latency_threshold
 
     def add(self, session: MonitoredSession) -> EndpointLiveness:
-        """Add a session; return the liveness of its endpoint, which all sessions there share."""
+        """Add a session; return the liveness of its endpoint, shared by all its sessions."""
         endpoint_id = session.context.endpoint
         liveness = self._endpoints.get(endpoint_id)
         if liveness is None:
--- a/stepflow/node/upstreams/load_report.py
+++ b/stepflow/node/upstreams/load_report.py
@@ -1,6 +1,6 @@
 """The parser of load reports, which follow the first word of an endpoint's answer: `PONG queue=3,util=0.25`.
 
-Source: PROTOCOL, which gives some fields two names; the settings use the short one.
+Source: PROTOCOL, which gives some fields two names; the settings use those on the right in `_FIELD_ALIASES`.
 """
 
 from __future__ import annotations
--- a/stepflow/node/upstreams/pool.py
+++ b/stepflow/node/upstreams/pool.py
@@ -34,7 +34,7 @@
     def __init__(self, services: UpstreamServices, addresses: EndpointAddresses) -> None:
         self._services, self._addresses = services, addresses
         self._health_checks: dict[str, HealthCheckConnection] = {}
-        self.attempts = 0  # sockets of attempts and sessions, from the first SYN until they are closed
+        self.attempts = 0  # sockets of attempts and sessions, from the start of the connect until the close
 
     @property
     def health_check_connections(self) -> int:
@@ -42,7 +42,7 @@
         return len(self._health_checks)
 
     def update_settings(self, settings: NodeSettings) -> None:
-        """Apply the settings of a reload; open connections use them from their next event on."""
+        """Apply the settings of a reload; open connections use the new values from their next event on."""
         self._services.settings = settings
 
     def start_attempt(
@@ -57,7 +57,7 @@
         return attempt
 
     def adopt_session(self, context: RequestContext, sock: socket.socket) -> UpstreamAttempt:
-        """Return a new attempt for a session that the predecessor established, on its socket."""
+        """Return a new attempt for a session that the predecessor established, on the session's socket."""
         attempt = self._new_attempt(context, timedelta(0))
         attempt.skip_opening()
         adopt(self._services.reactor, sock, Dialer(attempt))
@@ -77,7 +77,7 @@
                 self._services, endpoint_id, address, self._health_check_closed
             )
             self._health_checks[endpoint_id] = connection
-        if not connection.busy:  # else the answer to the check in progress also answers this one
+        if not connection.busy:  # else the answer to the check in progress also serves this request
             self._services.counters.probes += 1
             connection.start_check()
 
@@ -100,5 +100,5 @@
         self.attempts -= 1
 
     def _health_check_closed(self, connection: HealthCheckConnection) -> None:
-        if self._health_checks.get(connection.endpoint_id) is connection:  # else already replaced
+        if self._health_checks.get(connection.endpoint_id) is connection:  # it has not been replaced
             del self._health_checks[connection.endpoint_id]
--- a/stepflow/node/upstreams/services.py
+++ b/stepflow/node/upstreams/services.py
@@ -15,7 +15,7 @@
 
 @dataclass(slots=True)
 class UpstreamServices:
-    """The parts of the node that attempts and health checks use. It owns none of them.
+    """The parts of the node that attempts and health checks use and do not own.
 
     A reload replaces `settings`, so connections must not keep a reference to the old value.
     """
--- a/stepflow/node/upstreams/session_reports.py
+++ b/stepflow/node/upstreams/session_reports.py
@@ -15,16 +15,17 @@
 from stepflow.interface import SessionReportKind
 from stepflow.settings import NodeSettings
 
-DELAY_INTERVAL = timedelta(seconds=1)  # between two delay reports of one endpoint
+DELAY_INTERVAL = timedelta(seconds=1)  # time between two delay reports of one endpoint
 # The network and this process deliver reports up to this late or early.
 INTERVAL_TOLERANCE = timedelta(milliseconds=40)
 DELAY_EXPIRY = timedelta(seconds=10)  # an older delay report no longer predicts the time of the next one
-MAX_TRACKED_ENDPOINTS = 1024  # at this number, endpoints whose last delay has expired are dropped
-# Shares of the typical load. No session was seen with a load below the first, but most delays are below it. A
-# value below the second is a delay too if it arrives a whole number of intervals after the last delay.
+MAX_TRACKED_ENDPOINTS = 1024  # at this number, endpoints with an expired delay are dropped
+# Shares of the typical load. No session was seen with a load below NEGLIGIBLE_LOAD_SHARE, but most delays are
+# below it. A value below SMALL_LOAD_SHARE is a delay too if it arrives a whole number of intervals after the
+# last delay.
 NEGLIGIBLE_LOAD_SHARE = 0.02
 SMALL_LOAD_SHARE = 0.3
-INITIAL_TYPICAL_LOAD = 1e4  # in microseconds per second: 100 sessions to a core
+INITIAL_TYPICAL_LOAD = 1e4  # microseconds of work per second: 100 such sessions use one core
 INITIAL_LOAD_WEIGHT = 8  # number of load reports that the initial typical load counts as
 MIN_LEARNING_RATE = 0.01  # weight of a load report in the typical load, a mean of logarithms
 
