--- a/stepflow/node/runtime/counters.py
+++ b/stepflow/node/runtime/counters.py
@@ -38,9 +38,9 @@
     overdue: int = 0  # requests answered over 0.1 s after their client's deadline
     left: int = 0  # clients that disconnected before their answer
     moved: int = 0  # established sessions migrated
-    broken: int = 0  # established sessions that their endpoint reset or let stall
+    broken: int = 0  # established sessions that their endpoint let stall, or ended without BYE or MOVE
     probes: int = 0  # health checks sent
-    probes_failed: int = 0  # health checks without a load report
+    probes_failed: int = 0  # health checks not answered by PONG
     lists: int = 0  # messages from discovery
     lists_failed: int = 0  # calls to discovery that failed
     reloads: int = 0  # successful reloads
