--- a/stepflow/policy/admission.py
+++ b/stepflow/policy/admission.py
@@ -11,8 +11,8 @@
 from stepflow.policy.slow_start import SlowStart
 from stepflow.policy.state import EndpointState, RequestState
 
-# Load above which an endpoint gets no more requests of the class with the lowest priority weight, and of the
-# class with the highest; limits of the classes between are interpolated.
+# The loads above which an endpoint gets no more requests: the first for the class with the lowest priority
+# weight, the second for the class with the highest. The limits of the other classes are interpolated.
 ADMISSION_LIMITS = (0.7, 0.9)
 MIN_PRIORITY_RANGE = 1e-9  # avoids division by 0 if all classes have the same priority weight
 
@@ -23,10 +23,10 @@
     def __init__(self, context: PolicyContext, slow_start: SlowStart) -> None:
         self._context, self._slow_start = context, slow_start
         self.unreported_load = 0.0
-        """Load of an average endpoint that all instances together have placed and no report shows yet."""
+        """Estimated load per endpoint that all instances have placed and no load report shows yet."""
 
     def eligibility(self, request: RequestState) -> Callable[[EndpointState], bool]:
-        """Return the test that an endpoint must pass for the request's next attempt, whatever its load.
+        """Return the test that an endpoint must pass for the request's next attempt. The test ignores load.
 
         Raises ValueError for a class that the settings do not define.
         """
@@ -66,7 +66,7 @@
     def update(self, seconds: float, mean_load: float) -> None:
         """Refill the slow-start budgets after `seconds`, and update the unreported load."""
         self._slow_start.refill(seconds, mean_load)
-        # A placed session takes about a second to show in load reports.
+        # A placed session takes about a second to show in load reports: one second's attempts are unreported.
         settings, throttle, model = self._context.settings, self._context.throttle, self._context.model
         rate = settings.balancers * throttle.attempts / attempt_throttle.DECAY_S
         self.unreported_load = rate / max(1, len(model.endpoints)) * model.mean_kind_cost
--- a/stepflow/policy/attempts.py
+++ b/stepflow/policy/attempts.py
@@ -35,13 +35,14 @@
 from stepflow.policy.weights import SATURATED_LOAD
 
 INITIAL_LATENCY_US = 150_000  # assumed latency of an attempt before the first is established
-MAX_LATENCY_US = SECOND_US  # timeouts raise the smoothed latency no further
+MAX_LATENCY_US = SECOND_US  # timeouts raise the smoothed latency to at most this
 LATENCY_WEIGHT = 0.1  # weight of a new latency in the smoothed latency
-LATENCY_BACKOFF = 1.25  # a timed-out attempt shows that the timeout was too short, unless at an outlier
+# A timeout was too short, unless the endpoint is an outlier: it multiplies the smoothed latency by this.
+LATENCY_BACKOFF = 1.25
 TIMEOUT_FACTOR = 4.0  # a timeout as a multiple of the smoothed latency
 TIMEOUT_RANGE = (0.15, 0.5)  # bounds of a timeout, as shares of the time left
-RETRY_DELAY_US = (100_000, 400_000)  # range of the delay before a throttled or failed request goes on
-EARLY_RESET_US = 2_000_000  # a session that is reset sooner does not count as established
+RETRY_DELAY_US = (100_000, 400_000)  # range of the delay before a held or failed request is placed again
+EARLY_RESET_US = 2_000_000  # a session that is reset within this time does not count as established
 RETRY_AFTER_RANGE = (0.5, 1)  # advised retry delay, as shares of `max_retry_after_us`
 # Results that concern one endpoint and indicate nothing about the others.
 SINGLE_ENDPOINT_RESULTS = (AttemptResult.FULL, AttemptResult.CONNECT_FAILED)
@@ -71,7 +72,7 @@
         is_returning = event.is_retry or event.is_migrated
         context.arrivals.new_requests += not is_returning
         self._selector.refill_check_budget(is_returning)
-        # This timer ensures an answer in time: the host's timeout may come late, or no attempt be active.
+        # This timer ensures an answer in time: a host's timeout may come late, or no attempt may be active.
         context.set_request_timer(request, event.expires_us - context.now_us - 2 * settings.tick_us)
         self.place(request)
 
@@ -106,7 +107,7 @@
             share = context.rng.uniform(*RETRY_AFTER_RANGE)
             self._give_up(request, int(share * settings.limits.max_retry_after_us))
         elif endpoint is None or is_overloaded:
-            request.tried_endpoints.clear()  # all were tried: the next draw may choose one of them again
+            request.tried_endpoints.clear()  # no other endpoint can take it: allow these again
             self._retry_later(request)
         else:
             self._start(request, endpoint, remaining_us)
@@ -139,7 +140,8 @@
         self.smoothed_latency_us += LATENCY_WEIGHT * (event.latency_us - self.smoothed_latency_us)
         if request.endpoint is not None:
             request.endpoint.record_success()
-        while self._throttled and not throttle.is_limiting():  # place requests at once, oldest first
+        # Place throttled requests without waiting for their timers, oldest first.
+        while self._throttled and not throttle.is_limiting():
             first = self._requests.by_id[next(iter(self._throttled))]
             del self._throttled[first.request.id]
             self.place(first)
@@ -201,7 +203,7 @@
         self._context.emit(StartAttempt(request.request.id, endpoint.id, timeout_us))
 
     def _timeout_us(self, request: RequestState, remaining_us: int) -> int:
-        """Return the timeout of the next attempt: all the time left, unless there is time for another one."""
+        """Return the timeout of the next attempt: all the time left, unless another attempt may follow."""
         base_timeout_us = TIMEOUT_FACTOR * self.smoothed_latency_us
         if request.attempts + 1 >= request.max_attempts or remaining_us <= base_timeout_us:
             return remaining_us
--- a/stepflow/policy/endpoint_list.py
+++ b/stepflow/policy/endpoint_list.py
@@ -49,7 +49,7 @@
         any_restarted = self._update_entries(event.endpoints)
         self._remove_gone()
         if len(endpoints) != count_before or any_restarted:
-            # Costs are 0 before the first prediction, so all requests would go to the first endpoint drawn.
+            # Costs are 0 before a prediction: placed sessions would add no load, and all go to one endpoint.
             context.model.predict(list(endpoints.values()), 0.0)
             self._weights.rebuild_draw_table(context.now_us)
 
--- a/stepflow/policy/health_checks.py
+++ b/stepflow/policy/health_checks.py
@@ -15,7 +15,7 @@
 
 ROTATION_PRICE_SHARE = 0.002  # points of the result that health checks in rotation may cost
 MIN_ROTATION_INTERVAL_S = 1.0  # lower bound of the mean time between two checks of an endpoint in rotation
-MIN_PRICE = 1e-9  # assumed price of a check that is free
+MIN_PRICE = 1e-9  # assumed price of a free check, to avoid division by 0
 FRESH_REPORT_US = 700_000  # a load report older than this is stale
 LATENCY_WEIGHT = 0.1  # weight of a new latency in the smoothed latency
 
--- a/stepflow/policy/load_model.py
+++ b/stepflow/policy/load_model.py
@@ -1,7 +1,7 @@
 """The load model: session loads, reported or estimated, times a cost learned for each endpoint.
 
 The predicted load of an endpoint is `balancers * cost * (own session load + pseudo load)`, which assumes that
-all instances have the same load there as this one. Costs are learned from load reports and return to the mean
+all instances have the same load at the endpoint. Costs are learned from load reports and return to the mean
 of the endpoint's machine kind as the last report ages. Session loads are counted in mean sessions, so that a
 cost does not depend on the unit of the hints.
 
@@ -25,7 +25,7 @@
 MIN_PSEUDO_SESSIONS = 4.0  # lower bound of the pseudo load of an endpoint
 UNREPORTED_LOAD = 0.5  # assumed load of an endpoint before any load report
 REPORT_FIELDS = ("x0", "util", "inflight", "queue")  # the fields that give the load, in order of preference
-UTILIZATION_FIELDS = ("x0", "util")  # those of them that give it as a share of capacity
+UTILIZATION_FIELDS = ("x0", "util")  # those of REPORT_FIELDS that give the load as a share of capacity
 
 
 class LoadModel:
@@ -34,7 +34,7 @@
     def __init__(self, settings: Settings) -> None:
         self.endpoints: dict[EndpointId, EndpointState] = {}
         self.kind_costs: dict[int, float] = {}
-        self.kind_size: dict[int, float] = {}  # the largest size seen, if the settings have live weights
+        self.kind_size: dict[int, float] = {}  # largest size seen, by machine kind; only with live weights
         self.loads = LoadEstimate()
         self.own_load = 0.0  # sum of the loads of all own sessions
         self.mean_kind_cost = 0.0
@@ -83,7 +83,7 @@
         self.kind_costs[endpoint.kind] = kind_cost + KIND_REPORT_WEIGHT * (cost - kind_cost)
 
     def predict(self, endpoints: list[EndpointState], seconds: float) -> None:
-        """Predict the loads of some endpoints. Their costs return to those of their kinds over `seconds`."""
+        """Move the costs of endpoints toward those of their kinds for `seconds`, then predict the loads."""
         pseudo, balancers = self.pseudo_load(), self.settings.balancers
         if self.settings.live_weights:
             self._replace_live_sizes(endpoints)
--- a/stepflow/policy/migration.py
+++ b/stepflow/policy/migration.py
@@ -1,10 +1,10 @@
-"""Migration: moves sessions off overloaded endpoints, those of the lowest priority weight first.
+"""Migration: moves sessions off overloaded endpoints, lowest priority weight first.
 
 An endpoint is watched if its messages are late or its predicted load shows an overload. Each instance
-migrates the same share of its own sessions there, enough to lower the load to `TARGET_LOAD`, if the gain
-exceeds the price. A draining endpoint keeps its sessions: when all instances migrated them at once, the other
-endpoints were full before the replacement had started. Owns the endpoints' `message_delay_us` and
-`migrated_us`.
+migrates the same share of its own sessions at the endpoint, enough to lower the load to `TARGET_LOAD`, if the
+gain exceeds the price. Draining is no reason to migrate: when all instances migrated the sessions of a
+draining endpoint at once, the other endpoints were full before its replacement had started. Owns the
+endpoints' `message_delay_us` and `migrated_us`.
 """
 
 from __future__ import annotations
@@ -18,14 +18,16 @@
 from stepflow.policy.state import EndpointState
 
 MIGRATIONS_PER_REQUEST = 4.0  # limits the rate, since every migrated client sets up a session again
-MIN_BUDGET_CAP = 3.0  # lower bound of the migrations that can be saved up, for few requests
+MIN_BUDGET_CAP = 3.0  # lower bound of the number of migrations that can be saved up, for low request rates
 # The load from which an endpoint is overloaded, and the load that migrations aim at.
 OVERLOADED_LOAD, TARGET_LOAD = 0.9, 0.7
-DELAY_REPORT_TTL_US = 2_500_000  # delays are reported once a second while messages are slow
-SETTLE_US = 2_000_000  # migrations show in load reports after this; more before would empty the endpoint
+DELAY_REPORT_TTL_US = 2_500_000  # a report counts for this time; slow messages are reported once a second
+# Load reports show migrations after this time; more migrations before it would empty the endpoint.
+SETTLE_US = 2_000_000
 MIGRATION_GAIN_S = 5.0  # seconds of good service that migrating is assumed to gain
-MIN_REQUEST_RATE = 0.1  # requests a second, for the gain
-RECHECK_INTERVAL_US = 900_000  # of a watched endpoint; load reports change about once a second
+MIN_REQUEST_RATE = 0.1  # lower bound of the requests a second from which the gain is calculated
+# Time between checks of a watched endpoint; load reports change about once a second.
+RECHECK_INTERVAL_US = 900_000
 
 
 class Migration:
--- a/stepflow/policy/outliers.py
+++ b/stepflow/policy/outliers.py
@@ -1,7 +1,7 @@
 """Outliers: endpoints whose attempts fail while attempts at other endpoints are established.
 
 Failures at one endpoint lower its own health. Failures at many endpoints indicate a fault in a dependency
-that all of them share; these count for the throttle instead. Owns the endpoints' `failed_count`.
+that all of them share, and count against the throttle instead. Owns the endpoints' `failed_count`.
 """
 
 from __future__ import annotations
--- a/stepflow/policy/periodic.py
+++ b/stepflow/policy/periodic.py
@@ -12,11 +12,11 @@
 from stepflow.policy.outliers import OutlierDetector
 from stepflow.policy.weights import WeightController
 
-TICK_US = 500_000  # load reports are no fresher than this
+TICK_US = 500_000  # time between ticks; load reports are at least this old
 # A controller step does work for every endpoint, so few requests to many endpoints cause few steps.
-STEP_US_PER_ENDPOINT = 8_000  # between two steps, at one request a second; half of it at two
+STEP_US_PER_ENDPOINT = 8_000  # time between steps for each endpoint, at one request a second; half at two
 MAX_STEP_US = 4_000_000
-REQUEST_RATE_RANGE = (0.1, 2.0)  # limits of the requests a second in this calculation
+REQUEST_RATE_RANGE = (0.1, 2.0)  # range of the requests a second from which that time is calculated
 
 
 class PeriodicTasks:
--- a/stepflow/policy/policy.py
+++ b/stepflow/policy/policy.py
@@ -111,7 +111,7 @@
 
     @property
     def settings(self) -> Settings:
-        """The settings in force."""
+        """The current settings."""
         return self._context.settings
 
     @property
@@ -173,4 +173,4 @@
         self._attempts.resume(waiting)
 
     def _ignore_peer_message(self, event: PeerMessageReceived) -> None:
-        """Ignore the message: instances send each other none so far."""
+        """Ignore the message: no instance sends any yet."""
--- a/stepflow/policy/requests.py
+++ b/stepflow/policy/requests.py
@@ -1,4 +1,4 @@
-"""The table of open requests, and the endpoint to which each request's load is counted.
+"""The table of open requests, and the endpoint at which each request's load counts.
 
 Owns the `requests`, `affinity_groups` and `load` of endpoints, and the sum of own loads in the load model.
 """
@@ -18,7 +18,7 @@
     def __init__(self, model: LoadModel) -> None:
         self._model = model
         self.by_id: dict[int, RequestState] = {}
-        # The endpoints with own sessions of each affinity group.
+        # The endpoints with own sessions or attempts of each affinity group.
         self._group_endpoints: dict[int, dict[EndpointId, EndpointState]] = {}
 
     def add(self, request: Request, max_attempts: int = 1) -> RequestState:
@@ -65,7 +65,7 @@
             self.assign(request, endpoint)
 
     def endpoints_of_group(self, group: int) -> Collection[EndpointState]:
-        """Return the endpoints with own sessions of an affinity group."""
+        """Return the endpoints with own sessions or attempts of an affinity group."""
         return self._group_endpoints.get(group, {}).values()
 
     def _release_group(self, group: int, endpoint: EndpointState) -> None:
--- a/stepflow/policy/retry_safety.py
+++ b/stepflow/policy/retry_safety.py
@@ -56,7 +56,7 @@
         return cls.idempotency == Idempotency.BY_KEY and cls.deduplication_scope == DeduplicationScope.ALL
 
     def record_attempt(self, request: RequestState, endpoint: EndpointState) -> None:
-        """Record that the attempt just counted may take effect at an endpoint."""
+        """Record that an attempt, already included in `request.attempts`, may take effect at an endpoint."""
         idempotency = self._context.settings.class_of(request.request).idempotency
         if request.possible_effect_endpoint is None and idempotency != Idempotency.IDEMPOTENT:
             request.possible_effect_endpoint = endpoint
--- a/stepflow/policy/selection.py
+++ b/stepflow/policy/selection.py
@@ -20,7 +20,7 @@
 
 MAX_CANDIDATES = 3
 CHECK_PRICE_SHARE = 0.006  # points of the result that health checks of candidates may cost
-MAX_CHECK_BUDGET = 20.0  # unspent health checks of candidates that are saved up
+MAX_CHECK_BUDGET = 20.0  # maximum number of unspent health checks of candidates that can be saved up
 MIN_CHECK_WAIT_US = 10_000  # minimum time that a request waits for its health checks
 # Each endpoint with sessions of an affinity group bears the group's shared work once. Therefore few
 # candidates come from the group, and placing a session elsewhere is assumed to lose GROUP_SPREAD_LOSS of
@@ -53,13 +53,13 @@
     def choose(self, request: RequestState) -> EndpointState | None:
         """Return the best endpoint for a request, or None if there is none.
 
-        Also returns None if the request has to wait for health checks; it then has candidates.
+        Also returns None if the request has to wait for health checks; `request.candidates` is then set.
         """
         is_eligible, cost = self._admission.eligibility(request), partial(self._cost, request)
         if request.candidates:
             ready = [e for e in request.candidates if self._health_checks.is_fresh(e) and is_eligible(e)]
             request.candidates = []
-            if ready:  # the others did not answer in time
+            if ready:  # the others did not answer the health check in time
                 return min(ready, key=cost)
         first, limits = self._weights.draw(is_eligible), self._context.settings.limits
         if first is None or not limits.health_checks or not self._context.model.reports_utilization:
@@ -79,10 +79,10 @@
     def _candidates(
         self, request: RequestState, first: EndpointState, is_eligible: Callable[[EndpointState], bool]
     ) -> list[EndpointState]:
-        """Return the candidates of a request, in the order drawn; `first` is one of them."""
+        """Return a warming endpoint, endpoints for the affinity group, `first`, and others drawn."""
         price = self._context.settings.prices.probe
         count = MAX_CANDIDATES if price <= 0 else min(MAX_CANDIDATES, int(CHECK_PRICE_SHARE / price))
-        # With few requests, a warming endpoint is seldom drawn and its budget never spent, so one is added.
+        # With few requests, warming endpoints are seldom drawn and their budgets unspent: add one.
         warming = self._admission.eligible_warming(is_eligible)
         candidates = [self._context.rng.choice(warming)] if warming else []
         group = [e for e in self._group_candidates(request) if is_eligible(e) and e not in candidates]
@@ -94,7 +94,7 @@
         return candidates
 
     def _group_candidates(self, request: RequestState) -> list[EndpointState]:
-        """Return the least loaded endpoint with own sessions of the affinity group, then those preferred."""
+        """Return the least loaded endpoint with sessions of the affinity group, then those it prefers."""
         group = request.request.affinity_group
         holders = self._requests.endpoints_of_group(group)
         held = sorted(holders, key=lambda endpoint: endpoint.predicted_load)[:1]
@@ -119,7 +119,7 @@
         """Return the cost of placing a request: service lost, another zone, and spread of its affinity group.
 
         A random share of the unreported load keeps instances with the same old report from all choosing the
-        endpoint that was the least loaded in it.
+        endpoint that was the least loaded in that report.
         """
         settings = self._context.settings
         cross_zone_cost = settings.prices.cross_zone if endpoint.zone != settings.zone else 0.0
--- a/stepflow/policy/slow_start.py
+++ b/stepflow/policy/slow_start.py
@@ -1,8 +1,8 @@
 """Slow start: an endpoint whose process has just started has only a part of its capacity.
 
-An endpoint is warming up until `rules.slow_start_us` after its start. Until then each attempt spends from its
-slow-start budget, which is refilled at the rate that `budgets.slow_start` allows this instance, assuming that
-all instances send as much. Owns the endpoints' `slow_start_budget`.
+An endpoint is warming up until `rules.slow_start_us` after its start. Until then each attempt at the endpoint
+spends from its slow-start budget, which is refilled at the rate that `budgets.slow_start` allows this
+instance, assuming that all instances send the same amount. Owns the endpoints' `slow_start_budget`.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 
 def capacity_share(endpoint: EndpointState, rules: SafetyRules, now_us: int) -> float:
-    """Return the share of its capacity that an endpoint has at least."""
+    """Return the minimum share of its full capacity that an endpoint has at its age."""
     age_us = max(0, now_us - endpoint.started_us)  # the start may lie slightly in the future
     if endpoint.started_us <= 0 or age_us >= rules.slow_start_us:
         return 1.0
--- a/stepflow/policy/state.py
+++ b/stepflow/policy/state.py
@@ -32,7 +32,7 @@
 
         # Own sessions and attempts (requests).
         self.requests: dict[int, RequestState] = {}
-        self.affinity_groups: dict[int, int] = {}  # number of own sessions by affinity group
+        self.affinity_groups: dict[int, int] = {}  # number of own sessions and attempts by group
         self.load = 0.0  # sum of the requests' loads
 
         # Load model (load_model).
@@ -51,7 +51,7 @@
         # Factor of the weight. Results change it (the methods below), and it recovers over time (weights).
         self.health = 1.0
 
-        # Outliers (outliers): counts of own attempts, which decay at the rate of the attempt throttle's.
+        # Outliers (outliers): counts of own attempts, which decay as fast as the attempt throttle's counts.
         self.established_count = 0.0
         self.failed_count = 0.0
 
@@ -111,8 +111,8 @@
         self.is_answered = False  # no further answer is due to the client
         self.endpoint: EndpointState | None = None  # endpoint of the active attempt
         self.tried_endpoints: list[EndpointId] = []
-        self.candidates: list[EndpointState] = []  # drawn, while the request waits for health checks
-        self.preferred_endpoint: EndpointState | None = None  # the first one that its affinity group prefers
+        self.candidates: list[EndpointState] = []  # drawn endpoints whose health checks it awaits
+        self.preferred_endpoint: EndpointState | None = None  # first choice of its affinity group
         self.possible_effect_endpoint: EndpointState | None = None
         self.possible_effect_us = 0
-        self.possible_effect_attempt = 0  # number of that attempt, counted from 1
+        self.possible_effect_attempt = 0  # number of the attempt there, counted from 1
--- a/stepflow/policy/weights.py
+++ b/stepflow/policy/weights.py
@@ -21,9 +21,9 @@
 ERROR_RANGE = (-1.0, 2.0)  # range to which a step limits the relative error
 MAX_ERROR_SUM = 0.5  # prevents integral windup from late reports
 WEIGHT_RANGE = (0.05, 4.0)
-WEIGHT_DECAY_S = 10.0  # time constant of a weight's return to the one that its cost implies
-HEALTH_RECOVERY_S = 8.0  # time in which the health recovers in full
-DEGRADED_LOAD, SATURATED_LOAD = 0.6, 1.0  # loads at which service begins to degrade, and is lost
+WEIGHT_DECAY_S = 10.0  # time constant of a weight's return to the weight that the endpoint's cost implies
+HEALTH_RECOVERY_S = 8.0  # time in which the health recovers from 0 to 1
+DEGRADED_LOAD, SATURATED_LOAD = 0.6, 1.0  # loads at which service begins to degrade, and at which it is lost
 CROSS_ZONE_RAMP = 0.2  # gain above the price over which the share of another zone rises from 0 to 1
 MAX_DRAWS = 8  # draws before all endpoints are searched
 
@@ -107,7 +107,7 @@
         return self.rng.choices(eligible, [e.weight * e.health for e in eligible])[0] if eligible else None
 
     def _zone_share(self, zone: int) -> float:
-        """Return the share of their weight that a zone's endpoints get, given the price of crossing zones."""
+        """Return the factor, from 0 to 1, by which the price of crossing zones lowers a zone's weights."""
         price, own_zone = self.settings.prices.cross_zone, self.settings.zone
         if price <= 0 or zone == own_zone or own_zone not in self.zone_load:
             return 1.0
