--- a/stepflow/budgets/attempt_throttle.py
+++ b/stepflow/budgets/attempt_throttle.py
@@ -28,7 +28,7 @@
         self._free_attempts = UNCONDITIONAL_ATTEMPTS
 
     def decay(self, seconds: float, request_rate: float) -> None:
-        """Decay the counts, and allow one second's requests as further attempts without any success."""
+        """Decay the counts, and allow UNCONDITIONAL_ATTEMPTS and one second's requests without a success."""
         factor = decay_factor(seconds)
         self.attempts, self.established = self.attempts * factor, self.established * factor
         self.failed *= factor
--- a/stepflow/budgets/leases.py
+++ b/stepflow/budgets/leases.py
@@ -1,6 +1,6 @@
 """Leases of base shares, granted by the votes of a majority of members (Gray and Cheriton, 1989).
 
-The part of a member's base share that is not reserved is leased: to the member itself or, once that is dead,
+The part of a member's base share that is not reserved is leased: to the member itself or, once it is dead,
 to the next member that is alive. A candidate asks all members for their votes every `LEASE_RENEWAL_US`. The
 votes of a majority in one round grant a lease of `LEASE_US`, counted from the start of the round.
 `LeaseVoter` gives a member's votes, `LeaseHolder` collects the votes for a member. Both are pure; times are
@@ -59,8 +59,8 @@
         self._majority = len(membership.members) // 2 + 1
         self._round_nonce = 0  # 0 before the first round
         self._round_started_us = 0
-        self._voters: dict[int, set[int]] = {}  # in the current round, by owner of the base share
-        self._leases: dict[int, int] = {}  # time when each ends, by owner of the base share
+        self._voters: dict[int, set[int]] = {}  # voters of the current round, by owner of the base share
+        self._leases: dict[int, int] = {}  # end of each lease, by owner of the base share
 
     def round_is_due(self, now: int) -> bool:
         """Return whether to start a round of lease requests."""
--- a/stepflow/budgets/loans.py
+++ b/stepflow/budgets/loans.py
@@ -1,8 +1,9 @@
 """Loans between members: the amounts of one limit that a member has lent or borrowed, and its loan requests.
 
-Every loan ends by itself, so losing a message about it is safe. The borrower counts its duration from its
-request, the lender from its grant. A new loan between two members replaces the previous one, so that a loan
-is renewed without a gap. Amounts are millionths of the limit, times microseconds on the member's own clock.
+Every loan ends after a fixed time, so losing a message about it is safe. The borrower counts this time
+from its request, the lender from its grant. A new loan between two members replaces the previous one, so
+that a loan is renewed without a gap. Amounts are millionths of the limit, times microseconds on the member's
+own clock.
 """
 
 from __future__ import annotations
@@ -24,7 +25,7 @@
 
 
 class Loans:
-    """The loans of one limit in one direction; of several loans with one member only the largest counts."""
+    """The loans of one limit in one direction; of several loans with one member, only the largest counts."""
 
     def __init__(self) -> None:
         self._loans: list[Loan] = []
--- a/stepflow/budgets/shared_limits.py
+++ b/stepflow/budgets/shared_limits.py
@@ -39,7 +39,7 @@
 RESERVED_DIVISOR = 4  # base share / reserved share
 LOAN_INCREMENT_DIVISOR = 4  # base share / minimum additional amount that a loan request asks for
 LENT_IDLE_DIVISOR = 2  # idle amount / maximum amount that one grant adds
-MAX_LIMITS = 256  # accounts held at a time
+MAX_LIMITS = 256  # maximum number of accounts at one time
 MIN_MEMBERS_FOR_LEASES = 3  # with two, one member alone is no majority
 
 
@@ -77,7 +77,7 @@
         self._accounts: dict[int, LimitAccount] = {}
 
     def available_share(self, now: int, limit: int = 0) -> int:
-        """Return the amount of a limit that this member may use within the window, including earlier uses."""
+        """Return the amount of a limit that this member may use within the window, past uses included."""
         if now < self._usable_from_us or self.membership.superseded:
             return 0
         share = self.reserved_share
@@ -104,7 +104,7 @@
         return True
 
     def tick(self, now: int) -> list[OutgoingMessage]:
-        """Return the requests that are due: for leases at intervals, for loans of limits with a shortfall."""
+        """Return the requests due: lease requests at intervals, loan requests for limits with a shortfall."""
         if self.membership.superseded:
             return []
         return self._request_leases(now) + self._request_loans(now)
@@ -183,7 +183,7 @@
         return OutgoingMessage(terms.lender, request)
 
     def _answer_loan_request(self, now: int, request: LoanRequest) -> list[OutgoingMessage]:
-        """Grant a loan of an amount that this member does not need; return no answer if there is none."""
+        """Grant a loan of an amount that this member does not need; return no answer if it needs all."""
         until_us = now + timing.LOAN_US
         if self._uses_leases:  # the lent amount is part of the own lease and ends with it
             until_us = min(until_us, self._leases.own_lease_until_us())
--- a/stepflow/budgets/slow_start.py
+++ b/stepflow/budgets/slow_start.py
@@ -15,7 +15,7 @@
 from stepflow.estimates.arrivals import SECOND_US, ArrivalEstimate
 from stepflow.interface import SafetyRules
 
-SAFETY_SHARE = 0.8  # share of the allowed work that is used; the rest is for chance and other nodes
+SAFETY_SHARE = 0.8  # share of the allowed work that is used; the rest is a margin for chance and other nodes
 MIN_MEAN_LOAD = 0.3  # a lower mean load counts as this one, since it would suggest too much room
 MIN_WARM_SHARE = 0.6  # share of the endpoints that has to be warm for learning
 LEARNING_DECAY_S = 10.0  # time constant of learning
--- a/stepflow/budgets/timing.py
+++ b/stepflow/budgets/timing.py
@@ -11,12 +11,12 @@
 FULL_LIMIT = 1_000_000  # the whole limit; all amounts are millionths of it
 
 LEASE_US = 2_000_000
-LEASE_RENEWAL_US = 600_000  # between two rounds of lease requests
+LEASE_RENEWAL_US = 600_000  # time between two rounds of lease requests
 LOAN_US = 1_500_000
-LOAN_RETRY_MIN_US = 100_000  # between two loan requests for one limit; doubles while they are unanswered
+LOAN_RETRY_MIN_US = 100_000  # delay before a second loan request for a limit; doubles until one is answered
 LOAN_RETRY_MAX_US = 1_600_000
 
-MAX_CLOCK_DRIFT = 0.01  # maximum, as a share of the elapsed time, between any two clocks
+MAX_CLOCK_DRIFT = 0.01  # maximum drift between any two clocks, as a share of the elapsed time
 DECISION_SLACK_US = 20_000  # allowance for the time between a decision and its effect
 
 
--- a/stepflow/budgets/usage.py
+++ b/stepflow/budgets/usage.py
@@ -27,7 +27,7 @@
         return bool(self._uses)
 
     def record(self, now: int, amount: int) -> None:
-        """Add a use; `now` must not be earlier than that of the use before."""
+        """Add a use; `now` must not be earlier than at the previous use."""
         self._uses.append(_Use(now, amount))
         self.total += amount
 
--- a/stepflow/estimates/arrivals.py
+++ b/stepflow/estimates/arrivals.py
@@ -1,4 +1,4 @@
-"""The rate of requests at this node, and whether its adopted sessions outweigh the new requests."""
+"""Estimates the rate of requests at this node, and whether adopted sessions outweigh new requests."""
 
 from __future__ import annotations
 
@@ -6,9 +6,10 @@
 
 SECOND_US = 1_000_000
 RATE_DECAY_S = 20.0
-RATE_KNOWN_AFTER_S = 3.0  # the own request rate is not reliable before
+RATE_KNOWN_AFTER_S = 3.0  # a node's request rate is not reliable before this age
 MIN_SESSION_S = 60.0  # assumed minimum life of a session, which converts open sessions to a rate
-ADOPTED_RATIO = 6.0  # of adopted to new; above it, an overload lasts, since few new requests find it
+# Ratio of the rates of adopted and new; above it, an overload lasts long, since few new requests detect it.
+ADOPTED_RATIO = 6.0
 
 
 class ArrivalEstimate:
@@ -34,7 +35,7 @@
         return max(self.request_rate(), self.open_sessions / MIN_SESSION_S)
 
     def is_mostly_adopted(self) -> bool:
-        """Return whether adopted sessions, which are priced as first attempts too, outweigh new requests."""
+        """Return whether adopted sessions outweigh new requests; both are priced as first attempts."""
         return (
             self.age_s > RATE_KNOWN_AFTER_S
             and self.adopted_sessions / MIN_SESSION_S > ADOPTED_RATIO * self.request_rate()
--- a/stepflow/estimates/loads.py
+++ b/stepflow/estimates/loads.py
@@ -37,5 +37,5 @@
         return load, scale
 
     def in_sessions(self, load: float) -> float:
-        """Return a load in mean sessions, the unit of costs: the mean of few reported loads moves far."""
+        """Return a load in mean sessions: costs in this unit stay valid when the mean of few loads moves."""
         return load / self.mean if self.mean > 0 else 0.0  # all hints may be 0
--- a/stepflow/members/messages.py
+++ b/stepflow/members/messages.py
@@ -11,16 +11,16 @@
 
 
 class LeaseRequest(NamedTuple):
-    """Asks for votes for leases of these owners' base shares, counted from when the request was sent."""
+    """Asks for votes for leases of these owners' base shares, each counted from the time of the request."""
 
     sender: int
     incarnation: int
     nonce: int
-    owners: frozenset[int]  # of the base shares to lease
+    owners: frozenset[int]  # the owners of the base shares to lease
 
 
 class LeaseGrant(NamedTuple):
-    """Answers a `LeaseRequest`: `owners` are those of the requested ones that the sender votes for."""
+    """Answers a `LeaseRequest`: `owners` are the requested owners for whose leases the sender votes."""
 
     sender: int
     incarnation: int
--- a/stepflow/rendezvous.py
+++ b/stepflow/rendezvous.py
@@ -33,9 +33,10 @@
 
 
 def mix(group: int, key: int) -> int:
-    """Return a 64-bit hash of both, by the multiply and shift steps of SplitMix64 (Steele, Lea, Flood 2014).
+    """Return a 64-bit hash of a group and a key.
 
-    CRC alone is linear: all groups that prefer one endpoint would have the same second one.
+    It uses the multiply and shift steps of SplitMix64 (Steele, Lea, Flood 2014). CRC alone is linear: all
+    groups that prefer one endpoint would have the same second choice.
     """
     mixed = ((group ^ key * 0x9E3779B97F4A7C15) * 0xBF58476D1CE4E5B9) & _MASK_64
     mixed = ((mixed ^ mixed >> 29) * 0x94D049BB133111EB) & _MASK_64
@@ -45,6 +46,6 @@
 def preferred_endpoints(group: int, endpoints: Iterable[KeyedT], count: int) -> list[KeyedT]:
     """Return the endpoints that an affinity group prefers, in order: at most `count`.
 
-    A session goes to one of the later ones if the first is full.
+    A session goes to a later endpoint if the first is full.
     """
     return heapq.nlargest(count, endpoints, key=lambda endpoint: mix(group, endpoint.key))
--- a/stepflow/upstream/endpoint_group.py
+++ b/stepflow/upstream/endpoint_group.py
@@ -20,7 +20,7 @@
     "Terminating": Availability.DRAINING,
     "Gone": Availability.GONE,
 }
-_NO_ADDRESS = Address("", 0)  # of an endpoint that is gone
+_NO_ADDRESS = Address("", 0)  # stands in for the address of an endpoint that is gone
 
 
 class AppliedUpdate(NamedTuple):
@@ -36,7 +36,7 @@
 class _Entry(NamedTuple):
     endpoint: Endpoint
     address: Address
-    raw: object  # as discovery sent it
+    raw: object  # the entry as discovery sent it
 
 
 class EndpointGroup:
--- a/stepflow/upstream/json_stream.py
+++ b/stepflow/upstream/json_stream.py
@@ -14,7 +14,7 @@
 from stepflow.upstream.errors import JsonStreamError
 
 MAX_VALUE_BYTES = 1 << 22
-MAX_DEPTH = 32  # of brackets: lists need 3, and Python's parser recurses
+MAX_DEPTH = 32  # nesting depth of a value; endpoint lists need 3, and Python's parser is recursive
 
 _WHITE_SPACE = re.compile(rb"[ \t\r\n]*")
 _OUTSIDE_STRING = re.compile(rb'["{}\[\]]')  # the bytes that can affect where a value ends
--- a/stepflow/upstream/poll_schedule.py
+++ b/stepflow/upstream/poll_schedule.py
@@ -11,16 +11,16 @@
 
 import random
 
-ANSWER_TIMEOUT_US = 3_000_000  # long enough for a node's wait in discovery's queue
+ANSWER_TIMEOUT_US = 3_000_000  # timeout of a call; allows for a node's wait in discovery's queue
 WATCH_SILENCE_LIMIT_US = 2_750_000  # a watch that is silent for longer is broken: it gets a line every 2 s
 FIRST_POLL_SPREAD_US = 2_500_000  # the first calls of all nodes are spread over this time
-MIN_RETRY_DELAY_US = 500_000  # doubled after each failure
+MIN_RETRY_DELAY_US = 500_000  # limit of the first delay; doubled after each failure
 MAX_RETRY_DELAY_US = 2_500_000
 # Even overdue calls are delayed by a random time up to this: all nodes may lose their watches at once.
 OVERDUE_SPREAD_US = 300_000
 
 _MAX_DOUBLINGS = 8  # more than enough to reach MAX_RETRY_DELAY_US
-_MIN_JITTER = 0.5  # a delay is drawn from between this share of its limit and the limit
+_MIN_JITTER = 0.5  # a delay is drawn between this share of its limit and the limit
 
 
 class PollSchedule:
@@ -28,7 +28,7 @@
 
     def __init__(self, rng: random.Random) -> None:
         self._rng = rng
-        self._failures = 0  # since the last list
+        self._failures = 0  # failed calls since the last list
         self._poll_started_us = 0
 
     def first_delay(self) -> int:
--- a/stepflow/upstream/start_times.py
+++ b/stepflow/upstream/start_times.py
@@ -15,7 +15,7 @@
 from stepflow.interface import Endpoint, EndpointId
 
 MAX_FIRST_LIST_AGE_US = 600_000_000  # a larger age in the first list is attributed to a wrong clock
-USUAL_DELAY_US = 3_000_000  # from a start to its message, if nothing is wrong
+USUAL_DELAY_US = 3_000_000  # usual maximum of the time from a start to its message
 
 
 class _KnownStart(NamedTuple):
@@ -31,7 +31,7 @@
 
     def __init__(self) -> None:
         self._known_starts: dict[EndpointId, _KnownStart] = {}
-        # From a start, on discovery's clock, to its message, on this process's clock.
+        # Smallest time from a start (on discovery's clock) to its message (on this process's clock).
         self._min_delay_us: int | None = None
         self._had_list = False
 
@@ -62,7 +62,7 @@
             self._min_delay_us = min(delays)
 
     def _local_start(self, now: int, entry: Endpoint) -> int:
-        """Return the local start time of an endpoint, at most `now`; 0 if it started long ago."""
+        """Return the local start time of an endpoint, at most `now`; 0 if the start is unknown."""
         if entry.started_us <= 0:
             return 0
         if not self._is_new_start(entry):
