--- a/stepflow/interface/events.py
+++ b/stepflow/interface/events.py
@@ -21,7 +21,7 @@
     """The result of an attempt or a health check. Traces and logs contain the member names."""
 
     OK = 0
-    """It was served to its end."""
+    """The attempt or health check was served to its end."""
     ERROR = 1
     """The endpoint answered with an error."""
     FULL = 2
--- a/stepflow/interface/settings.py
+++ b/stepflow/interface/settings.py
@@ -1,7 +1,7 @@
 """Settings that an instance of the policy gets at its start and at a reload.
 
-`stepflow.settings` parses them from the simulator's text or a node's JSON; docs/settings.md lists the keys
-there. Every field has a default, and an impossible value raises ValueError.
+`stepflow.settings` parses them from the simulator's text or a node's JSON; docs/settings.md lists their
+keys. Every field has a default, and an impossible value raises ValueError.
 """
 
 from __future__ import annotations
@@ -14,14 +14,14 @@
 
 
 class Idempotency(IntEnum):
-    """Whether a class's request that may already have run may be sent again."""
+    """The rule for sending a request again that may already have run."""
 
     IDEMPOTENT = 0
-    """Yes: a repeat has no further effect."""
+    """It may be sent again: a repeat has no further effect."""
     BY_KEY = 1
-    """Only to endpoints that drop repeats by the request's idempotency key."""
+    """It may be sent again only to endpoints that drop repeats by its idempotency key."""
     NOT_IDEMPOTENT = 2
-    """No: a repeat would take effect a second time."""
+    """It may not be sent again: a repeat would take effect a second time."""
 
 
 class DeduplicationScope(IntEnum):
--- a/stepflow/settings/formats.py
+++ b/stepflow/settings/formats.py
@@ -1,8 +1,8 @@
 """Converts the two formats of the settings to pairs of a dotted key and a text.
 
-The simulator sends lines of `key=value`; a node's configuration contains nested JSON. In the pairs of both, a
-list of objects has the index of each item in its keys (`classes.0.name`) and its length in a key of its own
-(`classes.count`). A list of plain values is one text, separated by commas.
+The simulator sends lines of `key=value`; a node's configuration contains nested JSON. In the pairs of both
+formats, a list of objects has the index of each item in its keys (`classes.0.name`) and its length in a
+separate key (`classes.count`). A list of plain values is one text, separated by commas.
 """
 
 from __future__ import annotations
--- a/stepflow/settings/parser.py
+++ b/stepflow/settings/parser.py
@@ -29,7 +29,7 @@
     """Parse the simulator's text.
 
     Raises:
-        SettingsError: A value is not of its type or is out of range.
+        SettingsError: A value has the wrong type or is out of range.
     """
     return read_policy_settings(SettingsReader(pairs_of_text(text)))
 
@@ -38,7 +38,7 @@
     """Parse the nested JSON of a node's configuration.
 
     Raises:
-        SettingsError: The JSON is not an object, a value is not of its type or is out of range, or two
+        SettingsError: The JSON is not an object, a value has the wrong type or is out of range, or two
             classes have the same name.
     """
     if not isinstance(tree, dict):
--- a/stepflow/settings/policy.py
+++ b/stepflow/settings/policy.py
@@ -47,7 +47,7 @@
     """Return the policy's settings.
 
     Raises:
-        SettingsError: A value is not of its type or is out of range.
+        SettingsError: A value has the wrong type or is out of range.
     """
     return Settings(
         classes=_read_classes(reader) or (RequestClass(),),
--- a/stepflow/settings/reader.py
+++ b/stepflow/settings/reader.py
@@ -17,7 +17,8 @@
 class SettingsReader:
     """Holds the texts of settings by dotted key; an absent, empty or `null` setting has the caller's default.
 
-    All methods but `text` and `names` raise `SettingsError` if the text is not of the method's type.
+    All methods but `text` and `names` raise `SettingsError` if the text can't be converted or is out of
+    range.
     """
 
     def __init__(self, pairs: Iterable[tuple[str, str]]) -> None:
