--- a/stepflow/__main__.py
+++ b/stepflow/__main__.py
@@ -1,4 +1,4 @@
-"""The entry point: runs one node if there is no command, or else the command line.
+"""The entry point: runs one node without a command or for `run`, otherwise the command line.
 
 A node doesn't import the command line, to save memory: two hundred nodes share a machine.
 """
--- a/stepflow/daemon/lines.py
+++ b/stepflow/daemon/lines.py
@@ -18,7 +18,7 @@
 
 from stepflow.errors import InputError
 
-MAX_FILE_BYTES = 1 << 20  # per file
+MAX_FILE_BYTES = 1 << 20  # maximum size of a file
 
 
 class FileError(InputError):
@@ -53,7 +53,7 @@
         self._file = file
         self._directives: list[Directive] = []
         self._open_block: Directive | None = None
-        self._block_directives: list[Directive] = []  # of the open block
+        self._block_directives: list[Directive] = []  # directives of the open block
 
     def split_words(self, raw: str, line: int) -> list[str]:
         """Split a line into words, without quotes and comment."""
--- a/stepflow/daemon/model.py
+++ b/stepflow/daemon/model.py
@@ -71,7 +71,7 @@
     """Return the model of a file's text; raises FileError if the text is invalid."""
     directives = parse(text, file)
     tree: dict[str, Any] = {}
-    directive_at: dict[str, Directive] = {}  # by path
+    directive_at: dict[str, Directive] = {}  # directives by path, such as `record.segment`
     for directive in directives:
         name = directive.name
         if name in tree:
--- a/stepflow/errors.py
+++ b/stepflow/errors.py
@@ -22,7 +22,7 @@
 class InputError(Exception):
     """A file or a value is unusable."""
 
-    is_transient = False  # the file could not be read, but may be readable a moment later
+    is_transient = False  # true if the file could not be read, but may be readable a moment later
 
 
 def mark_read_error(error: InputError, cause: OSError) -> InputError:
--- a/stepflow/os_errors.py
+++ b/stepflow/os_errors.py
@@ -1,8 +1,8 @@
 """Error numbers of system calls, grouped by their cause and by whether a retry may soon succeed.
 
 A call can fail temporarily because of this machine (a shortage), or because of the other side; only the
-latter tells something about an endpoint. Sources: accept(2), connect(2), socket(2), open(2), read(2) of the
-Linux manual.
+latter indicates something about an endpoint. Sources: accept(2), connect(2), socket(2), open(2), read(2) of
+the Linux manual.
 """
 
 from __future__ import annotations
@@ -32,12 +32,12 @@
 )
 # connect(2) and socket(2) failed on this machine: the endpoint was not contacted and is not at fault.
 LOCAL_CONNECT_ERRORS = RESOURCE_SHORTAGE | {errno.EADDRNOTAVAIL, errno.ENETUNREACH, errno.ENETDOWN}
-# Of open(2), read(2), bind(2) and write(2) in an existing folder.
+# Errors of open(2), read(2), bind(2) and write(2) in an existing folder that may pass.
 TRANSIENT_FILE_ERRORS = RESOURCE_SHORTAGE | {errno.EIO, errno.ESTALE, errno.ENOSPC, errno.EDQUOT}
 
 ACCEPT_RETRY_DELAY = timedelta(
     milliseconds=5
-)  # after a shortage; the reactor would call accept(2) again at once
+)  # after a shortage; without a delay, the reactor would call accept(2) again at once
 CONNECT_RETRY_DELAY = timedelta(milliseconds=20)
 LISTEN_RETRY_DELAY = timedelta(milliseconds=100)
 LISTEN_RETRY_LIMIT = timedelta(seconds=20)  # a process has to be ready within 30 s
--- a/stepflow/traffic/journal.py
+++ b/stepflow/traffic/journal.py
@@ -6,7 +6,7 @@
 
 The first row of each file is a HEADER, so that each file can be read by itself. The reader stops at the first
 block that is incomplete or damaged, without using it, and reports the byte where it begins. It skips kinds of
-rows that a later version may add, and accepts items that one may append.
+rows that a later version may add, and accepts items that a later version may append to a row.
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
 VERSION = 1
 FILE_HEAD = struct.Struct("<6sH")  # the magic, the version
 BLOCK_HEAD = struct.Struct("<II")  # the payload's length and CRC
-MAX_BLOCK_BYTES = 1 << 24  # nodes write much shorter blocks: a longer length is damage
+MAX_BLOCK_BYTES = 1 << 24  # nodes write much shorter blocks: a larger length indicates damage
 _ARRAY_HEAD = struct.Struct(">BI")  # MessagePack: the type of an array with a 32-bit length, and the length
 _ARRAY_32 = 0xDD
 
--- a/stepflow/traffic/recorder.py
+++ b/stepflow/traffic/recorder.py
@@ -35,7 +35,7 @@
 from stepflow.traffic.journal import VERSION, Kind, encode_block, encode_file_head, encode_row
 
 BLOCK_BYTES: Final = 1 << 15  # size at which the waiting rows become a block, if no flush comes first
-GROUP_BITS: Final = 63  # of a group's hash, so that it fits the signed 64-bit columns of a trace
+GROUP_BITS: Final = 63  # bits of a group's hash, so that it fits the signed 64-bit columns of a trace
 GROUP_DIGEST_BYTES: Final = 8
 
 
@@ -74,7 +74,7 @@
     ) -> None:
         self._sink, self._key = sink, key.encode()
         self._segment_bytes = segment_bytes  # size of a file at which the next one is begun
-        self._file_bytes = segment_bytes  # of the current file; full, so that the first block begins one
+        self._file_bytes = segment_bytes  # size of the current file; full, so the first block begins one
         # The start of the next file, built before that file's first rows are recorded: their events change
         # the endpoint list and the sessions that it holds.
         self._next_file_start = b""
--- a/stepflow/traffic/writer.py
+++ b/stepflow/traffic/writer.py
@@ -1,6 +1,6 @@
 """Writes the recorder's blocks to files.
 
-A thread of its own does so, so that a slow disk never blocks the reactor. `Writer.put` and `Writer.close` are
+A separate thread writes, so that a slow disk never blocks the reactor. `Writer.put` and `Writer.close` are
 called from the reactor's thread; the private methods run in the writing thread.
 """
 
@@ -21,10 +21,10 @@
 
 T = TypeVar("T")
 
-MAX_PENDING_BYTES: Final = 4 << 20  # accepted and not yet written; while there are more, blocks are dropped
-CLOSE_TIMEOUT_S: Final = 0.1  # how long `close` waits for the disk, unless its caller passes another time
-RETRY_INTERVAL_S: Final = 0.1  # before a call that failed with a transient error is retried
-CLOSING_RETRY_INTERVAL_S: Final = 0.01  # the same while `close` waits
+MAX_PENDING_BYTES: Final = 4 << 20  # bytes accepted and not yet written; above this, blocks are dropped
+CLOSE_TIMEOUT_S: Final = 0.1  # time that `close` waits for the disk, unless its caller passes another time
+RETRY_INTERVAL_S: Final = 0.1  # delay before a call that failed with a transient error is retried
+CLOSING_RETRY_INTERVAL_S: Final = 0.01  # the same delay while `close` waits
 FILE_MODE: Final = 0o640
 NO_FILE: Final = -1
 _FILE_NAME = re.compile(r"traffic-[0-9]{16}-[0-9]{5}-[0-9]{4,10}\.sft")
@@ -35,7 +35,7 @@
 
     `put` never waits. A system call that fails with a transient error (no space left, an I/O error) is
     retried until it succeeds or the time of `close` is over; a write resumes at the byte where it stopped.
-    Any other error ends the recording for good: `failure` describes it, and further blocks are dropped.
+    Any other error ends the recording permanently: `failure` describes it, and further blocks are dropped.
     """
 
     def __init__(self, folder: str, max_files: int, stamp_ms: Callable[[], int]) -> None:
@@ -114,15 +114,15 @@
         self._file = os.open(path, os.O_WRONLY | os.O_CREAT | os.O_EXCL | os.O_CLOEXEC, FILE_MODE)
         self._files_begun += 1
         for old in journals(self._folder)[: -self._max_files]:
-            with suppress(OSError):  # removed when the next file begins
+            with suppress(OSError):  # retried when the next file begins
                 os.unlink(old)
 
     def _file_name(self) -> str:
         """A name that sorts after those of all journals in the folder.
 
-        The name does so even if the wall clock was set back between two processes: otherwise the newest file
-        would be removed as the oldest. It also holds the process's id, since two processes of a node may
-        record at the same time.
+        It must sort last even if the wall clock was set back between two processes: otherwise the newest file
+        would be removed as the oldest. The name also holds the process's id, since two processes of a node
+        may record at the same time.
         """
         newest = journals(self._folder)[-1:]
         stamp = max([self._stamp_ms(), *(_stamp_of(path) + 1 for path in newest)])
