--- a/tests/budgets/test_processes.py
+++ b/tests/budgets/test_processes.py
@@ -88,7 +88,7 @@
         return maximum
 
     async def run(self, scenario: Callable[[Processes], Awaitable[None]]) -> None:
-        # The addresses are of this test alone, because another test could take a port that was just free.
+        # Each pytest process has its own addresses: another test could take a port that was found free.
         pid = os.getpid()
         await self.links.open(
             [(f"127.{120 + member}.{pid >> 8 & 255}.{pid & 255}", PORT) for member in range(MEMBERS)]
--- a/tests/policy/test_attempts.py
+++ b/tests/policy/test_attempts.py
@@ -9,7 +9,7 @@
 
 
 def test_failures_at_all_endpoints_close_the_throttle_until_time_has_passed() -> None:
-    # Without a throttle, the retries of all instances overloaded the store that every session needs.
+    # Without the throttle, the retries of all instances would overload the store that every session needs.
     driver = Driver(plain_settings(), [entry(i) for i in range(9)])
     for id in range(40):
         for send in of_type(StartAttempt, driver.request(id)):
@@ -40,7 +40,8 @@
 
 
 def test_a_session_reset_at_once_does_not_count_as_established() -> None:
-    # Overloaded endpoints accept a connection and reset it; the repeated setups overloaded all of them.
+    # Overloaded endpoints accept a connection and reset it; counted as established, such sessions let further
+    # setups overload all endpoints.
     driver = Driver(plain_settings(), [entry(i) for i in range(9)])
     for id in range(40):
         for send in of_type(StartAttempt, driver.request(id)):
@@ -53,7 +54,10 @@
 
 
 def test_timeouts_follow_the_smoothed_latency() -> None:
-    """After a restart, setups took 0.4 to 1 s, and timeouts of half the time left overloaded the store."""
+    """Timeouts must not cut off slow setups.
+
+    After a restart, setups took 0.4 to 1 s, and timeouts of half the time left overloaded the store.
+    """
     driver = Driver(plain_settings(limits=Limits(max_attempts=6)), map(entry, range(4)))
     for id in range(100, 160):
         for send in of_type(StartAttempt, driver.request(id)):
@@ -70,7 +74,7 @@
 
 
 def test_an_outlier_does_not_close_the_throttle_for_others() -> None:
-    """An endpoint that failed at once with errors made the throttle limit all others, and kept its health."""
+    """Immediate errors of one endpoint must lower its health, not limit attempts at all other endpoints."""
     driver = Driver(plain_settings(), map(entry, range(3)))
     established = 0
     for id in range(200):
--- a/tests/policy/test_fault_scenarios.py
+++ b/tests/policy/test_fault_scenarios.py
@@ -1,4 +1,4 @@
-"""Fault scenarios in the fleet model: the policy keeps each safety rule, and breaks it if a line changes."""
+"""Fault scenarios in the fleet model: the policy keeps each safety rule, but not with a changed line."""
 
 from __future__ import annotations
 
--- a/tests/policy/test_health_checks.py
+++ b/tests/policy/test_health_checks.py
@@ -17,14 +17,14 @@
 def test_open_sessions_allow_checks_in_rotation_without_new_requests() -> None:
     prices = Prices(probe=0.004)
     driver = Driver(plain_settings(prices=prices, **REPORTING), [entry(i) for i in range(4)])
-    for id in range(240):  # and there are no new requests
+    for id in range(240):  # open sessions, but no new requests
         driver.adopt(id, id % 4)
     checks = [check for _ in range(20) for check in of_type(StartHealthCheck, driver.tick())]
     assert len(checks) >= 4
 
 
 def test_checks_go_to_the_endpoint_checked_longest_ago() -> None:
-    """With a random choice, some endpoints waited several seconds, and an overload there went unnoticed."""
+    """A random choice left some endpoints unchecked for several seconds, and missed their overload."""
     driver = Driver(plain_settings(prices=Prices(probe=0.004), **REPORTING), map(entry, range(4)))
     for id in range(240):
         driver.adopt(id, id % 4)
--- a/tests/policy/test_load_model.py
+++ b/tests/policy/test_load_model.py
@@ -64,7 +64,7 @@
 
 
 def test_adopted_sessions_and_session_reports_do_not_count_as_placed() -> None:
-    """117 adopted sessions once counted as a load of 10.8 that no report showed yet."""
+    """Adopted sessions must not count as unreported load; 117 of them were counted as a load of 10.8."""
     driver = adopting_driver(0.5, 20)
     [send] = of_type(StartAttempt, driver.request(100, load=1.0))
     driver.establish(send)
@@ -76,18 +76,18 @@
 
 
 def test_a_load_report_is_compared_with_the_load_of_its_time() -> None:
-    """Compared with the current load, a late report made each session look lighter than it was."""
+    """Compared with the current load, a late report would make each session look lighter than it is."""
     driver = adopting_driver(0.3, 20)
     driver.update_list(*(entry(id) for id in range(2, 6)))
     for id in range(100, 110):
         driver.adopt(id, 1)
     for _ in range(8):
-        driver.feed(HealthCheckEnded(1, 0, 500, (0.3, 0.0)))  # the report does not include these ten yet
+        driver.feed(HealthCheckEnded(1, 0, 500, (0.3, 0.0)))  # the report lacks the ten new sessions
     assert driver.policy.model.endpoints[1].predicted_load > 0.38
 
 
 def test_a_live_weight_is_not_taken_for_a_size() -> None:
-    """The live size of an empty endpoint was thirty times a full one's, and so was its pseudo load."""
+    """The pseudo load must not follow the live size, which is thirty times larger at an empty endpoint."""
     driver = Driver(plain_settings(live_weights=True, **REPORTING), [entry(1, size=0.2), entry(2, size=6.0)])
     for id in range(30):
         driver.adopt(id, 1)
@@ -101,7 +101,7 @@
 
 
 def test_the_first_reported_load_rescales_all_loads() -> None:
-    """Sessions without a load count as 1; with costs learned so, the first reported load was an overload."""
+    """Costs learned while sessions count as 1 must not turn the first reported load into an overload."""
     driver = Driver(plain_settings(load_report_fields=("x0",)), [entry(1), entry(2)])
     for endpoint in (1, 2):
         driver.feed(HealthCheckEnded(endpoint, AttemptResult.OK, 900, (0.4,)))
@@ -120,7 +120,7 @@
 
 
 def test_placements_count_before_the_first_step() -> None:
-    """Without costs, placements counted 0, and a restarted node sent a second's requests to one endpoint."""
+    """Guards against counting placements as 0: a restarted node sent a second's requests to one endpoint."""
     driver = Driver(plain_settings(), [entry(1), entry(2)])
     [send] = of_type(StartAttempt, driver.request(1))
     assert driver.policy.model.endpoints[send.endpoint].placed_load > 0
--- a/tests/policy/test_long_runs.py
+++ b/tests/policy/test_long_runs.py
@@ -123,7 +123,7 @@
 def test_work_for_a_request_does_not_grow_with_the_endpoints(
     reports: tuple[str, ...], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Counted in calls of `SlowStart.is_warm`: about as many with 1000 endpoints as with 10."""
+    """Work is counted in calls of `SlowStart.is_warm`: 1000 endpoints cause about as many as 10."""
     counts = {}
     for size in (10, 1000):
         driver = Driver(Settings(load_report_fields=reports), map(entry, range(size)))
--- a/tests/policy/test_migration.py
+++ b/tests/policy/test_migration.py
@@ -47,7 +47,7 @@
 def test_an_endpoint_is_watched_once_its_delay_reaches_the_shortest_objective(
     delay_ms: float, is_watched: bool
 ) -> None:
-    # Delays are reported from a third of the shortest objective on; migrating then kept migrating clients.
+    # Delays are reported from a third of the shortest objective on; migrations at such delays never ended.
     driver = overloaded_driver(0.1)
     [send] = of_type(StartAttempt, driver.request(1))
     driver.establish(send)
@@ -56,7 +56,7 @@
 
 
 def test_an_overload_is_found_and_relieved_with_few_new_requests() -> None:
-    # Without a report of delays, health checks in rotation took 9 s to find the overload.
+    # Without delay reports, health checks in rotation alone took 9 s to detect the overload.
     prices = Prices(probe=0.004, moves=0.02)
     driver = Driver(plain_settings(prices=prices, **REPORTING), [entry(1), entry(2)])
     for id in range(100):
@@ -72,12 +72,12 @@
             )
     migrations = of_type(MigrateSession, driver.actions)
     assert all(action.request_id % 2 == 0 for action in migrations)
-    assert len(migrations) > 8  # paced by new requests alone there were 4, and the overload lasted 10 s
+    assert len(migrations) > 8  # a rate from new requests alone allowed 4 in an overload of 10 s
 
 
 def test_an_overloaded_endpoint_is_checked_once_a_second() -> None:
-    """Each node checked at each tick, though reports are no fresher; 40 nodes paid 0.01 points for that."""
-    prices = Prices(probe=0.004, moves=1.0)  # migrations are not worth it: the overload stays
+    """Checks at each tick brought no newer reports, and cost 0.01 points with 40 nodes."""
+    prices = Prices(probe=0.004, moves=1.0)  # migrations are too expensive: the overload lasts
     driver = Driver(plain_settings(prices=prices, **REPORTING), [entry(1), entry(2)])
     for id in range(100):
         driver.adopt(id, 1 + id % 2)
@@ -96,7 +96,7 @@
 
 @pytest.mark.parametrize("load", [0.1, 0.3, 0.9])
 def test_sessions_of_a_draining_endpoint_are_not_migrated(load: float) -> None:
-    """When all nodes migrated them at once, other endpoints were full before a replacement had started."""
+    """All nodes would migrate them at once, and fill the other endpoints before a replacement has started."""
     driver = Driver(plain_settings(load_report_fields=("x0",)), [entry(1), entry(2)])
     for id in range(6):
         driver.adopt(id, 2 if id < 3 else 1)
--- a/tests/policy/test_rendezvous.py
+++ b/tests/policy/test_rendezvous.py
@@ -29,11 +29,12 @@
 
 
 def test_groups_are_spread_evenly_at_first_and_second_endpoints() -> None:
-    """With CRC alone, all groups of an endpoint had the same second one, which took the whole load."""
+    """With CRC alone, all groups of an endpoint had the same second choice, which got all of their load."""
     found = [
         preferred_endpoints(0x5C0F6E1A2B3D4C59 * i & (1 << 64) - 1, ENDPOINTS, 2) for i in range(1, 6601)
     ]
     firsts = Counter(first for first, _ in found)
-    assert len(firsts) == 66 and max(firsts.values()) < 150 and min(firsts.values()) > 60  # 100 +- 10
+    # Groups per endpoint: mean 100, standard deviation 10.
+    assert len(firsts) == 66 and max(firsts.values()) < 150 and min(firsts.values()) > 60
     seconds = Counter(second for first, second in found if first == ENDPOINTS[0])
     assert max(seconds.values()) < 10 and len(seconds) > 35
--- a/tests/policy/test_safety_rules.py
+++ b/tests/policy/test_safety_rules.py
@@ -291,7 +291,7 @@
 def test_warming_endpoints_are_sent_no_more_than_their_budget(
     seed: int, warm: int, warming: int, rate: float, multiple: float, adopted: int
 ) -> None:
-    """No window has more attempts at a warming endpoint than the multiple of what a warm one gets."""
+    """In no window does a warming endpoint get more attempts than `multiple` times those of a warm one."""
     rules = SafetyRules(overload_multiple=multiple, slow_start_share=0.2, slow_start_us=20 * SECOND)
     endpoints = [entry(id) for id in range(warm)] + [
         entry(warm + id, started_us=START) for id in range(warming)
--- a/tests/policy/test_selection.py
+++ b/tests/policy/test_selection.py
@@ -71,7 +71,10 @@
 
 
 def test_a_burst_between_two_reports_is_rejected_once_it_fills_the_endpoint() -> None:
-    """Clients of two failed nodes arrived at once, and all were admitted on the basis of old reports."""
+    """Sessions placed since the last report must count.
+
+    Clients of two failed nodes arrived at once, and all were admitted on the basis of old reports.
+    """
     driver = adopting_driver(0.5, 20)
     admitted = 0
     for id in range(100, 140):
@@ -83,13 +86,13 @@
 
 
 def test_a_request_rejected_for_load_is_told_when_to_retry() -> None:
-    # Rejected clients retried at once, fifteen for each new client, and were rejected again.
+    # Without advice, clients retried at once, fifteen for each new client, and were rejected again.
     [rejection] = of_type(RejectRequest, overloaded_driver(2.0).request(1))
     assert 500_000 <= rejection.retry_after_us <= 1_000_000
 
 
 def test_a_burst_is_spread_before_any_report() -> None:
-    # All clients of a lost endpoint went to the endpoint with the lowest predicted load.
+    # Guards against sending all clients of a lost endpoint to the one with the lowest predicted load.
     driver = Driver(plain_settings(**REPORTING), [entry(1), entry(2)])
     for endpoint in (1, 2):
         driver.feed(HealthCheckEnded(endpoint, AttemptResult.OK, 500, (0.02 * endpoint, 0.0)))
@@ -98,11 +101,14 @@
         [send] = of_type(StartAttempt, driver.request(id, load=1.0))
         driver.establish(send)
         sent[int(str(send.endpoint))] += 1
-    assert min(sent.values()) >= 5  # both end at the same predicted load
+    assert min(sent.values()) >= 5  # both endpoints end at the same predicted load
 
 
 def test_an_affinity_group_stays_at_one_endpoint_until_that_is_overloaded() -> None:
-    """Each endpoint with sessions of a group bears its shared work; by load alone, groups were everywhere."""
+    """Each endpoint with sessions of a group bears the group's shared work.
+
+    Placement by load alone spread each group over all endpoints.
+    """
     driver = Driver(plain_settings(load_report_fields=("x0",)), map(entry, range(6)))
     for id in range(6):
         driver.feed(HealthCheckEnded(id, AttemptResult.OK, 900, (0.03,)))
@@ -123,7 +129,7 @@
 
 
 def test_instances_that_share_nothing_place_an_affinity_group_together() -> None:
-    """99 groups were once spread over 826 endpoints, and the load of that alone filled all endpoints."""
+    """Spread over 826 endpoints, 99 groups caused shared work that alone filled all endpoints."""
     settings = plain_settings(balancers=200, load_report_fields=("x0",))
     endpoints = [entry(i) for i in range(1, 41)]
     endpoints_by_group: dict[int, set[EndpointId]] = {}
--- a/tests/policy/test_send_safety.py
+++ b/tests/policy/test_send_safety.py
@@ -34,7 +34,7 @@
 
 
 def test_a_rejected_retry_keeps_the_request_bound_to_the_first_endpoint() -> None:
-    """The first attempt may have run; after its endpoint rejected a retry, all endpoints were allowed."""
+    """A retry that the first endpoint rejects must not allow other endpoints: attempt 1 may have run."""
     driver = make_driver(KEYED)
     [first] = of_type(StartAttempt, driver.request(1))
     driver.end(first, AttemptResult.TIMEOUT)  # it may still run; only its own cell drops a repeat
@@ -83,7 +83,7 @@
 
 
 def test_no_retry_is_sent_after_the_deduplication_window_of_the_first_attempt() -> None:
-    """A retry started within the window, whose connection took longer than the rest, would have run twice."""
+    """A retry that starts within the window but connects after its end could run a second time."""
     driver = make_driver(KEYED)
     [first] = of_type(StartAttempt, driver.request(1, wait_us=5 * SECOND))
     assert driver.policy.may_send_attempt(driver.now + SECOND, 1)  # the first attempt opens the window
--- a/tests/policy/test_slow_start.py
+++ b/tests/policy/test_slow_start.py
@@ -32,7 +32,7 @@
         driver.tick()
         if step == 0:
             assert sent == 0
-    # 40 s at 2 requests a second for each warm endpoint, times the multiple and the safety share.
+    # 40 s at 2 requests a second for each warm endpoint, times `overload_multiple` and SAFETY_SHARE.
     assert 0 < sent <= 80 / 9 * 10 * slow_start.SAFETY_SHARE * 2.5
 
 
@@ -58,7 +58,7 @@
 
 
 def test_a_warming_endpoint_with_a_budget_is_a_candidate() -> None:
-    # With few requests at each of many instances, the draw hardly ever hit an endpoint with a budget.
+    # With few requests at each of many instances, the draw hardly ever hits an endpoint with a budget.
     warm = [entry(i) for i in range(100)]
     driver = Driver(plain_settings(balancers=200, **REPORTING), [*warm, entry(999, started_us=START)])
     driver.tick()
--- a/tests/policy/test_slow_start_sum.py
+++ b/tests/policy/test_slow_start_sum.py
@@ -57,7 +57,7 @@
     seed: int
     life_s: float = math.inf  # mean life of a session
     capacity_sessions: float = CAPACITY_SESSIONS
-    skew: float = 1.0  # traffic of the busiest node over the least busy one's; the rest lie between
+    skew: float = 1.0  # busiest node's traffic / least busy node's; the others lie between
     open_sessions: dict[object, int] = field(default_factory=dict)
     started: dict[object, int] = field(default_factory=dict)
     sent: dict[object, list[int]] = field(default_factory=dict)
@@ -206,7 +206,7 @@
 @pytest.mark.parametrize("seed", SEEDS)
 @pytest.mark.parametrize("nodes", [6, 30])
 def test_budgets_saved_while_idle_are_not_spent_at_once(nodes: int, seed: int) -> None:
-    """Each node had saved an attempt for each warming endpoint, and a burst spent all of these at once."""
+    """A burst must not spend all budgets at once: each node saves an attempt for each warming endpoint."""
     fleet = Fleet(nodes, 20, 0.5, seed)
     fleet.pass_time(4, 10)
     fleet.restart_endpoints(0, 1, 2)
@@ -236,7 +236,7 @@
 def test_nearly_all_endpoints_warming_up_at_once_get_no_more_than_is_allowed(
     nodes: int, warming: int, seed: int
 ) -> None:
-    """Capacity was learned as the sessions at all endpoints over the few warm ones: a ratio of up to 1.39."""
+    """`max_window_ratio` was up to 1.39 when the capacity was learned as all sessions per warm endpoint."""
     fleet = Fleet(nodes, 20, 0.5, seed)
     fleet.pass_time(4, 10)
     fleet.restart_endpoints(*range(warming))
@@ -251,7 +251,10 @@
 def test_endpoints_with_sessions_shorter_than_the_slow_start_get_no_more_than_is_allowed(
     nodes: int, warming: int, life_s: float, seed: int
 ) -> None:
-    """Twice a warm endpoint's rate was sent, which filled a warming one too fast: a ratio of 1.40."""
+    """Guards against sending twice a warm endpoint's rate, which fills a warming endpoint too fast.
+
+    `max_window_ratio` was then 1.40.
+    """
     fleet = Fleet(nodes, 20, 0.5, seed, life_s, capacity_sessions=80.0)
     rate = 20 * 80.0 * 0.5 / life_s
     fleet.pass_time(4, rate)
--- a/tests/policy/test_weights.py
+++ b/tests/policy/test_weights.py
@@ -68,7 +68,7 @@
 
 
 def test_a_zone_without_endpoints_does_not_keep_sessions_from_other_zones() -> None:
-    # The last load of a lost zone was kept, so its clients never reached the other zones.
+    # When the last load of a lost zone was kept, its clients never reached the other zones.
     settings = plain_settings(prices=Prices(cross_zone=0.1))
     driver = Driver(settings, [entry(1), entry(2, zone=1), entry(3, zone=1)])
     driver.tick(10.0)
@@ -79,7 +79,7 @@
 
 
 def test_few_requests_take_few_controller_steps() -> None:
-    # 739 instances with 289 endpoints each ran out of CPU in controller steps.
+    # Too many steps use up the CPU, as with 739 instances of 289 endpoints each.
     driver = Driver(plain_settings(), [entry(i) for i in range(300)])
     steps = set()
     for _ in range(40):
--- a/tests/upstream/test_start_times.py
+++ b/tests/upstream/test_start_times.py
@@ -17,7 +17,7 @@
 
 @pytest.mark.parametrize("ahead_s", [-3600, -3, 0, 3, 3600])
 def test_the_age_of_an_endpoint_survives_steps_of_the_wall_clock(ahead_s: int) -> None:
-    """After a step of the wall clock, a process took cold endpoints for warm ones, or the reverse."""
+    """A step of the wall clock must not make a process take cold endpoints for warm ones, or the reverse."""
     times, ahead = StartTimes(), ahead_s * SECOND
     times.localize(BOOT_US + ahead, True, (started("s-0", 0),))
     for number, lag in enumerate((2 * SECOND, SECOND, 3 * SECOND)):
