--- a/stepflow/budgets/leases.py
+++ b/stepflow/budgets/leases.py
@@ -32,7 +32,7 @@
         self._window_us = window_us
         # The predecessor of this process may have voted for a lease that has not ended yet.
         self.votes_from_us = now + timing.guard_duration_us(timing.LEASE_US) + window_us
-        self._votes: dict[int, _Vote] = {}  # by owner of the base share
+        self._votes: dict[int, _Vote] = {}  # last vote, by owner of the base share
 
     def vote(self, now: int, owner: int, candidate: int) -> bool:
         """Return whether this member votes for the candidate's lease of the owner's base share.
--- a/stepflow/budgets/shared_limits.py
+++ b/stepflow/budgets/shared_limits.py
@@ -40,7 +40,7 @@
 LOAN_INCREMENT_DIVISOR = 4  # base share / minimum additional amount that a loan request asks for
 LENT_IDLE_DIVISOR = 2  # idle amount / maximum amount that one grant adds
 MAX_LIMITS = 256  # maximum number of accounts at one time
-MIN_MEMBERS_FOR_LEASES = 3  # with two, one member alone is no majority
+MIN_MEMBERS_FOR_LEASES = 3  # of two members, one alone is no majority
 
 
 class OutgoingMessage(NamedTuple):
--- a/stepflow/logs.py
+++ b/stepflow/logs.py
@@ -21,12 +21,7 @@
 import structlog
 from twisted.logger import ILogObserver, LogLevel, formatEvent, globalLogBeginner
 
-LEVELS = {
-    "debug": 10,
-    "info": 20,
-    "warning": 30,
-    "error": 40,
-}  # by name, with the numbers of Python's `logging`
+LEVELS = {"debug": 10, "info": 20, "warning": 30, "error": 40}  # level numbers of Python's `logging`, by name
 FORMS = ("text", "json")
 # Characters per write, of up to 4 bytes each. A pipe polls as writable while it has room for a page.
 WRITE_LENGTH = 1024
--- a/stepflow/members/membership.py
+++ b/stepflow/members/membership.py
@@ -12,7 +12,7 @@
 from typing import NamedTuple
 
 SUSPECT_AFTER_US = 1_500_000  # a member is suspected after this time without a message
-DEAD_AFTER_US = 2_500_000  # and considered dead after this time
+DEAD_AFTER_US = 2_500_000  # a member is considered dead after this time without a message
 
 
 class MemberStatus(IntEnum):
--- a/stepflow/policy/load_model.py
+++ b/stepflow/policy/load_model.py
@@ -18,7 +18,7 @@
 from stepflow.policy.state import EndpointState
 
 REPORT_WEIGHT = 0.4  # minimum weight of a new report in the learned cost
-REPORT_DECAY_US = 2_000_000  # after this gap, older reports count about two thirds less
+REPORT_DECAY_US = 2_000_000  # after a gap of this length, older reports count about two thirds less
 KIND_REPORT_WEIGHT = 0.15  # weight of a new report in the cost of the machine kind
 REPORT_AGE_TICKS = 2  # a load report shows the load of this many ticks ago
 COST_DECAY_S = 10.0  # time constant of a cost's return to the cost of its kind
--- a/stepflow/traffic/recorder.py
+++ b/stepflow/traffic/recorder.py
@@ -81,7 +81,7 @@
         self._node, self._began_us = node, now_us
         self._rows, self._row_count, self._lost_count = bytearray(), 0, 0
         self._endpoints: dict[EndpointId, Endpoint] = {}
-        self._open_requests: dict[int, _OpenRequest] = {}  # by id
+        self._open_requests: dict[int, _OpenRequest] = {}  # open requests by id
         self._settings = _settings_items(settings)
         self._row_writers: dict[type, Callable[[int, Any], None]] = {
             Request: self._add_request,
--- a/stepflow/upstream/endpoint_group.py
+++ b/stepflow/upstream/endpoint_group.py
@@ -48,7 +48,7 @@
 
     def __init__(self, zones: Sequence[str], kinds: Sequence[str]) -> None:
         self.revision = 0
-        self._entries: dict[str, _Entry] = {}  # by the endpoint's name
+        self._entries: dict[str, _Entry] = {}  # entries by endpoint name
         self._zone_numbers = {name: number for number, name in enumerate(zones)}
         self._kind_numbers = {name: number for number, name in enumerate(kinds)}
 
--- a/stepflow/upstream/json_stream.py
+++ b/stepflow/upstream/json_stream.py
@@ -37,7 +37,7 @@
 
     @property
     def has_partial_value(self) -> bool:
-        """Whether a value has begun and is incomplete."""
+        """True if a value has begun and is incomplete."""
         return bool(self._buffer)
 
     def feed(self, data: bytes) -> Iterator[object]:
--- a/stepflow/upstream/poll_schedule.py
+++ b/stepflow/upstream/poll_schedule.py
@@ -12,7 +12,7 @@
 import random
 
 ANSWER_TIMEOUT_US = 3_000_000  # timeout of a call; allows for a node's wait in discovery's queue
-WATCH_SILENCE_LIMIT_US = 2_750_000  # a watch that is silent for longer is broken: it gets a line every 2 s
+WATCH_SILENCE_LIMIT_US = 2_750_000  # a watch silent for longer is broken: discovery sends a line every 2 s
 FIRST_POLL_SPREAD_US = 2_500_000  # the first calls of all nodes are spread over this time
 MIN_RETRY_DELAY_US = 500_000  # limit of the first delay; doubled after each failure
 MAX_RETRY_DELAY_US = 2_500_000
--- a/stepflow/upstream/start_times.py
+++ b/stepflow/upstream/start_times.py
@@ -19,8 +19,8 @@
 
 
 class _KnownStart(NamedTuple):
-    reported_us: int  # as discovery reported it
-    local_us: int  # on this process's clock
+    reported_us: int  # the start time that discovery reported
+    local_us: int  # the start time on this process's clock
 
 
 _UNKNOWN_START = _KnownStart(0, 0)
--- a/stepflow/wire/events.py
+++ b/stepflow/wire/events.py
@@ -74,7 +74,7 @@
 )  # id, endpoint, latency, is final, result, attempt, count of load report values
 _HEALTH_CHECK = struct.Struct("<6sBIB")  # endpoint, result, latency, count of load report values
 _LIST = struct.Struct("<IBI")  # version, kind, count of entries
-_LIST_ENTRY = struct.Struct("<6sBHHBfQ")  # in the order of Endpoint's fields
+_LIST_ENTRY = struct.Struct("<6sBHHBfQ")  # fields in the order of Endpoint's
 _PEER_MESSAGE = struct.Struct("<IH")  # peer, length
 _START = struct.Struct("<QI")  # seed, length of the settings
 
--- a/tests/policy/test_migration.py
+++ b/tests/policy/test_migration.py
@@ -91,7 +91,7 @@
                     check.endpoint, AttemptResult.OK, 500, (1.4 if check.endpoint == 1 else 0.2, 0.0)
                 )
             )
-    assert 3 <= check_count <= 11  # in ten seconds
+    assert 3 <= check_count <= 11  # about one check a second, over ten seconds
 
 
 @pytest.mark.parametrize("load", [0.1, 0.3, 0.9])
--- a/tests/policy/test_send_safety.py
+++ b/tests/policy/test_send_safety.py
@@ -37,7 +37,7 @@
     """A retry that the first endpoint rejects must not allow other endpoints: attempt 1 may have run."""
     driver = make_driver(KEYED)
     [first] = of_type(StartAttempt, driver.request(1))
-    driver.end(first, AttemptResult.TIMEOUT)  # it may still run; only its own cell drops a repeat
+    driver.end(first, AttemptResult.TIMEOUT)  # the attempt may still run; only its cell drops a repeat
     driver.now += 100_000
     again = of_type(StartAttempt, driver.feed(TimerFired(16 + 1)))
     assert [send.endpoint for send in again] == [first.endpoint]
@@ -53,7 +53,7 @@
 @pytest.mark.parametrize("cls", [ONCE, KEYED])
 def test_a_request_that_may_have_run_is_not_safe_to_reject(cls: RequestClass) -> None:
     driver = make_driver(cls)
-    assert driver.policy.is_safe_to_reject(1)  # it was never sent
+    assert driver.policy.is_safe_to_reject(1)  # the request was never sent
     [send] = of_type(StartAttempt, driver.request(1))
     assert not driver.policy.is_safe_to_reject(1)
     driver.end(send, AttemptResult.CONNECT_FAILED)
