--- a/stepflow/fleet/scenario.py
+++ b/stepflow/fleet/scenario.py
@@ -174,7 +174,7 @@
             "of the fleet's capacity": (peak_load, self.trace_maximum.utilization),
         }
         return [
-            f"up to {most:.3g} {name}, but the trace reached at most {held:.3g}"
+            f"up to {most:.3g} {name}, but the trace reached {held:.3g} at most"
             for name, (most, held) in requested.items()
             if held and most > EXTRAPOLATION * held
         ]
--- a/tests/fleet/test_fit.py
+++ b/tests/fleet/test_fit.py
@@ -109,7 +109,7 @@
     side = Side("trace {\n utilization 0.5\n}\n", "f", "present")
     rows = [(1, Run({"peak_load": 0.5}), Run({"peak_load": 0.7}))]
     assert Comparison((side, side), 0.95, 2, rows, 2).extrapolations() == [
-        "f: up to 0.7 of the fleet's capacity, but the trace reached at most 0.5"
+        "f: up to 0.7 of the fleet's capacity, but the trace reached 0.5 at most"
     ]
 
 
