--- a/stepflow/fleet/fitting/__init__.py
+++ b/stepflow/fleet/fitting/__init__.py
@@ -1,8 +1,8 @@
 """Fits a scenario to a trace: estimates the traffic and the servers, with confidence intervals.
 
 `estimators` has the estimators of single figures, `sessions` the typed rows of a trace. `arrivals`, `classes`
-and `servers` each fit a part of the scenario and add their estimates to a `Fit`; `scenario_text` renders it
-as a scenario file.
+and `servers` each fit a part of the scenario and add their estimates to a `Fit`; `scenario_text` renders the
+`Fit` as a scenario file.
 """
 
 from stepflow.fleet.fitting.arrivals import fit_arrivals
@@ -20,8 +20,9 @@
 def fit(trace: Trace, group_load: float = Day.group_load) -> Fit:
     """Fit a scenario to a trace. What the trace doesn't show keeps its default and is listed in `absent`.
 
-    `group_load` is the load of an affinity group on its server beside that of its sessions, in mean session
-    loads; no trace shows it. Raises FitError for a trace without connections or without duration.
+    `group_load` is the load that an affinity group adds to its server beside the loads of its sessions, in
+    mean session loads; no trace shows this load. Raises FitError for a trace without connections or without
+    duration.
     """
     manifest = trace.manifest
     sessions = sessions_of(trace)
--- a/stepflow/fleet/fitting/arrivals.py
+++ b/stepflow/fleet/fitting/arrivals.py
@@ -11,7 +11,7 @@
 from stepflow.fleet.fitting.result import Fit
 from stepflow.fleet.fitting.sessions import SECOND, Session
 
-WINDOW_S = 5.0  # the highest rate is that of a window of this length
+WINDOW_S = 5.0  # length of the windows of which the highest rate is taken
 
 
 def fit_arrivals(result: Fit, sessions: Sequence[Session], seconds: float, began_us: int) -> None:
@@ -20,7 +20,8 @@
     gaps = np.diff(np.sort(first_s))
     flaw = ""
     if len(gaps) > 2 * MIN_EVENTS:
-        # The gaps of a Poisson process are exponential. Their scale is estimated, so the test is Lilliefors'.
+        # The gaps of a Poisson process are exponential. Whatever their scale, the ratio of their standard
+        # deviation to their mean is 1; estimated from n gaps, it has a standard error of about 1 / sqrt(n).
         relative_deviation = float(np.std(gaps) / gaps.mean())
         if abs(relative_deviation - 1) > MAX_STANDARD_ERRORS / math.sqrt(len(gaps)):
             flaw = f"not Poisson: the gaps' standard deviation is {relative_deviation:.2f} of their mean"
--- a/stepflow/fleet/fitting/classes.py
+++ b/stepflow/fleet/fitting/classes.py
@@ -1,10 +1,10 @@
 """Fits the classes of requests: their shares, lives and loads.
 
 Lives are exponential. A session that was migrated, that broke or that was still established at the end of the
-trace adds its exposure and no event; one that was established before the trace adds its exposure from the
-trace's start on. Loads are lognormal: the deviation within a session is estimated from the differences of
-successive loads, the deviation between sessions from the remaining variance of their first loads. The time
-that a load holds is estimated as a life, too.
+trace adds its exposure and no event; a session that was established before the trace adds its exposure from
+the trace's start on. Loads are lognormal: the deviation within a session is estimated from the differences of
+successive loads, the deviation between sessions from the remaining variance of their first loads. The
+duration of a load is estimated like a life.
 """
 
 from __future__ import annotations
@@ -23,22 +23,22 @@
 from stepflow.fleet.scenario import Class, Day
 
 OWN_ENDS = ("ok", "cancelled")  # ends of a session that its client caused
-MIN_LOAD = 1e-9  # smaller loads count as this one, since 0 has no logarithm
+MIN_LOAD = 1e-9  # smaller loads are raised to this value, since 0 has no logarithm
 
 
 @dataclass(frozen=True)
 class _Loads:
-    """The loads of a class: their mean, and the deviations of their logarithms."""
+    """The loads of a class: their mean, and the standard deviations of their logarithms."""
 
     mean: float = math.nan
-    between_sigma: float = Class.load_sigma  # from one session to the next
-    within_sigma: float = Class.swing_sigma  # from one load of a session to the next
+    between_sigma: float = Class.load_sigma  # between sessions
+    within_sigma: float = Class.swing_sigma  # between the loads of one session
 
 
 def fit_classes(
     result: Fit, class_settings: Sequence[Mapping[str, Any]], sessions: Sequence[Session], began_us: int
 ) -> None:
-    """Add each class's share, life and loads, the mean life of the day, and how long a load holds.
+    """Add each class's share, life and loads, the mean life of the day, and the mean duration of a load.
 
     `class_settings` are the classes of the trace's manifest.
     """
@@ -76,7 +76,7 @@
 def _fit_day_life(
     result: Fit, lives: Mapping[str, Estimate], shares: Mapping[str, float], count: int
 ) -> float:
-    """Add the mean life of all classes, weighted by their shares of first requests; returns it in seconds."""
+    """Add the mean life over all classes, weighted by their shares of first requests; returns the seconds."""
     known = {name: estimate.value for name, estimate in lives.items() if math.isfinite(estimate.value)}
     weight = sum(shares[name] for name in known) or 1.0
     value = sum(shares[name] * life for name, life in known.items()) / weight if known else Day.life
@@ -100,7 +100,10 @@
     loads: Mapping[str, _Loads],
     day_life: float,
 ) -> None:
-    """Add the scenario's classes, lives and loads relative to the day's; absent classes have a share of 0."""
+    """Add the scenario's classes, with lives and loads relative to the means over all classes.
+
+    Classes without established sessions get a share of 0.
+    """
     means = [shares[name] * loads[name].mean for name in shares if math.isfinite(loads[name].mean)]
     mean_load = sum(means) or 1.0
     for settings in class_settings:
@@ -147,7 +150,7 @@
 
 
 def _fit_load_spans(result: Fit, sessions: Sequence[Session]) -> None:
-    """Add how long a load holds; the last load of a session is censored by the session's end."""
+    """Add the mean duration of a load; the last load of a session is censored by the session's end."""
     spans: list[float] = []
     ended: list[bool] = []
     for session in sessions:
--- a/stepflow/fleet/fitting/demand.py
+++ b/stepflow/fleet/fitting/demand.py
@@ -1,4 +1,4 @@
-"""The demand on each server over time, from the sessions of all nodes that recorded."""
+"""The demand on each server over time, from the sessions of all recording nodes."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
     integral: Floats
 
     def mean(self, from_us: int, to_us: int, span_us: float) -> float:
-        """The mean from `from_us` to `to_us`, a span of `span_us` microseconds."""
+        """The mean demand from `from_us` to `to_us`, a span of `span_us` microseconds."""
         return (self._integral_at(to_us) - self._integral_at(from_us)) / span_us
 
     def _integral_at(self, at: int) -> float:
@@ -65,7 +65,8 @@
 
 
 def _steps(changes: list[_Change], group_load: float) -> Demand:
-    # At the same time, beginnings sort before ends, so that a group that stays is not dropped in between.
+    # Of changes at the same time, beginnings come before ends, so that a group that keeps a session on the
+    # server is not dropped in between.
     changes.sort(key=lambda change: (change.at_us, -change.sessions))
     sessions_by_group: Counter[int] = Counter()
     levels, total, groups = [], 0.0, 0
--- a/stepflow/fleet/fitting/estimators.py
+++ b/stepflow/fleet/fitting/estimators.py
@@ -1,9 +1,10 @@
 """Estimators of single figures, each with its 95% confidence interval.
 
-Rates are those of a Poisson process, with Garwood's exact interval (1936). Lives are exponential, estimated
-by events over exposure. The exposure of a life is the time that it was watched, also if that began later than
-the life (left-truncated). A life that was cut off (right-censored) adds its exposure and no event. (Lawless,
-Statistical Models and Methods for Lifetime Data, 2003, section 4.1.)
+Rates are those of a Poisson process, with Garwood's exact interval (1936). Lives are exponential; their
+mean is the exposure divided by the number of events. The exposure of a life is the time for which it was
+watched, even if watching began after the life did (left-truncated). A life that was cut off (right-censored)
+adds its exposure and no event. (Lawless, Statistical Models and Methods for Lifetime Data, 2003, section
+4.1.)
 """
 
 from __future__ import annotations
@@ -16,16 +17,16 @@
 from scipy import stats
 
 LOW, HIGH = 0.025, 0.975  # the quantiles that bound an interval
-MIN_EVENTS = 8  # needed for an estimate, or for a test of its fit
-MIN_SAMPLE = 2  # values needed for a deviation
-MAX_STANDARD_ERRORS = 2.58  # beyond which a fit is called poor: so is one sound fit in a hundred
+MIN_EVENTS = 8  # fewest values for an estimate of loads or capacities; a test of fit needs twice as many
+MIN_SAMPLE = 2  # fewest values for a standard deviation
+MAX_STANDARD_ERRORS = 2.58  # a fit that is off by more is called poor, as is one good fit in a hundred
 
 Floats = NDArray[np.float64]
 
 
 @dataclass(frozen=True)
 class Estimate:
-    """One figure with its 95% interval, the number of events behind it, and why its fit is poor, if so."""
+    """One figure with its 95% interval, the number of events behind it, and the reason if its fit is poor."""
 
     name: str
     value: float
@@ -66,10 +67,11 @@
     """The mean of exponential lives: exposure over events.
 
     Args:
-        name: of the estimate.
-        spans: how long each life was watched, in seconds.
+        name: the name of the estimate.
+        spans: the time for which each life was watched, in seconds.
         ended: which lives ended while they were watched.
-        from_start: which lives were watched from their beginning; only their ages are known, to test the fit.
+        from_start: which lives were watched from their beginning; the fit is tested with these lives, since
+            the ages of the others are unknown.
     """
     events, exposure = int(ended.sum()), float(spans.sum())
     if not events:
@@ -82,7 +84,10 @@
 
 
 def _hazard_flaw(spans: Floats, ended: NDArray[np.bool_]) -> str:
-    """Why the hazard is not constant, if so: compares it below and above the median age of ended lives."""
+    """Return a text if the hazard is not constant, else "".
+
+    Compares the hazards below and above the median age of the ended lives.
+    """
     if int(ended.sum()) < 2 * MIN_EVENTS:
         return ""
     middle = float(np.median(spans[ended]))
--- a/stepflow/fleet/fitting/result.py
+++ b/stepflow/fleet/fitting/result.py
@@ -15,7 +15,7 @@
 
 
 class KindFit(NamedTuple):
-    """A kind of servers: its share of the fleet, its cores, and its speeds relative to the mean core."""
+    """A kind of servers: its share of the fleet, its cores, and its core speeds relative to the mean."""
 
     share: float
     cores: float
--- a/stepflow/fleet/fitting/scenario_text.py
+++ b/stepflow/fleet/fitting/scenario_text.py
@@ -28,7 +28,7 @@
 
 
 def _day_blocks(result: Fit) -> list[str]:
-    """The blocks `day`, with the events of each estimate, and `fitted`, with the bounded intervals."""
+    """The blocks `day`, with the number of events of each estimate, and `fitted`, with bounded intervals."""
     day = [
         f"    servers {result.servers}",
         f"    nodes {result.nodes}",
--- a/stepflow/fleet/fitting/servers.py
+++ b/stepflow/fleet/fitting/servers.py
@@ -1,7 +1,7 @@
 """Fits the servers: their capacities, speeds by kind, the fleet's utilization and the noise of load reports.
 
-A server's capacity is the load of its sessions and groups over the `x0` that it reported at that moment: the
-median over its health checks. A kind's range of speeds is the range over its servers.
+A server's capacity is the load of its sessions and groups divided by the `x0` that it reports: the median
+over its health checks. A kind's range of speeds is the range over its servers.
 """
 
 from __future__ import annotations
@@ -23,14 +23,14 @@
 from stepflow.fleet.trace import Trace
 from stepflow.interface import Availability
 
-LOAD_FIELD = "x0"  # the field of a load report with the load over the capacity
+LOAD_FIELD = "x0"  # the field of a load report that gives load divided by capacity
 MIN_X0 = 0.05  # reports of a lower load show little of the capacity
 WINDOW_S = 5.0  # length of the windows of the fleet's utilization
-REPORT_AGE_S = 1.1  # the greatest age of a report; demand is averaged over this time before it
-MAD_TO_SIGMA = 1.4826  # of a normal distribution: its deviation over its median absolute deviation
-MIN_WINDOWS = 4  # needed to tell whether the utilization is steady
+REPORT_AGE_S = 1.1  # the greatest age of a report; demand is averaged over this time before a report
+MAD_TO_SIGMA = 1.4826  # standard deviation over median absolute deviation, normal distribution
+MIN_WINDOWS = 4  # fewest windows for a check whether the utilization is steady
 MAX_STEADY_DEVIATION = 0.15  # the utilization is steady below this relative deviation
-DEFAULT_CORES = 3.0  # if the name of a kind doesn't give them
+DEFAULT_CORES = 3.0  # cores of a kind whose name doesn't give their number
 
 
 class _Report(NamedTuple):
@@ -42,7 +42,7 @@
 
 @dataclass
 class _Capacities:
-    """Capacities of servers in mean session loads, and the deviations of single reports (of logarithms)."""
+    """Capacities of servers in mean session loads, and the residuals of single reports, as logarithms."""
 
     by_server: dict[str, float] = field(default_factory=dict)
     residuals: list[float] = field(default_factory=list)
@@ -64,7 +64,7 @@
         return
     _fit_utilization(result, reports, capacities.by_server, trace.manifest.from_us)
     if len(capacities.residuals) >= MIN_EVENTS:
-        # By the median of the deviations, since loads change while a report is on its way.
+        # The median is used because loads change while a report is on its way, which causes outliers.
         result.noise = float(MAD_TO_SIGMA * np.median(np.abs(capacities.residuals)))
         result.estimates.append(deviation("report noise", result.noise, len(capacities.residuals)))
     _fit_kinds(result, trace.manifest.kinds, kinds, capacities.by_server)
@@ -110,7 +110,7 @@
 def _fit_utilization(
     result: Fit, reports: Mapping[str, Sequence[_Report]], capacities: Mapping[str, float], began_us: int
 ) -> None:
-    """Add the fleet's utilization at the start (the first quarter of the windows), and the highest one."""
+    """Add the fleet's utilization at the start (the first quarter of the windows), and its highest value."""
     windows: dict[int, dict[str, float]] = defaultdict(dict)  # the last report of each server in each window
     for server in capacities:
         for at, x0 in reports[server]:
@@ -129,8 +129,8 @@
     )
     flaw = "" if steady else "not steady: a scenario has a single utilization"
     first = float(utilizations[: max(1, len(utilizations) // 4)].mean())
-    # A day draws its utilization at the start from this interval, so the interval shows how much that varies,
-    # not how well the mean is known.
+    # A day draws its utilization at the start from this interval, so the interval shows how much the
+    # utilization varies, not how precisely its mean is known.
     half_width = NORMAL_95 * float(utilizations.std(ddof=1)) if len(utilizations) > 1 else math.inf
     result.estimates.append(
         Estimate(
@@ -143,7 +143,7 @@
 def _fit_kinds(
     result: Fit, names: Sequence[str], kinds: Mapping[str, int], capacities: Mapping[str, float]
 ) -> None:
-    """Add each kind's share and speeds; a speed is the capacity per core over the fleet's mean of it."""
+    """Add each kind's share and speeds; a speed is the capacity per core relative to the fleet's mean."""
     per_core: dict[int, list[float]] = defaultdict(list)
     counts = Counter(kinds.values())
     for server, capacity in capacities.items():
@@ -163,7 +163,7 @@
 
 
 def _cores(names: Sequence[str], kind: int) -> float:
-    """The number of cores by the name of a kind, which ends in it at this site (wide-4c)."""
+    """The number of cores of a kind; at this site, the names of kinds end in it, as in wide-4c."""
     name = names[kind] if kind < len(names) else ""
     match = re.search(r"-(\d+)c$", name)
     return float(match[1]) if match else DEFAULT_CORES
--- a/stepflow/fleet/fitting/sessions.py
+++ b/stepflow/fleet/fitting/sessions.py
@@ -20,7 +20,7 @@
 
 @dataclass(frozen=True)
 class Session:
-    """A row of the table `connections`; times are in Unix microseconds, `up_us` None if never established."""
+    """A row of the table `connections`; times are Unix microseconds, `up_us` is None if never established."""
 
     at_us: int
     class_name: str
@@ -30,8 +30,8 @@
     end_us: int
     end: str
     mean_load: float | None
-    was_established: bool  # before the recording
-    is_migrated: bool  # a migration ended it
+    was_established: bool  # the session was established before the recording
+    is_migrated: bool  # the session was ended by a migration
     is_first: bool  # neither a retry, nor a migrated session's return, nor older than the recording
     loads: list[ReportedLoad] = field(default_factory=list)
 
--- a/stepflow/fleet/trace/__init__.py
+++ b/stepflow/fleet/trace/__init__.py
@@ -1,6 +1,7 @@
 """A trace: journals of traffic as Parquet tables in a folder, with a manifest.
 
-`schema` has the columns; `converter` makes a trace from journals; `reader` opens one; `summary` sums it up.
+`schema` has the columns; `converter` makes a trace from journals; `reader` opens a trace; `summary`
+summarizes it.
 """
 
 from stepflow.fleet.trace.converter import convert
--- a/stepflow/fleet/trace/converter.py
+++ b/stepflow/fleet/trace/converter.py
@@ -17,11 +17,12 @@
 from stepflow.interface import AttemptResult, ListUpdateKind
 from stepflow.traffic import Kind, Reading, read_journal
 
-BATCH_ROWS = 50_000  # of each table that are held in memory
+BATCH_ROWS = 50_000  # rows of each table that are held in memory until they are written
 FIXED_HEADER_KEYS = ("kinds", "zones", "fields")  # must be the same in all journals of a trace
 UNKNOWN_US = 1 << 62  # later than any time
 
-Row = list[Any]  # of a journal: kind, time, the kind's items (`stepflow.traffic.Kind`); later versions append
+# A row of a journal: kind, time, the kind's items (see `stepflow.traffic.Kind`); later versions append items.
+Row = list[Any]
 
 
 @dataclass(frozen=True)
@@ -29,7 +30,7 @@
     """A process of a node, with a recording of its own."""
 
     node: str
-    run: int  # when its recording began, in Unix microseconds
+    run: int  # time at which its recording began, in Unix microseconds
 
 
 class _Session:
@@ -43,14 +44,14 @@
         self._weighted_sum, self._span_us = 0.0, 0
 
     def load_reported(self, at: int, load: float | None) -> None:
-        """Take a load that holds from `at` on."""
+        """Record a load that the session has from `at` on."""
         if self._load is not None:
             self._weighted_sum += self._load * (at - self._load_since_us)
             self._span_us += at - self._load_since_us
         self._load, self._load_since_us = load, at
 
     def mean_load(self, at: int) -> float | None:
-        """The mean of the loads until `at`, weighted by how long each held; None if no load was reported."""
+        """The mean of the loads until `at`, weighted by their durations; None if no load was reported."""
         last = self._load
         self.load_reported(at, last)
         return self._weighted_sum / self._span_us if self._span_us else last
@@ -117,7 +118,7 @@
         }
 
     def feed(self, reading: Reading) -> None:
-        """Convert one journal; those of a process must come in the order in which they were written."""
+        """Convert one journal; a process's journals must be passed in the order of writing."""
         self._take_header(reading)
         self._lost_rows = count = 0
         for row in reading.rows():
@@ -128,7 +129,7 @@
             if kind in self._handlers:
                 self._handlers[kind](at, row)
             elif kind in self._session_handlers:
-                # Rows of a request that is not open are skipped: it began in a journal that was not kept.
+                # A request that is not open began in a journal that was not kept; its rows are skipped.
                 session = self._open.get((self._process, row[2]))
                 if session is not None:
                     self._session_handlers[kind](session, at, row)
@@ -137,7 +138,10 @@
         )
 
     def close(self) -> None:
-        """Write what is still open, without an end and at its process's last row, and close the tables."""
+        """Write the requests and sessions that are still open, and close the tables.
+
+        They get an empty `end`, and as `end_us` the time of their process's last row.
+        """
         for (process, _), session in self._open.items():
             self._write_connection(session, self._last_row_us[process], "")
         self._tables.close()
@@ -193,7 +197,7 @@
             session.load_reported(at, load)
 
     def _begin(self, at: int, id: int, class_index: int, **columns: Any) -> _Session | None:
-        """Open a request, unless it is open already: each file begins with the established sessions."""
+        """Open a request, unless it is open already: each file repeats the established sessions."""
         key = (self._process, id)
         if key in self._open:
             return None
--- a/stepflow/fleet/trace/schema.py
+++ b/stepflow/fleet/trace/schema.py
@@ -77,10 +77,10 @@
 }
 """The columns of each table.
 
-Times are in Unix microseconds. `run` identifies the process (it is `began_us` of its journals). `stood`
+Times are in Unix microseconds. `run` identifies the process (the `began_us` of its journals). `stood`
 marks a session that was established before the recording, so that its beginning is not known. An `end` of ""
 marks a session that was still established at the last row (right-censored). `load` is the mean of the
-reported loads, weighted by how long each held.
+reported loads, weighted by their durations.
 """
 
 
@@ -92,7 +92,7 @@
     """One journal that a trace was made from.
 
     `cut` says where and why reading stopped early, and is empty if the whole journal was read. `ended` is
-    whether its last row is an END row. `lost` counts the rows that the recorder dropped.
+    True if its last row is an END row. `lost` counts the rows that the recorder dropped.
     """
 
     path: str
--- a/stepflow/fleet/trace/summary.py
+++ b/stepflow/fleet/trace/summary.py
@@ -61,6 +61,6 @@
 
 
 def _quantiles(column: Any) -> list[float] | None:
-    """The quantiles of QUANTILES; None if there are no values."""
+    """The quantiles at the probabilities in QUANTILES; None if there are no values."""
     quantiles = pc.quantile(column, q=QUANTILES).to_pylist()
     return None if quantiles[0] is None else quantiles
