--- a/stepflow/fleet/attempts.py
+++ b/stepflow/fleet/attempts.py
@@ -170,7 +170,7 @@
         self._simulation.handle_event(node, event)
 
     def break_off(self, client: Client, result: AttemptResult = AttemptResult.RESET) -> None:
-        """End an attempt or a session because of a fault; the client of a session reconnects."""
+        """End an attempt or a session because of a fault; the client of an established session reconnects."""
         was_established = client.established
         self._simulation.measurements.broken_sessions += self._simulation.is_counting and was_established
         self.end(client, result)
@@ -216,7 +216,7 @@
             return
         server.add_work(now, day.probe_us / SECOND)
         low, high = day.report_s
-        # The report is as old as its last refresh.
+        # Servers refresh their report only at intervals, so a report may be up to max_age_us old.
         max_age_us = float(self._report_draws.uniform(0, (low + high) / 2)) * SECOND
         duration_us = 2 * day.trip_us + server.wait_s(now) * SECOND
         if not server.report or now - server.report_us > max_age_us:
--- a/stepflow/fleet/audit.py
+++ b/stepflow/fleet/audit.py
@@ -1,4 +1,4 @@
-"""Checks the rules over many runs: whether each was kept, and how close to its bound it came at the worst."""
+"""Checks the rules over many runs: reports whether each rule was kept, and its smallest margin."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from stepflow.fleet.rule_checker import Rule, RuleChecker
 from stepflow.fleet.simulation import Simulation
 
-MAX_DAYS_SHOWN = 3  # that broke a rule, for each rule
+MAX_DAYS_SHOWN = 3  # days that are listed for each broken rule
 
 
 @dataclass(frozen=True)
@@ -27,7 +27,7 @@
 
 @dataclass(frozen=True)
 class Played:
-    """What the rule checker found on one day."""
+    """The result of one day: its rules as the checker left them, and its score."""
 
     day: Day
     rules: Sequence[Rule]
@@ -36,7 +36,7 @@
 
 @dataclass
 class Finding:
-    """One rule over all days: its smallest margin, with the day of it, and the days that broke the rule."""
+    """The result of one rule: its smallest margin, the day with this margin, and all days that broke it."""
 
     rule: str
     bound: float
@@ -48,12 +48,12 @@
 
     @property
     def kept(self) -> bool:
-        """Whether no day broke the rule."""
+        """Whether the rule was kept on all days."""
         return not self.broken
 
 
 def play(day: Day) -> Played:
-    """Run one day with a rule checker of its own."""
+    """Run one day with a new rule checker."""
     scenario = scenarios.read(day.text, day.file)
     checker = RuleChecker()
     measurements = Simulation(scenario, day.seed, policy_factory(day.policy), observers=(checker,)).run()
--- a/stepflow/fleet/baselines.py
+++ b/stepflow/fleet/baselines.py
@@ -28,7 +28,7 @@
 
 
 class PolicyLike(Protocol):
-    """A policy that a node runs: that of this checkout, of another revision, or a baseline."""
+    """The interface of a node's policy: this checkout's, another revision's, or a baseline."""
 
     def handle(self, now: int, event: Event) -> list[Action]:
         """Handle an event; return the policy's actions."""
@@ -42,7 +42,7 @@
 PolicyFactory = Callable[[Settings, int], PolicyLike]
 
 
-RETRY_LIST_US = (250_000, 1_000_000)  # time until a failed list is fetched again
+RETRY_LIST_US = (250_000, 1_000_000)  # range of the delay before the list is fetched again after a failure
 
 
 class RandomChoice:
--- a/stepflow/fleet/clients.py
+++ b/stepflow/fleet/clients.py
@@ -24,12 +24,12 @@
     SessionReportKind,
 )
 
-MAX_RETRIES = 12  # added to the scenario's `retries`; a client gives up after the sum
+MAX_RETRIES = 12  # a client gives up after the scenario's `retries` and this many more retries
 LOAD_UNIT = 1000.0  # load that servers report for a mean session
 HUNG_SHARE = 0.1  # share of its sessions' loads that a hung server reports
 BACKOFF_US = 60_000  # a client's first backoff after a rejection or failure; doubled each time
 MAX_DOUBLINGS = 5
-# Use of a client's random draws, by index. Those from RETRY_DRAWS on are used in turn for its waits.
+# Index of each of a client's random draws. The draws from RETRY_DRAWS on are used in turn, for its waits.
 LEAVE_DRAW, LEAVE_TIME_DRAW, NOTICE_DRAW, RETRY_DRAWS = 0, 1, 2, 3
 
 
@@ -91,7 +91,7 @@
         return nodes[min(bisect(sums, float(self._node_draws.random()) * sums[-1]), len(nodes) - 1)]
 
     def _choose_node(self, client: Client) -> Node | None:
-        """Choose a node for a client; a node that is down is still chosen until clients notice it."""
+        """Choose a node for a client; a node that is down may be chosen until the client notices that."""
         low, high = self._day.front_s
         notice_delay_us = int((low + (high - low) * self._traffic.draws[client.number, NOTICE_DRAW]) * SECOND)
         unnoticed_from_us = self._simulation.now - notice_delay_us
@@ -202,7 +202,7 @@
             node.clients.pop(request, None)
 
     def apply_load(self, client: Client, request: int, number: int) -> None:
-        """Apply load `number` of a session's loads, report it, and schedule the next one."""
+        """Set a session's load to item `number` of its loads, report it, and schedule the next one."""
         if client.finished or client.request_id != request or not client.established or client.server is None:
             return
         simulation, server = self._simulation, client.server
@@ -218,7 +218,7 @@
             simulation.call_later(span, partial(self.apply_load, client, request, number + 1))
 
     def report_load(self, client: Client, request: int) -> None:
-        """Report the work done for a session to its node: HUNG_SHARE of its load while the server hangs."""
+        """Report a session's load to its node; a hung server reports only HUNG_SHARE of the load."""
         node, server = client.node, client.server
         if client.established and client.request_id == request and node is not None and server is not None:
             load = client.load * LOAD_UNIT * (HUNG_SHARE if server.hung else 1.0)
--- a/stepflow/fleet/compare.py
+++ b/stepflow/fleet/compare.py
@@ -3,7 +3,7 @@
 Each difference has a confidence interval. For an interval of a wanted width, the number of runs follows
 Stein's two-stage procedure (Stein 1945, Ann. Math. Stat. 16): the variance of a first sample alone sets the
 number, and the interval uses that variance, whatever the further runs show. So the decision when to stop
-does not depend on the values that it could bias.
+does not depend on the further runs, and cannot bias the interval.
 """
 
 from __future__ import annotations
@@ -30,8 +30,8 @@
 from stepflow.fleet.policy_specs import policy_factory
 from stepflow.fleet.simulation import Simulation
 
-MAX_RUNS = 1000  # pairs of both stages together, whatever width is wanted
-MIN_RUNS = 2  # needed for a variance
+MAX_RUNS = 1000  # limit on the pairs of both stages together, even if the width needs more
+MIN_RUNS = 2  # fewest pairs that have a variance
 FIGURES = ("net", *(one.name for one in fields(Score)))
 SERIES = pa.schema(
     [("side", pa.string()), ("seed", pa.int64()), ("name", pa.string()), ("values", pa.list_(pa.float64()))]
@@ -59,7 +59,7 @@
     policy: str
 
     def play(self, seed: int, policy_stream: str) -> Run:
-        """Run once. Two equal sides differ only in the random stream of their policies."""
+        """Run the scenario once. Two equal sides differ only in the random stream of their policies."""
         scenario = scenarios.read(self.scenario, self.file)
         measurements = Simulation(scenario, seed, policy_factory(self.policy), policy_stream).run()
         measured = score(scenario, measurements)
@@ -97,7 +97,7 @@
 
 
 def runs_for(values: Sequence[float], width: float, level: float) -> int:
-    """The total number of runs for an interval of this full width, by the variance of the first stage."""
+    """The total number of runs for an interval of this full width, from the values of the first stage."""
     sigma = float(np.std(np.asarray(values, dtype=float), ddof=1))
     quantile = float(stats.t.ppf(0.5 + level / 2, len(values) - 1))
     return max(len(values), math.ceil((2 * quantile * sigma / width) ** 2))
@@ -108,7 +108,7 @@
 
 @dataclass
 class Comparison:
-    """The complete pairs of runs, in the order of their seeds; `wanted` is how many were planned.
+    """The complete pairs of runs, in the order of their seeds; `wanted` is the planned number.
 
     `first` is the number of pairs of the first stage, whose variance sets the intervals.
     """
@@ -124,7 +124,7 @@
         return interval([row[1:][number].figures[figure] for row in self.rows], self.level, self.first)
 
     def extrapolations(self) -> list[str]:
-        """What was simulated beyond the range of the trace behind a scenario: such a result is a guess."""
+        """Return a text for each quantity above its maximum in a scenario's trace; the result is a guess."""
         texts: dict[str, None] = {}
         for index, side in enumerate(self.sides):
             scenario = scenarios.read(side.scenario, side.file)
@@ -133,7 +133,7 @@
         return list(texts)
 
     def difference(self, figure: str) -> Interval:
-        """The mean of the paired differences, B less A, with its interval."""
+        """The mean of the paired differences, B minus A, with its interval."""
         return interval(
             [row[2].figures[figure] - row[1].figures[figure] for row in self.rows], self.level, self.first
         )
@@ -141,7 +141,7 @@
 
 @dataclass(frozen=True)
 class Plan:
-    """How many pairs of runs a comparison makes.
+    """The number of pairs of runs in a comparison, their seeds, and the confidence level.
 
     The first stage has `runs` pairs, with the seeds from `seed` on. With a `width`, a second stage adds as
     many pairs as an interval of that full width needs. `level` is the confidence level of the intervals.
--- a/stepflow/fleet/context.py
+++ b/stepflow/fleet/context.py
@@ -33,7 +33,7 @@
         ...
 
     def apply_load(self, client: Client, request: int, number: int) -> None:
-        """Apply load `number` of the session's loads, report it, and schedule the next one."""
+        """Set a session's load to item `number` of its loads, report it, and schedule the next one."""
         ...
 
     def report_load(self, client: Client, request: int) -> None:
@@ -69,7 +69,7 @@
     """Operations of the endpoint list that the other parts call."""
 
     def schedule_update(self, server: Server) -> None:
-        """Publish a server's state after a delay of some seconds."""
+        """Publish a server after some seconds, with the state that it has at the end of this delay."""
         ...
 
     def start_outage(self, span_us: float) -> None:
@@ -91,7 +91,7 @@
         ...
 
     def unreachable_since(self, node: Node, server: Server) -> int | None:
-        """Return the time since when a node gets nothing from a server, or None if it is reachable."""
+        """Return the time at which a server became unreachable for a node, or None if it is reachable."""
         ...
 
     def crash(self, server: Server) -> None:
--- a/stepflow/fleet/endpoint_list.py
+++ b/stepflow/fleet/endpoint_list.py
@@ -23,7 +23,7 @@
     def __init__(self, simulation: SimulationContext) -> None:
         self._simulation, self._day = simulation, simulation.scenario.day
         self._updates_scheduled = 0
-        self._free_at_us = 0.0  # time at which all waiting calls are answered
+        self._free_at_us = 0.0  # time by which all waiting calls will have been answered
         self._down = False
         self._published = {server.id: _entry(server) for server in simulation.servers}
 
@@ -32,7 +32,7 @@
         return tuple(self._published.values())
 
     def watch(self, node: Node) -> None:
-        """Fetch the list for a node and start its watch; the call waits for those before it."""
+        """Fetch the list for a node and start its watch; calls are answered one at a time."""
         simulation, day, incarnation = self._simulation, self._day, node.incarnation
         if self._down:
             simulation.call_later(
@@ -63,7 +63,7 @@
         self._simulation.handle_event(node, EndpointListUpdate(kind, tuple(entries)))
 
     def schedule_update(self, server: Server) -> None:
-        """Publish a server's state after a delay of some seconds, as it is by then."""
+        """Publish a server after some seconds, with the state that it has at the end of this delay."""
         low, high = self._day.list_s
         delay_us = (
             float(stream(self._simulation.seed, "list", self._updates_scheduled).uniform(low, high)) * SECOND
--- a/stepflow/fleet/event_queue.py
+++ b/stepflow/fleet/event_queue.py
@@ -1,4 +1,4 @@
-"""The clock of a simulation: runs calls in order of their times, and calls of one time as scheduled."""
+"""The clock of a simulation: runs calls by time, and calls at the same time in the order of scheduling."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
         self.call_at(self.now + int(delay), call)
 
     def run_until(self, end: int) -> None:
-        """Run all calls due by a time, including those that they schedule."""
+        """Run all calls that are due by a time, including calls that are scheduled meanwhile."""
         while self._heap and self._heap[0][0] <= end:
             self.now, _, call = heapq.heappop(self._heap)
             call()
--- a/stepflow/fleet/faults.py
+++ b/stepflow/fleet/faults.py
@@ -34,7 +34,7 @@
         self._servers_replaced = 0
 
     def unreachable_since(self, node: Node, server: Server) -> int | None:
-        """Return the time since when a node gets nothing from a server, or None if it is reachable."""
+        """Return the time at which a server became unreachable for a node, or None if it is reachable."""
         if server.hung:
             return server.hung_us
         cut_off = (
@@ -101,7 +101,7 @@
         ]
 
     def _chosen_servers(self, fault: Fault, rng: np.random.Generator) -> Sequence[Server]:
-        """Return the servers that a fault affects, in random order; for `zone`, all of a random zone."""
+        """Return the servers that a fault affects, in random order; the fault `zone` affects a whole zone."""
         simulation = self._simulation
         running = [
             s
--- a/stepflow/fleet/latency_reports.py
+++ b/stepflow/fleet/latency_reports.py
@@ -15,8 +15,8 @@
 class LatencyReports:
     """Reports high latencies once a second, for one session of each pair of node and server.
 
-    The silence of an unreachable server is reported as a latency. Once it lasts STALLED_US, all sessions
-    there are ended.
+    The silence of an unreachable server is reported as a latency. Once the silence has lasted
+    STALLED_US, all sessions at the server are ended.
     """
 
     def __init__(self, simulation: SimulationContext) -> None:
--- a/stepflow/fleet/measurements.py
+++ b/stepflow/fleet/measurements.py
@@ -15,7 +15,10 @@
 
 @dataclass
 class Measurements:
-    """What a run counts after its warm-up; `wanted` and `served` are arrays indexed by second and class."""
+    """The measurements of a run after its warm-up; server crashes are counted during the warm-up, too.
+
+    `wanted` and `served` are arrays indexed by second and class.
+    """
 
     wanted: Any  # seconds for which clients need sessions, times their priority weights
     served: Any  # the part of `wanted` that is served within the latency objective
@@ -34,7 +37,7 @@
     imbalance: list[float] = field(
         default_factory=list
     )  # each second: standard deviation of the servers' utilization
-    kind_load: dict[str, list[float]] = field(default_factory=dict)  # each second: load over capacity
+    kind_load: dict[str, list[float]] = field(default_factory=dict)  # by kind, each second: load / capacity
     server_load: dict[str, list[float]] = field(default_factory=dict)  # by kind: each server's mean
     peak_load: float = 0.0  # the highest utilization of the fleet
     attempts_at_degraded: int = 0  # counted while some of the ready servers, but not all, are degraded
@@ -49,7 +52,7 @@
 
 @dataclass(frozen=True)
 class Score:
-    """The figures of one run: shares of service, and the points taken off for each deduction."""
+    """The figures of one run: shares of service, deductions from it, and other measurements."""
 
     service: float
     whole: float
@@ -64,7 +67,7 @@
     imbalance: float
     peak_load: float
     refused: float  # rejected requests per client
-    sick: float  # attempts at degraded servers, over the number expected of random choice
+    sick: float  # attempts at degraded servers, relative to the number under random choice
 
     @property
     def net(self) -> float:
@@ -73,7 +76,7 @@
 
 
 def score(scenario: Scenario, measurements: Measurements) -> Score:
-    """Score a run; 60% of service is the whole run, 5% its worst 10 s and 35% its worst class."""
+    """Score a run. Its service is a weighted mean: 60% whole run, 5% worst 10 s, 35% worst class."""
     first = int(scenario.day.warm)
     wanted, served = measurements.wanted[first:], measurements.served[first:]
     whole = _share(served.sum(), wanted.sum())
@@ -107,7 +110,7 @@
 
 
 def series(scenario: Scenario, measurements: Measurements) -> dict[str, list[float]]:
-    """Return a run's series: values for each second after the warm-up, and server loads by kind."""
+    """Return a run's series: values by second after the warm-up, and each server's mean load by kind."""
     first = int(scenario.day.warm)
     wanted, served = (np.sum(part[first:], axis=1) for part in (measurements.wanted, measurements.served))
     shares = [_share(in_time, whole) for in_time, whole in zip(served, wanted, strict=True) if whole > 0]
--- a/stepflow/fleet/policy_specs.py
+++ b/stepflow/fleet/policy_specs.py
@@ -1,4 +1,4 @@
-"""Policies by name: that of this checkout or a git revision, with changed constants, or a baseline."""
+"""Policies by name: this checkout's or a git revision's, possibly with changed constants, or a baseline."""
 
 from __future__ import annotations
 
@@ -34,8 +34,8 @@
     """Return the factory of the policy that a comma-separated spec names.
 
     `present` is the policy of this checkout, `random` the baseline, `rev:REVISION` the policy of a git
-    revision. Each NAME=VALUE after it sets a constant of the policy, such as KP=0.3; without a policy before
-    it, `present` is meant.
+    revision. Each further NAME=VALUE sets a constant of the policy, such as KP=0.3. A spec that begins with
+    NAME=VALUE changes `present`.
     """
     base, *changes = spec.split(",")
     if "=" in base:
--- a/stepflow/fleet/population.py
+++ b/stepflow/fleet/population.py
@@ -12,7 +12,7 @@
 from stepflow.fleet.traffic import Traffic
 
 PREFERRED_SHARE = 0.7  # share of an affinity group's sessions at its preferred servers
-PREFERRED_SERVERS = 2  # number for each group
+PREFERRED_SERVERS = 2  # number of preferred servers of a group
 SESSIONS_PER_CORE = 750  # limit on the sessions that a server accepts
 LEAST_LOAD_PER_CORE = 1e-9  # lower limit of a divisor that is 0 for a fleet without sessions
 
@@ -58,7 +58,7 @@
     """Place the sessions that are established at the start; return the index of each session's server.
 
     Most sessions of a group are at its preferred servers, as if placed by a policy that keeps groups
-    together. The sum of their loads also determines how much load a core can take (`Server.load_per_core`).
+    together. The total load of all sessions and groups also sets `Server.load_per_core`.
     """
     day, count = scenario.day, traffic.established
     sizes = np.array([server.cores * server.speed for server in servers])
--- a/stepflow/fleet/private_package.py
+++ b/stepflow/fleet/private_package.py
@@ -1,6 +1,6 @@
 """Import modules of this package again from source texts, under a private package name.
 
-An experiment compares the policy with itself under other constants, or with the policy of another revision.
+An experiment compares the policy with a copy that has other constants, or with that of another revision.
 Each variant needs its own modules, since changing a constant in one variant must not change the others. A
 `PrivatePackage` imports them from texts in memory, under a unique package name. Imports among the texts
 resolve to each other; all other imports resolve to the modules that the whole process shares.
@@ -77,7 +77,7 @@
         return found is not None and found[1]
 
     def _find(self, fullname: str) -> tuple[str, bool] | None:
-        """Return the path of a module's text and whether it is a package; None if it is not in here."""
+        """Return the path of a module's text and whether it is a package; None if there is none."""
         root, _, module = fullname.partition(".")
         if root != self.name:
             return None
--- a/stepflow/fleet/replay.py
+++ b/stepflow/fleet/replay.py
@@ -17,16 +17,16 @@
 from stepflow.fleet.simulation import Simulation
 
 Play = Callable[[Scenario, int], tuple[Measurements, float]]
-MIN_RUNS = 3  # needed for a prediction
+MIN_RUNS = 3  # fewest simulations for a prediction
 LINE_S = 0.5  # seconds between two lines of a stand-in client
-LATE = 0.05  # seconds; a run whose own event loop was later than this shows nothing about the nodes
+LATE = 0.05  # seconds; a run says nothing about the nodes if this program's own event loop was later
 
 
 def prediction(values: Sequence[float], level: float, lines: float = math.inf) -> Interval:
-    """The interval that one further run lies in: Student's interval for a new observation, not for the mean.
+    """The interval in which one further run is expected: Student's interval for an observation, not the mean.
 
-    The run is measured by `lines` lines that are each in time or not, which adds their binomial variance. The
-    interval doesn't include the error of the model itself: docs/fleet.md says how large that was found to be.
+    The figure of that run is a share of `lines` lines, which adds a binomial variance. The
+    interval doesn't include the error of the model itself: docs/fleet.md gives its measured size.
     Raises CompareError if there are too few values.
     """
     sample = np.asarray(values, dtype=float)
@@ -60,7 +60,7 @@
 
 @dataclass(frozen=True)
 class Prediction:
-    """What to predict: a figure of the score, from `runs` simulations, at a confidence level."""
+    """A prediction to make: a figure of the score, from `runs` simulations, at a confidence level."""
 
     runs: int
     figure: str = "service"
@@ -68,7 +68,7 @@
 
 
 def predict(scenario: Scenario, seed: int, wanted: Prediction) -> Interval:
-    """Predict a figure of one run on sockets, by simulations with its seed and different policy streams."""
+    """Predict a figure of one run on sockets, by simulations with its seed and several policy streams."""
     policy_streams = [f"prediction {number}" for number in range(wanted.runs)]
     with ProcessPoolExecutor() as pool:
         found = list(pool.map(_simulate, [scenario] * wanted.runs, [seed] * wanted.runs, policy_streams))
--- a/stepflow/fleet/report.py
+++ b/stepflow/fleet/report.py
@@ -70,7 +70,7 @@
     series: dict[str, dict[str, list[list[float]]]]  # by side and name, in the order of the seeds
 
     def difference(self, figure: str) -> Interval:
-        """The mean of the paired differences, B less A, with the interval that `compare` shows."""
+        """The mean of the paired differences, B minus A, with the interval that `compare` shows."""
         delta = np.array(self.figures["B"][figure]) - np.array(self.figures["A"][figure])
         return interval(list(delta), self.manifest.level, self.manifest.first)
 
@@ -133,7 +133,7 @@
 
 
 def _forest(comparison: StoredComparison) -> str:
-    """The difference of each share with its interval, in points of 100."""
+    """A chart of the difference of each share with its interval, in points of 100."""
     figure, axes = _axes("B less A, in points of 100", 3.0)
     axes.axvline(0, color="#999", linewidth=0.8)
     for y, name in enumerate(reversed(PARTS)):
@@ -152,7 +152,7 @@
 
 
 def _over_time(comparison: StoredComparison, names: Sequence[str], title: str, unit: str) -> str:
-    """Means over the runs, in a line style for each name; for a single name, also the band of BAND."""
+    """A chart of the means over the runs, by name; for a single name, the range of BAND is shaded."""
     figure, axes = _axes(title)
     for style, name in zip(("-", "--", ":", "-."), names, strict=False):
         for side, colour in COLOURS.items():
@@ -188,7 +188,7 @@
 
 
 def _pairs(comparison: StoredComparison) -> str:
-    """The difference of each seed, in ascending order: the values behind the interval."""
+    """A chart of the difference for each seed, in ascending order: the values behind the interval."""
     figure, axes = _axes("Net service by day: B less A")
     delta = np.array(comparison.figures["B"]["net"]) - np.array(comparison.figures["A"]["net"])
     order = np.argsort(delta)
@@ -274,7 +274,7 @@
 
 
 def write(folder: str | Path, out: str | Path) -> int:
-    """Write the page, whole or not at all; returns the number of its comparisons."""
+    """Write the complete page or nothing; returns the number of its comparisons."""
     text = page(folder)
     target = Path(out)
     temporary = target.with_name(f".{target.name}.new")
--- a/stepflow/fleet/revisions.py
+++ b/stepflow/fleet/revisions.py
@@ -85,7 +85,7 @@
 
     def update_settings(self, settings: Settings) -> None:
         """Replace the policy's settings."""
-        # Up to 5fd6943 the method was called retune; the first revisions have neither.
+        # Up to 5fd6943 the method was called retune; the first revisions have neither method.
         update = getattr(self.policy, "update_settings", None) or self.policy.retune
         update(self._to_revision.convert(settings))
 
@@ -172,8 +172,8 @@
 def _counterparts(theirs: ModuleType) -> dict[type, type]:
     """Return the revision's type for each type of this checkout's interface that the revision has.
 
-    Raises RevisionError if an event or action of the revision has no counterpart here, since it could never
-    be converted: a name is missing from FORMER_NAMES.
+    Raises RevisionError if an event or action of the revision has no counterpart here, since it could not be
+    converted; FORMER_NAMES then lacks a name.
     """
     types: dict[type, type] = {}
     for name in interface.__all__:
--- a/stepflow/fleet/scenario.py
+++ b/stepflow/fleet/scenario.py
@@ -1,8 +1,8 @@
 """A scenario: the fleet, its traffic and its faults, as read from a file of directives in blocks.
 
 The names of fields are those of the directives, with underscores instead of dashes. A range is written
-LOW..HIGH, and a value is drawn from it once for each server (or run); a single number is a range of width 0.
-Times are in seconds unless the name ends in another unit.
+LOW..HIGH, and values are drawn from it, for example one for each server; a single number is a range of width
+0. Times are in seconds unless the name ends in another unit.
 """
 
 from __future__ import annotations
@@ -28,8 +28,8 @@
 
     share: float = 1.0
     cores: float = 3.0
-    speed: Range = (1.0, 1.0)  # of a core, relative to a reference core
-    cold_from: Range = (0.3, 0.3)  # share of its full capacity at the start of slow start
+    speed: Range = (1.0, 1.0)  # speed of a core, relative to a reference core
+    cold_from: Range = (0.3, 0.3)  # share of the full capacity at the start of slow start
     cold_s: Range = (8.0, 8.0)  # duration of slow start
 
 
@@ -40,8 +40,8 @@
     share: float = 1.0
     load: Range = (1.0, 1.0)
     life: Range = (1.0, 1.0)
-    load_sigma: float = 0.6  # standard deviation of the logarithm, between sessions
-    swing_sigma: float = 0.4  # the same, between the loads of one session
+    load_sigma: float = 0.6  # standard deviation of the logarithm of loads, between sessions
+    swing_sigma: float = 0.4  # standard deviation of the logarithm of loads, within a session
     work_ms: float = 10.0  # work of a session set-up on a reference core
     aim_ms: float = 300.0
     wait_ms: float = 1200.0
@@ -75,13 +75,13 @@
     what: str
     at: float
     lasts: float = 10.0
-    part: float = 0.1  # of the servers; for restart and roll, of the nodes; for resets, of the attempts
+    part: float = 0.1  # share of the servers; for restart and roll, of the nodes; for resets, of the attempts
     times: float = 2.0  # factor by which a burst multiplies the arrival rate
     at_once: float = 0.27  # share of the nodes that restart at the same time, for restart and roll
-    share: float = 0.5  # for errors, of a server's answers; for slow, of its speed that it keeps
+    share: float = 0.5  # for errors: share of answers that fail; for slow: share of the speed that is left
     tries: int = 0  # for settings: the new limit on attempts of a request; 0 leaves it unchanged
-    probe_price: float = -1.0  # for settings: new points for one health check a request; below 0: unchanged
-    drain_s: float = 5.0  # how long a replaced server drains before it stops
+    probe_price: float = -1.0  # for settings: the new HEALTH_CHECK_PRICE; below 0 leaves it unchanged
+    drain_s: float = 5.0  # time that a replaced server drains before it stops
 
 
 @dataclass(frozen=True)
@@ -96,13 +96,13 @@
     life: float = 100.0  # mean duration of a connection
     utilization: float = 0.5  # share of the fleet's capacity that sessions and their groups use at the start
     groups: int = 120
-    group_load: float = 1.5  # load of each affinity group with sessions at a server, in mean connection loads
+    group_load: float = 1.5  # added load of each affinity group at a server, in mean session loads
     retries: int = 2
     leave: float = 0.04  # share of the clients that leave early
-    back_ms: Range = (120.0, 2000.0)  # until a client whose connection broke or was migrated reconnects
-    front_s: Range = (1.2, 3.3)  # until clients notice that a node is down
-    list_s: Range = (2.5, 5.5)  # until the endpoint list shows a change
-    report_s: Range = (0.32, 1.1)  # between two refreshes of a server's load report
+    back_ms: Range = (120.0, 2000.0)  # time until a client reconnects after a break or a migration
+    front_s: Range = (1.2, 3.3)  # time until clients notice that a node is down
+    list_s: Range = (2.5, 5.5)  # time until the endpoint list shows a change
+    report_s: Range = (0.32, 1.1)  # time between two refreshes of a server's load report
     report_noise: float = 0.04
     probe_us: float = 270.0  # work of a health check
     zones: int = 1  # servers and nodes are assigned to zones in turn, clients at random
@@ -110,11 +110,11 @@
     skew: float = 0.0  # standard deviation of the logarithm of a node's share of the clients
     list_calls: float = 0.0  # calls a second that discovery answers, one at a time; 0: no limit
     list_wait_s: float = 2.0  # a call that would wait longer fails after this time
-    trip_us: float = 300.0  # one way, client to node or node to server
-    store: float = 20.0  # capacity of the session store, in set-ups, as a multiple of `rate`
+    trip_us: float = 300.0  # one-way delay, between client and node or node and server
+    store: float = 20.0  # capacity of the session store: set-ups a second, as a multiple of `rate`
     message_share: float = 0.08  # service time of a message, as a share of the message latency objective
     fall_times: float = 2.5  # multiple of the slow-start load rate that crashes a server
-    fall_s: float = 1.5  # window over which that rate is measured
+    fall_s: float = 1.5  # window over which the load rate is averaged
 
 
 @dataclass(frozen=True)
@@ -167,7 +167,7 @@
         return replace(self, day=replace(self.day, **drawn), fitted=Fitted()) if drawn else self
 
     def extrapolations(self, peak_load: float) -> list[str]:
-        """Return a text for each quantity of a run that exceeds the trace that the scenario was fitted to."""
+        """Return a text for each quantity of a run that exceeds its highest value in the fitted trace."""
         bursts = [fault.times for fault in self.faults if fault.what == "burst"]
         requested = {
             "connections a second": (self.day.rate * max([1.0, *bursts]), self.trace_maximum.rate),
@@ -182,7 +182,7 @@
     def settings(self, position: int = 0, now: float = 0.0) -> Settings:
         """Return the settings of the node at `position` that apply at a time (`now`, in seconds of the run).
 
-        Of a range, they contain the least favourable end, as the settings of a site do.
+        Where the scenario has a range, they contain its least favourable end, as a site's settings do.
         """
         day, tries, price = self.day, MAX_ATTEMPTS, HEALTH_CHECK_PRICE
         for fault in sorted(self.faults, key=lambda fault: fault.at):
@@ -236,7 +236,7 @@
 
 
 def read(text: str, file: str) -> Scenario:
-    """Parse the text of a scenario file; anything it leaves out has its default."""
+    """Parse the text of a scenario file; parameters that it leaves out keep their defaults."""
     unnamed: dict[str, Any] = {name: model() for name, model in _UNNAMED_BLOCKS.items()}
     faults = []
     named: dict[str, dict[str, Any]] = {"kind": {}, "class": {}}
--- a/stepflow/fleet/servers.py
+++ b/stepflow/fleet/servers.py
@@ -16,7 +16,7 @@
 from stepflow.interface import Availability
 
 SECOND = 1_000_000  # microseconds
-MAX_QUEUE_UTILIZATION = 0.99  # a mean wait by the M/M/c formula is computed for at most this utilization
+MAX_QUEUE_UTILIZATION = 0.99  # at a higher utilization, the mean M/M/c wait is that at this one
 
 
 def erlang_c(cores: int, rho: float) -> float:
@@ -52,7 +52,7 @@
     hung: bool = False
     hung_us: int = 0
     crashed: bool = False
-    errors: float = 0.0  # share of new sessions that it answers with ERROR
+    errors: float = 0.0  # share of new sessions that the server answers with ERROR
     speed_share: float = 1.0  # share of `speed` that a slow server keeps
     load: float = 0.0
     backlog: float = 0.0
@@ -62,12 +62,12 @@
     recent_loads: deque[tuple[int, float]] = field(
         default_factory=deque
     )  # (time, load) of sessions placed during its slow start
-    worst_overload: float = 0.0  # highest load placed in a window of its slow start, over the limit
+    worst_overload: float = 0.0  # highest ratio of load placed in a slow-start window to the limit
     setup_work: float = 0.0  # total work of session set-ups
     health_checks: int = 0
-    utilization_sum: float = 0.0  # sum over its samples
+    utilization_sum: float = 0.0  # sum of the sampled utilizations
     samples: int = 0
-    report: tuple[float, ...] = ()  # its load report at its last refresh
+    report: tuple[float, ...] = ()  # the load report of the last refresh
     report_us: int = -SECOND
 
     @property
@@ -88,7 +88,7 @@
 
     @property
     def is_degraded(self) -> bool:
-        """Whether the server runs but hangs, sends errors or is slow, which its list entry does not show."""
+        """Whether the server runs but hangs, sends errors or is slow; its list entry does not show this."""
         return self.is_running and (self.hung or self.errors > 0 or self.speed_share < 1)
 
     def demand(self) -> float:
@@ -108,7 +108,7 @@
         self.backlog += work
 
     def wait_s(self, now: int) -> float:
-        """Return how long new work waits for the backlog, in seconds."""
+        """Return the time in seconds that new work waits for the backlog."""
         self.advance(now)
         return self.backlog / self.capacity(now)
 
@@ -130,8 +130,8 @@
     def mean_latency_s(self, now: int) -> float:
         """Return the mean latency of a message.
 
-        The M/M/c wait is that of MAX_QUEUE_UTILIZATION at most; above it, only a growing backlog raises the
-        latency.
+        The M/M/c wait is limited to its value at MAX_QUEUE_UTILIZATION; at a higher utilization, only a
+        growing backlog raises the latency.
         """
         rho = min(self.utilization(now), MAX_QUEUE_UTILIZATION)
         wait = erlang_c(self.cores, rho) * self.message_s / (self.cores * (1 - rho))
@@ -141,8 +141,8 @@
         """Record a session placed now, and return whether it overloads the server during its slow start.
 
         The rate of load that the server can take is the load that fills its current capacity, divided by the
-        duration of its slow start. `overload_multiple` times that rate, averaged over the window, overloads
-        it.
+        duration of its slow start. More than `overload_multiple` times that rate, averaged over the window,
+        overloads the server.
         """
         if self.capacity_share(now) >= 1:
             self.recent_loads.clear()
--- a/stepflow/fleet/simulation.py
+++ b/stepflow/fleet/simulation.py
@@ -1,12 +1,12 @@
 """Simulation of a fleet: balancers with real policies, their clients, map servers, discovery and faults.
 
 A discrete-event simulation in one thread. Each node has a `Policy`, and the simulation carries out its
-actions as a real node does; it takes none of the policy's decisions. This module owns the clock and the state
+actions as a real node does; it makes none of the decisions itself. This module owns the clock and the state
 that all parts share (see context.py), starts the nodes, and passes events and actions between them and the
 parts: clients, attempts, the endpoint list, faults.
 
 Times are in microseconds since the start of the run. All random draws except the policies' own come from
-named streams of one seed, so two runs on one seed simulate the same clients whatever the policies decide.
+named streams of one seed, so two runs with one seed simulate the same clients whatever the policies decide.
 """
 
 from __future__ import annotations
@@ -136,7 +136,7 @@
     def run(self) -> Measurements:
         """Run the scenario to its end; return the measurements taken after the warm-up.
 
-        Call it only once.
+        A simulation can be run only once.
         """
         day = self.scenario.day
         for node in self.nodes:
@@ -184,7 +184,7 @@
                 node.policy.update_settings(self.scenario.settings(node.number, self.now / SECOND))
 
     def handle_event(self, node: Node, event: Event) -> None:
-        """Pass an event to a node's policy and carry out its actions; do nothing if its process is down."""
+        """Pass an event to a node's policy and carry out its actions; do nothing while the node is down."""
         if node.policy is None:
             return
         if isinstance(event, EndpointListUpdate):
--- a/stepflow/fleet/state.py
+++ b/stepflow/fleet/state.py
@@ -29,7 +29,7 @@
     number: int
     class_index: int
     group: int
-    ends_us: int  # when it no longer needs its session
+    ends_us: int  # time from which the client needs no session
     requests_sent: int = 0
     backoffs: int = 0
     load_index: int = 0
--- a/stepflow/fleet/synth.py
+++ b/stepflow/fleet/synth.py
@@ -26,7 +26,7 @@
         self.paths: list[Path] = []
 
     def put(self, data: bytes, begins: bool) -> bool:
-        """Append bytes, to a new file if `begins`; return True, as all are written."""
+        """Append bytes, to a new file if `begins`; return True, since all bytes are written."""
         if begins:
             self._number += 1
             name = f"traffic-{BEGAN_US // 1000:016d}-{self._number:05d}-{self._incarnation:04d}.sft"
--- a/stepflow/fleet/traffic.py
+++ b/stepflow/fleet/traffic.py
@@ -16,10 +16,10 @@
 from stepflow.fleet.scenario import Class, Scenario
 from stepflow.fleet.streams import stream
 
-LOADS_PER_SESSION = 12  # in sequence; the last one lasts until the session ends
+LOADS_PER_SESSION = 12  # loads in sequence; the last load lasts until the session ends
 MEAN_LOAD_SPAN_S = 12.0  # mean duration of a load
 DRAWS_PER_CLIENT = 16
-ZIPF_EXPONENT = 0.7  # of the distribution of sessions over affinity groups
+ZIPF_EXPONENT = 0.7  # exponent of the Zipf distribution of sessions over affinity groups
 WORK_SIGMA = 0.5  # standard deviation of the logarithm of a session set-up's work
 
 Floats = NDArray[np.float64]
@@ -37,7 +37,7 @@
     class_index: NDArray[np.int64]
     group: NDArray[np.int64]  # affinity groups, numbered from 1
     zone: NDArray[np.int64]
-    life_s: Floats  # how long each client needs a session, from `at_us` on
+    life_s: Floats  # time that each client needs a session, from `at_us` on
     loads: Floats  # LOADS_PER_SESSION columns: the loads of a session in sequence
     load_spans_s: Floats  # LOADS_PER_SESSION columns: the duration of each load
     work: Floats  # work of a session set-up, relative to its class's mean
