--- a/standins/soak/clients.py
+++ b/standins/soak/clients.py
@@ -19,11 +19,11 @@
 LINE_AFTER_ENDPOINT_END_S = (0.001, 0.008)
 ECHO_TIMEOUT_S = 5.0  # a node ends a session without echoes sooner than this
 HALF_LINE_TIMEOUT_S = 3.0
-SPLIT_LINE_SHARE = 0.2  # of OPEN lines that are sent in two pieces
-PING_SHARE = 0.5  # of idle clients that send PING first
-HALF_CLOSE_SHARE = 0.5  # of clients leaving early that close only their sending side
+SPLIT_LINE_SHARE = 0.2  # share of OPEN lines that are sent in two pieces
+PING_SHARE = 0.5  # share of idle clients that send PING first
+HALF_CLOSE_SHARE = 0.5  # share of clients leaving early that close only their sending side
 PAUSE_S = (0.02, 0.3)
-CONNECT_AFTER_SIGTERM_S = 0.4  # clients still open connections for this long
+CONNECT_AFTER_SIGTERM_S = 0.4  # time after SIGTERM during which clients still connect
 REQUEST_NUMBERS: Iterator[int] = count(1)
 
 
@@ -33,12 +33,12 @@
 
     node_number: int
     port: int = 0
-    shutdown_started_at: float | None = None  # connected clients go on after it
-    node_killed: bool = False  # broken connections are no longer the node's fault
+    shutdown_started_at: float | None = None  # connected clients continue after this time
+    node_killed: bool = False  # from then on, broken connections are not the node's fault
 
     @property
     def takes_new_clients(self) -> bool:
-        """Whether clients still open new connections, until shortly after the start of the shutdown."""
+        """Whether clients open new connections; they stop shortly after the start of the shutdown."""
         return (
             self.shutdown_started_at is None
             or time.monotonic() - self.shutdown_started_at < CONNECT_AFTER_SIGTERM_S
@@ -52,10 +52,10 @@
         self, listener: Listener, records: Records, rng: random.Random, stopped: Callable[[str], bool]
     ) -> None:
         self._listener, self._records, self._rng = listener, records, rng
-        self._stopped = stopped  # whether the endpoint of a uid has been stopped
+        self._stopped = stopped  # returns whether the endpoint with a uid has been stopped
 
     async def run(self) -> None:
-        """Connect and follow a random behavior, again and again until cancelled."""
+        """Connect and follow a random behavior, repeatedly until cancelled."""
         behaviors = (
             self._hold_session,
             self._hold_session,
@@ -119,7 +119,7 @@
             await self._run_session(request, stream)
 
     async def _idle_then_open(self, stream: ClientStream) -> None:
-        """Send PING or not, stay silent for a while, then hold a session; the node may write unasked."""
+        """Send PING or not, stay silent for a while or until the connection ends, then open a session."""
         if self._rng.random() < PING_SHARE:
             stream.write(b"PING\r\n")
             if (await self._read_line(stream)) != b"PONG\r\n":
@@ -222,7 +222,10 @@
         session.migrated = b"MOVE\r\n" in session.received_by_client
 
     async def _read_line(self, stream: ClientStream) -> bytes:
-        """Return the next line other than LOAD and last lines; on a timeout, the repr of the exception."""
+        """Return the next line; on a timeout, the repr of the exception.
+
+        LOAD lines and the endpoint's last lines before its end ("L" and a number) are skipped.
+        """
         try:
             async with asyncio.timeout(ECHO_TIMEOUT_S):
                 while (line := await stream.readline()).startswith((b"LOAD ", b"L ")):
--- a/standins/soak/fault_injector.py
+++ b/standins/soak/fault_injector.py
@@ -13,16 +13,16 @@
 from standins.soak.node_process import NodeProcess
 
 CLOCK_STEPS_S = (-3600.0, -5.0, -0.6, 0.6, 5.0, 3600.0)
-PAUSE_S = (0.1, 0.6)  # between two faults
+PAUSE_S = (0.1, 0.6)  # range of the pause between two faults
 FAILING_S = (0.05, 0.5)
 BREAKING_S = (0.05, 0.2)
 HALT_S = (0.02, 0.15)
 HALF_WRITTEN_S = (0.0, 0.1)
 FAILURE_SHARES = (0.05, 0.3, 0.8)
 BREAKING_SHARE = 0.02
-HALF_WRITTEN_SHARE = 0.5  # of reloads whose file is half written at the first signal
+HALF_WRITTEN_SHARE = 0.5  # share of reloads whose file is half written at the first signal
 
-# Upper bounds of the draw from [0, 1) that selects the fault; a draw above the last one is a reload.
+# Upper bounds of the draw from [0, 1) that selects the fault; a draw above the last bound selects a reload.
 CLOCK_STEP_BELOW = 0.25
 FAILING_CALLS_BELOW = 0.65
 BREAKING_CALLS_BELOW = 0.75
@@ -33,7 +33,7 @@
 class FaultPlan:
     """The faults that may be injected into one node's machine."""
 
-    failing_calls: tuple[Call, ...]  # a failure has no effect on clients
+    failing_calls: tuple[Call, ...]  # their failures must not affect clients
     breaking_calls: tuple[Call, ...]  # each failure breaks a connection
     config: Path  # the configuration file that the node reads on SIGHUP
     new_configuration: Callable[[random.Random], str]
--- a/standins/soak/node_process.py
+++ b/standins/soak/node_process.py
@@ -31,8 +31,8 @@
     def send_signal(self, number: signal.Signals) -> None:
         """Send a signal, or note that the process has exited.
 
-        A thread of asyncio may reap the process before the event loop sets its return code, so this asks
-        the operating system. The process may still exit between that check and the signal.
+        A thread of asyncio may reap the process before the event loop sets its return code, so the
+        operating system is asked. The process may still exit between that check and the signal.
         """
         if self._has_exited():
             self._note_exit()
--- a/standins/soak/records.py
+++ b/standins/soak/records.py
@@ -42,7 +42,7 @@
 
 
 ENDS = tuple(End)
-MAX_LAST_LINES = 3  # written by one side directly before its end
+MAX_LAST_LINES = 3  # largest number of lines that one side writes directly before its end
 
 
 @dataclass
@@ -53,7 +53,7 @@
     received_by_client: list[bytes] | None = None  # None if the client has not collected them
     client_read_all: bool = False  # the client has read to the end of its connection
     endpoint_end: End | None = None  # how the endpoint ended the session on its own initiative
-    endpoint_ended: asyncio.Event = field(default_factory=asyncio.Event)  # on its own initiative, or stopped
+    endpoint_ended: asyncio.Event = field(default_factory=asyncio.Event)  # the endpoint ended or stopped
     endpoint_ended_at: float | None = None
     client_waited_until: float = 0.0  # end of its connection or of its wait; 0.0: not checked
     sent_by_client: list[bytes] = field(default_factory=list)
@@ -69,7 +69,7 @@
             self.endpoint_ended.set()
 
     def client_waited_s(self) -> float:
-        """Return how long the client's connection stayed open after the endpoint's end."""
+        """Return the seconds that the client's connection stayed open after the endpoint's end, if any."""
         return 0.0 if self.endpoint_ended_at is None else self.client_waited_until - self.endpoint_ended_at
 
     def lost_lines(self) -> str:
@@ -117,7 +117,7 @@
     endpoint: str
     started_at: float
     ended_at: float | None = None
-    rejected: bool = False  # with BUSY: the request was not run
+    rejected: bool = False  # answered with BUSY, so that the request was not run
     session: Session = field(default_factory=Session)
 
 
@@ -128,8 +128,8 @@
     id: str
     kind: RequestKind
     node: int
-    sent_at: float = 0.0  # when its last byte was written
-    left_at: float | None = None  # when the client disconnected without an answer
+    sent_at: float = 0.0  # time at which its last byte was written
+    left_at: float | None = None  # time at which the client disconnected without an answer
     answer: str | None = None  # first word of the answer; "" if the connection ended without an answer
     answered_at: float = 0.0
     attempts: list[Attempt] = field(default_factory=list)
@@ -140,7 +140,7 @@
     """All requests of a run, and the other observations that the rules need."""
 
     requests: dict[str, Request] = field(default_factory=dict)
-    drain_announced_at: dict[str, float] = field(default_factory=dict)  # to the nodes, by endpoint
+    drain_announced_at: dict[str, float] = field(default_factory=dict)  # by endpoint: when it counts as known
     # Sessions that ended without MOVE, by node.
     cut_sessions: dict[int, list[str]] = field(default_factory=lambda: defaultdict(list))
     held_half_lines: list[str] = field(default_factory=list)  # neither answered nor closed in time
--- a/standins/soak/run.py
+++ b/standins/soak/run.py
@@ -22,11 +22,11 @@
 from standins.soak.records import KINDS, MAX_DEADLINE_S, Records
 from standins.soak.servers import FaultyEndpoint
 
-LASTS_S = 5.0  # until the first node is shut down
+LASTS_S = 5.0  # time until the first node is shut down
 KILL_AFTER_S = MAX_DEADLINE_S + 0.7  # from SIGTERM to SIGKILL
 READY_TIMEOUT_S = 25.0
-CLOCK_OFF_SHARE = 0.4  # of starts on a machine with a wrong wall clock
-FAILING_START_SHARE = 0.3  # of starts on a machine with failing calls
+CLOCK_OFF_SHARE = 0.4  # share of starts on a machine with a wrong wall clock
+FAILING_START_SHARE = 0.3  # share of starts on a machine with failing calls
 ENDPOINTS, CLIENTS, IDLE_CLIENTS = 6, 30, 150
 SOCKET_LIMIT = 256  # descriptors that a node may use
 CLIENT_CALLS = (Call.RECV_ACCEPTED, Call.SEND_ACCEPTED)  # a failure breaks a client's connection
@@ -38,7 +38,7 @@
 TRANSIENT_CALLS = (*LIST_SAFE_CALLS, Call.SOCKET, Call.CONNECT)
 BEHAVIORS = ("hung", "full", "resetting", "late", "healthy")
 FAULT_TEXTS = ("Traceback", "connection not closed in time")
-MAX_LIST_DELAY_S = 6.0  # until a list update counts as received, despite discovery's faults
+MAX_LIST_DELAY_S = 6.0  # time after which a list update counts as received, despite discovery's faults
 
 
 @dataclass
@@ -59,7 +59,7 @@
         return f"n{self.number}"
 
     def injected_failures(self, calls: Sequence[Call]) -> int:
-        """Return how many failures the machine has injected into these calls of the node."""
+        """Return the number of failures that the machine has injected into these calls of the node."""
         return sum(self.machine.injected(call) for call in calls)
 
 
@@ -87,7 +87,7 @@
         return Node(number, machine, Listener(number), self._folder / f"node-{number}.json")
 
     async def play(self) -> Records:
-        """Play the seed: start all, inject faults, shut the nodes down and return the records."""
+        """Play the seed: start all processes, inject faults, shut the nodes down and return the records."""
         for fleet, opens_endpoints in zip(self._fleets, (True, False), strict=True):
             await fleet.begin(opens_endpoints)
         self._spawn(self._measure_loop_delay())
@@ -313,7 +313,7 @@
             self.records.node_faults.append("\n".join([f"{node.name}: its log shows a fault", *lines]))
 
     async def _end_process(self, node: Node, process: NodeProcess) -> None:
-        """Send SIGTERM, random signals during the shutdown, and SIGKILL as early as the protocol allows."""
+        """Send SIGTERM and random signals, then SIGKILL if the process outlives the allowed time."""
         rng, started_at = random.Random(self._rng.random()), time.monotonic()
         process.request_end()
         for _ in range(rng.randint(0, 3)):
--- a/standins/soak/servers.py
+++ b/standins/soak/servers.py
@@ -13,8 +13,8 @@
 from standins.soak.records import ENDS, MAX_LAST_LINES, Attempt, End, Records, Session
 from standins.soak.stream import RESET_ON_CLOSE
 
-ENDING_SHARE = 0.25  # of sessions, that the endpoint ends on its own initiative
-RESET_SHARE = 0.5  # of connections that a resetting endpoint resets
+ENDING_SHARE = 0.25  # share of sessions that the endpoint ends on its own initiative
+RESET_SHARE = 0.5  # share of connections that a resetting endpoint resets
 
 
 @dataclass
@@ -28,7 +28,7 @@
     ignores_lines: bool = False  # the endpoint is hung: further lines do not count as received
 
     def note_reset(self) -> None:
-        """Record a reset and the unread lines before it: asyncio reports the reset ahead of them."""
+        """Record a reset and the lines received before it, which asyncio has not passed on yet."""
         if self.attempt is not None and not self.ignores_lines:
             session = self.attempt.session
             session.end_at_endpoint = End.RESET
@@ -54,7 +54,7 @@
     rng: random.Random = field(default_factory=random.Random)
     behavior: str = "healthy"  # or hung, full, resetting, late
     stopped: bool = False  # sessions are aborted, and so are new connections
-    _sessions: list[Session] = field(default_factory=list)  # all since the start
+    _sessions: list[Session] = field(default_factory=list)  # all sessions since the start
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         """Serve one connection with the current behavior."""
--- a/standins/soak/stream.py
+++ b/standins/soak/stream.py
@@ -1,7 +1,7 @@
 """A client's connection that reads everything that its kernel has received.
 
 asyncio's streams report an error ahead of the lines received before it, and close with unread bytes once a
-write fails. With them, a check whether a node delivers all lines would report losses of the client's own.
+write fails. A check of whether a node delivers all lines would then report lines that the client lost.
 """
 
 from __future__ import annotations
