--- a/standins/crowd.py
+++ b/standins/crowd.py
@@ -10,8 +10,8 @@
 
 from standins.fleet import MapServer
 
-LINE_INTERVAL_S = 0.1  # between two lines of a session
-ANSWER_TIMEOUT_S = 3.0  # for an answer or an echo
+LINE_INTERVAL_S = 0.1  # time between two lines of a session
+ANSWER_TIMEOUT_S = 3.0  # longest wait for an answer or an echo
 RETURN_DELAY_S = (0.05, 0.4)  # range of the delay before a client connects again
 
 Address = tuple[str, int]
@@ -22,10 +22,10 @@
     """The attempts at endpoints, by endpoint and by the request id that the client gave."""
 
     opened: Counter[str] = field(default_factory=Counter)  # attempts by endpoint
-    open_attempts: Counter[bytes] = field(default_factory=Counter)  # by request id
-    overlaps: int = 0  # attempts started while another one of their request was open
-    shut: dict[str, float] = field(default_factory=dict)  # since when an endpoint must not get attempts
-    late: list[tuple[str, float]] = field(default_factory=list)  # attempts at shut endpoints, and their delay
+    open_attempts: Counter[bytes] = field(default_factory=Counter)  # number of open attempts by request id
+    overlaps: int = 0  # attempts started while another attempt of the same request was open
+    shut: dict[str, float] = field(default_factory=dict)  # by endpoint: since when it must not get attempts
+    late: list[tuple[str, float]] = field(default_factory=list)  # attempts at shut endpoints: uid, delay
 
     def note_start(self, uid: str, request: bytes) -> None:
         """Count the start of an attempt, an overlap with another one, and a start at a shut endpoint."""
@@ -72,9 +72,9 @@
 
 @dataclass
 class Observations:
-    """What all clients of a crowd observed."""
+    """The observations of all clients of a crowd."""
 
-    answers: Counter[str] = field(default_factory=Counter)  # by first word
+    answers: Counter[str] = field(default_factory=Counter)  # number of answers by first word
     unanswered: int = 0  # requests without an answer from a node that was not killed
     cut: int = 0  # sessions that ended without MOVE at a node that was not killed
     moved: int = 0
@@ -83,7 +83,7 @@
 
 
 class Crowd:
-    """A fixed number of clients, each connected to one of the nodes at a time until the crowd ends."""
+    """A fixed number of clients, each of which connects to one node after another until the crowd ends."""
 
     def __init__(self, nodes: list[Address], clients: int) -> None:
         self.nodes, self.seen = nodes, Observations()
@@ -93,7 +93,7 @@
         self._tasks = [asyncio.create_task(self._run_client(number)) for number in range(clients)]
 
     async def end(self) -> None:
-        """Stop all clients; raise any exception of theirs."""
+        """Stop all clients; raise the exception of a client that failed."""
         for task in self._tasks:
             task.cancel()
         for result in await asyncio.gather(*self._tasks, return_exceptions=True):
@@ -138,7 +138,7 @@
             return
         self.seen.answers[answer.split()[0].decode()] += 1
         if not answer.startswith(b"UP"):
-            self.seen.extra += bool(await reader.read())  # only the end may follow such an answer
+            self.seen.extra += bool(await reader.read())  # only the end of the connection may follow
             return
         self._established += 1
         try:
--- a/standins/fleet.py
+++ b/standins/fleet.py
@@ -1,4 +1,4 @@
-"""Stand-ins for endpoints (map servers) and discovery in one process: PROTOCOL's lines on asyncio streams."""
+"""Stand-ins for endpoints (map servers) and discovery in one process, which speak PROTOCOL's lines."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
 from typing import Any
 
 HOST = "127.0.0.1"
-KEEP_ALIVE_S = 2.0  # between two empty lines of a watch
-WATCH_TIMEOUT_S = 30.0  # for all nodes to start their watches
+KEEP_ALIVE_S = 2.0  # time between two empty lines of a watch
+WATCH_TIMEOUT_S = 30.0  # longest time until all nodes have started their watches
 
 
 @dataclass
@@ -72,10 +72,10 @@
 
     servers: list[MapServer]
     rev: int = 1
-    refuse: int = 0  # number of further calls to close unanswered
-    down: bool = False  # close all calls unanswered
+    refuse: int = 0  # number of next calls that are closed unanswered
+    down: bool = False  # all calls are closed unanswered
     late_s: float = 0.0  # delay of each answer
-    silent: bool = False  # leave calls open without an answer
+    silent: bool = False  # calls stay open without an answer
     call_s: float = 0.0  # time to serve a call; calls are served one at a time
     address: str = ""
     _call_lock: asyncio.Lock = field(default_factory=asyncio.Lock)
@@ -83,7 +83,7 @@
     _listeners: list[asyncio.Server] = field(default_factory=list)
 
     async def begin(self, serve: bool = True) -> None:
-        """Open discovery and, with `serve`, the endpoints; a port of 0 is chosen by the kernel.
+        """Open discovery and, with `serve`, the endpoints; the kernel chooses a port given as 0.
 
         `serve` is False if another fleet serves the same endpoints already.
         """
@@ -118,7 +118,7 @@
                 await asyncio.sleep(0.01)
 
     def drop(self) -> None:
-        """Close all watches, as a stop of discovery does."""
+        """Close all watches, as discovery does when it stops."""
         for writer in tuple(self._watches):
             writer.close()
         self._watches.clear()
@@ -140,7 +140,7 @@
                 self.refuse -= not self.down
                 return
             if self.silent:
-                await reader.read()  # until the node ends the call
+                await reader.read()  # returns when the node ends the call
                 return
             await asyncio.sleep(self.late_s)
             async with self._call_lock:
--- a/standins/links.py
+++ b/standins/links.py
@@ -1,7 +1,7 @@
-"""Links between real processes on loopback that lose, delay, duplicate or block datagrams, by a seed.
+"""Links between real processes on loopback; faults from a seed lose, delay, duplicate or block datagrams.
 
-Each member knows every peer by a relay address. The relay forwards a datagram from the address that the
-receiver knows the sender by. The two directions between members fail independently.
+Each member knows every peer by a relay address. The relay forwards a datagram from the address by which
+the receiver knows the sender. The two directions between members fail independently.
 """
 
 from __future__ import annotations
@@ -20,8 +20,8 @@
 class Link:
     """One direction between two members and its faults."""
 
-    loss: float = 0.0  # chance of each datagram
-    duplicates: float = 0.0  # chance of each datagram
+    loss: float = 0.0  # chance of each datagram to be lost
+    duplicates: float = 0.0  # chance of each datagram to be duplicated
     delay_range_s: tuple[float, float] = (0.0015, 0.039)
     is_cut: bool = False
 
@@ -32,7 +32,7 @@
 
 
 class _RelayEndpoint(asyncio.DatagramProtocol):
-    """The protocol at the address that one member knows another by."""
+    """The protocol at the address by which one member knows another."""
 
     def __init__(self, links: Links, owner: int, peer: int) -> None:
         self.links, self.owner, self.peer = links, owner, peer
@@ -46,7 +46,7 @@
 
 
 class Links:
-    """All links between the members; `open` binds the relay addresses, `listen` has each member's own."""
+    """All links between the members; `open` binds the relay addresses, `listen` holds the members' own."""
 
     def __init__(self, members: int, seed: int) -> None:
         self.members, self._rng = members, random.Random(seed)
@@ -81,7 +81,7 @@
         return addresses
 
     def set_partition(self, side: set[int], is_cut: bool = True, both_ways: bool = True) -> None:
-        """Block or restore the links from some members to the others; with `both_ways`, those back too."""
+        """Block or restore the links from some members to all others; `both_ways`: in both directions."""
         for (sender, receiver), link in self.by_pair.items():
             if (sender in side) != (receiver in side) and (both_ways or sender in side):
                 link.is_cut = is_cut
--- a/standins/live.py
+++ b/standins/live.py
@@ -2,7 +2,7 @@
 
 The stand-ins use the simulation's draws, and the endpoints run its model (`fleet/servers.py`) on the real
 clock: the delay of an echo is drawn from the same formula. Service is measured at the clients: the time in
-which echoes come within the objective, over all the time in which clients want service.
+which echoes come within the objective, divided by all the time in which clients want service.
 """
 
 from __future__ import annotations
@@ -32,9 +32,9 @@
 from stepflow.fleet.streams import stream
 from stepflow.fleet.traffic import LOADS_PER_SESSION, Traffic
 
-ECHO_TIMEOUT_S = 2.0  # a client stops waiting for an echo after this and counts it as late
+ECHO_TIMEOUT_S = 2.0  # after this time a client stops waiting for an echo and counts it as late
 SUPPORTED_FAULTS = ("hang", "start", "drain", "crash", "restart", "burst", "list-down")
-ESTABLISH_TIMEOUT_S = 40.0  # in which the sessions that the scenario starts with have to be established
+ESTABLISH_TIMEOUT_S = 40.0  # longest time to establish the sessions that exist when the scenario begins
 
 
 @dataclass
@@ -168,7 +168,7 @@
         self._request_count = 0
         self._update_tasks: list[asyncio.Task[None]] = []
         self._log_tasks: list[asyncio.Task[bytes]] = []
-        self.max_loop_delay_s = 0.0  # of this program's event loop; a run on a busy machine says little
+        self.max_loop_delay_s = 0.0  # a large delay of this event loop means that the run shows little
 
     @property
     def now(self) -> int:
@@ -321,9 +321,9 @@
         await self._run_sessions(number, cls, returned=True)
 
     async def _run_for(self, work: Awaitable[None], life_s: float) -> bool:
-        """Run work for at most this long; return whether the time ran out."""
+        """Run work for at most `life_s` seconds; return whether the time ran out."""
         try:
-            async with asyncio.timeout(life_s):  # wait_for may swallow a cancellation that comes at the end
+            async with asyncio.timeout(life_s):  # wait_for may swallow a cancellation as the work ends
                 await work
         except TimeoutError:
             return True
@@ -374,8 +374,8 @@
     ) -> bool:
         """Send one request and hold its session if one is established; return whether it was.
 
-        With an `endpoint_id` the request asks to adopt the session at it; `established` is resolved once that
-        is done, and the session counts from the scenario's start.
+        With an `endpoint_id` the request asks the node to adopt the session at that endpoint. `established`
+        is resolved once the session is established; its service counts from the scenario's start on.
         """
         began = self.now
         port = self._ports[int(self.run_rng.integers(len(self._ports)))]
@@ -529,8 +529,8 @@
 def play(scenario: Scenario, seed: int) -> tuple[Measurements, float]:
     """Play a scenario once; return the measurements and the longest delay, in seconds, of this event loop.
 
-    Bursts are part of the draws already. Raises CompareError, before anything starts, for a fault that is
-    not played on sockets.
+    Bursts are already part of the drawn traffic. Raises CompareError, before anything starts, for a fault
+    that can't be played on sockets.
     """
     if unsupported := [fault.what for fault in scenario.faults if fault.what not in SUPPORTED_FAULTS]:
         raise CompareError(f"{unsupported[0]}: this fault is not played on sockets yet")
--- a/standins/members.py
+++ b/standins/members.py
@@ -18,7 +18,7 @@
 from stepflow.members import Membership, decode, encode
 
 WINDOW_US = 1_000_000
-PARTITION_SHARE = 0.5  # of members on one side of a partition
+PARTITION_SHARE = 0.5  # chance of each member to be on the first side of a partition
 SECOND = 1_000_000
 LIMIT = 0
 
@@ -27,8 +27,8 @@
 class FaultRates:
     """The rates and durations of the faults of a network and its processes."""
 
-    loss: float = 0.1  # chance of each datagram
-    duplicates: float = 0.05  # chance of each datagram
+    loss: float = 0.1  # chance of each datagram to be lost
+    duplicates: float = 0.05  # chance of each datagram to be duplicated
     max_delay_s: float = 0.04
     long_delays: float = 0.02  # chance of each datagram to be delayed by up to 4 s
     cuts: float = 0.3  # per second: one direction between two members is blocked for up to 6 s
@@ -39,7 +39,7 @@
 
 @dataclass
 class LimitChecker:
-    """All uses in virtual time; `max_in_window` is the most used in a window, in millionths of the limit."""
+    """All uses in virtual time; `max_in_window` is the largest window's sum, in millionths of the limit."""
 
     uses: deque[tuple[float, int]] = field(default_factory=deque)
     in_window: int = 0
@@ -57,14 +57,14 @@
 
 
 class VirtualMember:
-    """A member number on the network and its current process."""
+    """A member of the network, and its current process."""
 
     def __init__(self, number: int, count: int, rng: random.Random) -> None:
         self.number, self.count, self.rng = number, count, rng
         self.clock_offset = rng.randrange(10**12)
         self.clock_rate = 1 + rng.uniform(-MAX_CLOCK_DRIFT, MAX_CLOCK_DRIFT) / 2
         self.is_up, self.paused_until = False, 0.0
-        self.demand = 1.0  # relative to the mean use of an equal share
+        self.demand = 1.0  # multiplies the amount of each use and, below 1, the number of uses
         self.inbox: list[bytes] = []
 
     def local_time(self, now: float) -> int:
@@ -72,7 +72,7 @@
         return self.clock_offset + int(now * self.clock_rate)
 
     def receive(self, data: bytes) -> None:
-        """Queue a datagram for the next tick; a start discards the queue."""
+        """Queue a datagram for the next tick; the start of a process discards the queue."""
         self.inbox.append(data)
 
     def start(self, now: float) -> None:
--- a/standins/node.py
+++ b/standins/node.py
@@ -25,7 +25,7 @@
         env={**os.environ, "GW_CONFIG": str(config), **env},
     )
     assert process.stderr is not None
-    # Older checkouts log event=listens.
+    # This also matches event=listens, which older checkouts log.
     while b"event=listen" not in (line := await process.stderr.readline()):
         if not line:
             raise RuntimeError("the node exited before it listened")
--- a/standins/preload.c
+++ b/standins/preload.c
@@ -1,7 +1,8 @@
 /*
  * Fault injection into one process by LD_PRELOAD: steps of the wall clock, and random failures of system calls
  * with errors that Linux documents. The controlling process maps the same file (standins/preload.py) and may
- * change it at any time. Only TCP sockets over IPv4 and files below the folder under test are affected.
+ * change it at any time. socket and connect fail only for IPv4, recv and send only for TCP over IPv4, and open
+ * only for paths below the folder under test; write fails for any regular file.
  */
 #define _GNU_SOURCE
 #include <dlfcn.h>
@@ -29,15 +30,15 @@
 enum { ERRORS = 6, DESCRIPTORS = 65536 };
 
 struct fault {
-    uint32_t chance;         /* of 2^32, for each call */
-    uint32_t count;          /* how many of the errors below are set */
-    int32_t errors[ERRORS];  /* each failure draws one of them */
+    uint32_t chance;         /* chance of a failure of each call, as a fraction of 2^32 */
+    uint32_t count;          /* number of errors that are set below */
+    int32_t errors[ERRORS];  /* each failure draws one of these */
     uint64_t injected;       /* number of failures so far */
 };
 
 struct control {
     int64_t wall_offset_ns;  /* added to CLOCK_REALTIME */
-    uint64_t state;          /* of the random generator; initially the seed */
+    uint64_t state;          /* state of the random generator; initially the seed */
     struct fault faults[CALLS];
 };
 
@@ -83,7 +84,7 @@
     return fault->errors[draw() % fault->count];
 }
 
-/* Returns the size that a transfer is limited to. */
+/* Returns the number of bytes to transfer: the given size, or by chance a smaller one. */
 static size_t shortened(enum call call, size_t size)
 {
     if (!control || size < 2 || !control->faults[call].chance || draw() >= control->faults[call].chance)
@@ -162,7 +163,7 @@
 int accept4(int fd, struct sockaddr *restrict address, socklen_t *restrict size, int flags)
 {
     int error = fails(ACCEPT);
-    if (error && (is_tcp(fd) || is_shortage(error))) { /* only TCP reports a connection's own error */
+    if (error && (is_tcp(fd) || is_shortage(error))) { /* errors of a single connection occur only on TCP */
         errno = error;
         return -1;
     }
@@ -241,7 +242,7 @@
     return REAL(open)(path, flags, mode);
 }
 
-/* The same function where file offsets have 64 bits anyway. */
+/* On platforms whose file offsets always have 64 bits, open64 is the same function as open. */
 int open64(const char *path, int flags, ...) __attribute__((alias("open")));
 
 ssize_t write(int fd, const void *data, size_t size)
--- a/standins/preload.py
+++ b/standins/preload.py
@@ -1,7 +1,7 @@
 """Machine faults for one process: wall clock steps and failing system calls.
 
-LD_PRELOAD loads the C library in `preload.c` into the process. It shares a small file with the `Machine` that
-controls it; both define the file's layout. This needs a C compiler but no privileges.
+LD_PRELOAD loads the C library in `preload.c` into the process. The library shares a small file with the
+`Machine` that controls it; both define the file's layout. This needs a C compiler but no privileges.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 from pathlib import Path
 
 SOURCE = Path(__file__).with_name("preload.c")
-ERRORS = 6  # most errors that one call can be given
+ERRORS = 6  # largest number of errors that can be set for one call
 FAULT_LAYOUT = struct.Struct("=II6iQ")
 HEADER_LAYOUT = struct.Struct("=qQ")
 CHANCE_SCALE = 2**32 - 1
@@ -39,13 +39,13 @@
     SHORT_RECV = 11
     SHORT_SEND = 12
     SHORT_WRITE = 13
-    SCARCE_RECV = 14  # on any TCP connection: passing shortages, which end no connection
+    SCARCE_RECV = 14  # on any TCP connection: temporary shortages, which must not end it
     SCARCE_SEND = 15
-    HELD_WAIT = 16  # no failure: delays the process after epoll_wait by one of the given microseconds
+    HELD_WAIT = 16  # not a failure: a delay after epoll_wait, drawn from the given microseconds
     WATCH = 17  # epoll_ctl, except for removals
 
 
-# The transient errors that accept(2), socket(2), connect(2), epoll_wait(2), recv(2) and write(2) document;
+# Errors that accept(2), socket(2), connect(2), epoll_wait(2), recv(2) and write(2) document;
 # for HELD_WAIT, delays in microseconds.
 DEFAULT_ERRORS: Mapping[Call, Sequence[int]] = {
     Call.ACCEPT: (errno.ECONNABORTED, errno.ENFILE, errno.EMFILE, errno.ENOBUFS, errno.ENOMEM, errno.EPROTO),
@@ -99,7 +99,7 @@
         self._shared[:8] = struct.pack("=q", self._wall_offset_ns)
 
     def fail(self, call: Call, chance: float, errors: Sequence[int] | None = None) -> None:
-        """Make a share of the calls fail from now on with one of the errors; a chance of 0.0 stops it."""
+        """Make a share of the calls fail from now on with one of the errors; a chance of 0.0 ends this."""
         chosen_errors = list(errors if errors is not None else DEFAULT_ERRORS.get(call, ()))[:ERRORS]
         offset = HEADER_LAYOUT.size + FAULT_LAYOUT.size * call
         padded = chosen_errors + [0] * (ERRORS - len(chosen_errors))
@@ -113,6 +113,6 @@
             self.fail(call, 0.0)
 
     def injected(self, call: Call) -> int:
-        """Return how many failures of a call have been injected so far."""
+        """Return the number of failures of a call that have been injected so far."""
         end = HEADER_LAYOUT.size + FAULT_LAYOUT.size * (call + 1)
         return int(struct.unpack("=Q", self._shared[end - 8 : end])[0])
--- a/standins/ramp.py
+++ b/standins/ramp.py
@@ -1,7 +1,7 @@
 """Measures two guarantees of a fleet with real nodes: the slow start over all nodes, and the age of the list.
 
 The endpoints have equal capacity; clients open sessions at random nodes and end them after a while.
-`SAFETY_SETTINGS` sets the slow start of an endpoint and what all nodes together may send it in a window.
+`SAFETY_SETTINGS` sets the slow start of an endpoint and the load that all nodes together may send it.
 """
 
 from __future__ import annotations
@@ -41,9 +41,9 @@
 
 
 def allowed_sessions(age_s: float) -> float:
-    """Return the most sessions that all nodes may open in the window that ends at this age.
+    """Return the number of sessions that all nodes together may open in the window that ends at this age.
 
-    The expected number N, plus 2 sqrt(N) + 2 for random variation.
+    This is the expected number N, plus 2 sqrt(N) + 2 for random variation.
     """
     expected = OVERLOAD_MULTIPLE * warm_share(age_s) * ENDPOINT_CAPACITY / SLOW_START_S * WINDOW_S
     return expected + 2 * math.sqrt(expected) + 2
@@ -167,7 +167,7 @@
                 await asyncio.sleep(CLIENT_RETRY_S * rng.uniform(0.5, 1.5))  # the node does not listen
 
     async def _hold_session(self, port: int, until: float) -> bool:
-        """Open a session and hold it until its end; return False if it was not established."""
+        """Open a session and hold it until `until` or its end; return False if it was not established."""
         self.session_count += 1
         id = f"{self.session_count:x}"
         reader, writer = await asyncio.open_connection(HOST, port)
@@ -189,7 +189,7 @@
 async def measure_slow_start(
     folder: Path, nodes: int, servers: int, restarted: int, killed: int, settings: dict[str, Any]
 ) -> float:
-    """Restart some endpoints at half load and kill some nodes; return the worst window of those endpoints."""
+    """Restart endpoints at half load and kill nodes; return the worst window of the restarted endpoints."""
     async with RealFleet(folder, nodes, servers, settings) as fleet:
         sessions_per_s = ENDPOINT_CAPACITY * 0.5 * servers / MEAN_SESSION_S
         await fleet.add_clients(round(sessions_per_s * MEAN_SESSION_S), MEAN_SESSION_S)
--- a/standins/sharer.py
+++ b/standins/sharer.py
@@ -1,4 +1,4 @@
-"""A process that uses as much of one shared limit as it may, and prints each use.
+"""A process that uses as much of one shared limit as it is allowed to, and prints each use.
 
 `python -m standins.sharer '{"number":0,"listen":"127.0.0.1:7946","peers":["...","..."],"demand":1.0}'` prints
 a line for each use: CLOCK_MONOTONIC in nanoseconds and the amount in millionths of the limit.
@@ -25,7 +25,7 @@
 WINDOW_US = 1_000_000
 LIMIT = 0
 ATTEMPTS_PER_TICK = 8
-MAX_AMOUNT = FULL_LIMIT // 40  # of one use
+MAX_AMOUNT = FULL_LIMIT // 40  # largest amount of one use
 
 
 def main() -> None:
