--- a/benchmarks/__init__.py
+++ b/benchmarks/__init__.py
@@ -1,1 +1,1 @@
-"""Benchmarks: `python -m benchmarks.NAME` prints one table, each with a ratio against a baseline."""
+"""Benchmarks: `python -m benchmarks.NAME` prints a table, in most cases with a ratio to a baseline."""
--- a/benchmarks/footprint.py
+++ b/benchmarks/footprint.py
@@ -21,8 +21,8 @@
 from standins.node import start_node
 
 STEP = 100  # sessions
-# Runs in a new interpreter: measures what each import adds, without the imports inside it. smaps_rollup stays
-# open between readings, so that each costs next to nothing.
+# Runs in a new interpreter: measures the memory that each import adds, without the imports inside it.
+# smaps_rollup stays open between readings, so that a reading costs little.
 MEASURE_PACKAGES = """
 import importlib._bootstrap as machinery, json, sys
 rollup = open("/proc/self/smaps_rollup", "rb", buffering=0)
@@ -81,7 +81,7 @@
             path = Path(folder) / "config.json"
             path.write_text(json.dumps(configuration(fleet)))
             node, port = await start_node(path, {"TMPDIR": folder}, root)
-            await asyncio.sleep(3)  # the first watch and the first health checks are over
+            await asyncio.sleep(3)  # until the first watch and the first health checks are over
             results.append((f"idle, {count} servers", process_private_mb(node.pid)))
             load = LoadGenerator(port)
             open_sessions: list[tuple[asyncio.StreamReader, asyncio.StreamWriter]] = []
--- a/benchmarks/memory.py
+++ b/benchmarks/memory.py
@@ -22,7 +22,7 @@
 
 ROOT = Path(__file__).resolve().parent.parent
 CLIENT_COUNT = 100
-RETRY_DELAY_S = 0.1  # seconds until a client whose request was refused sends another
+RETRY_DELAY_S = 0.1  # seconds until a client whose request was rejected sends another request
 SESSION_S = 0.02  # seconds that a session lasts after its echo; in opens.py, after UP
 
 
--- a/benchmarks/relay.py
+++ b/benchmarks/relay.py
@@ -28,7 +28,7 @@
 
 
 class SessionReportingServer(MapServer):
-    """A map server that reports the load of sessions from time to time, as real ones do."""
+    """A map server that reports the load of sessions from time to time, as real map servers do."""
 
     lines = 0
 
@@ -40,7 +40,7 @@
 
 
 class EchoClient(asyncio.Protocol):
-    """A client that sends the next line when the one before has come back."""
+    """A client that sends the next line when the echo of the previous line has arrived."""
 
     def __init__(self, number: int, counts: list[int]) -> None:
         self.number, self.counts = number, counts
@@ -52,7 +52,7 @@
         transport.write(b"OPEN %016x 7f3a9c21e0b4d655 c=view,d=1200\r\n" % self.number)
 
     def data_received(self, data: bytes) -> None:
-        """Send the next line for each that came back."""
+        """Count the echoes, and send the next line after UP or an echo."""
         echoes = data.count(b"M 1\r\n")
         self.counts[0] += echoes
         if echoes or data.startswith(b"UP"):
--- a/benchmarks/shares.py
+++ b/benchmarks/shares.py
@@ -29,7 +29,7 @@
 
 
 def demand_of(member: int, uneven: bool) -> float:
-    """Return a member's demand, relative to the mean of an equal share."""
+    """Return a member's demand, as a factor (`VirtualMember.demand`)."""
     if not uneven:
         return 1.0
     return 2.4 if member == 0 else 0.3
@@ -50,7 +50,7 @@
 
 
 def print_schedules(first: int, count: int) -> int:
-    """Run schedules and print the largest use within a window; returns how many broke the limit."""
+    """Run schedules and print the largest use within a window; returns the number that broke the limit."""
     with ProcessPoolExecutor() as pool:
         results = list(pool.map(run_schedule, range(first, first + count), chunksize=10))
     broken = [seed for seed, used in results if used > FULL_LIMIT]
@@ -62,7 +62,7 @@
 
 
 def print_usage(member_counts: list[int]) -> None:
-    """Print the used part of the limit, and that with fixed shares."""
+    """Print the used part of the limit, with leases and with fixed shares."""
     print("members  demand      used  fixed shares  ratio  bytes a second and member")
     for members in member_counts:
         for uneven in (False, True):
