--- a/benchmarks/memory.py
+++ b/benchmarks/memory.py
@@ -60,7 +60,7 @@
         return None
 
     async def run_sessions(self, total: int) -> None:
-        """Run short sessions one after another until all clients together have had `total` of them."""
+        """Run short sessions one after another until all clients together have had `total` sessions."""
         while self.served < total:
             session = await self.open()
             if session is not None:
--- a/benchmarks/opens.py
+++ b/benchmarks/opens.py
@@ -39,7 +39,7 @@
         async def serve_until(total: int) -> None:
             await asyncio.gather(*(run_client(total) for _ in range(CLIENT_COUNT)))
 
-        await serve_until(sessions // 4)  # warms up
+        await serve_until(sessions // 4)  # warm-up
         cpu_before, served_before = cpu_s(node.pid), load.served
         await serve_until(served_before + sessions)
         cpu_per_session = (cpu_s(node.pid) - cpu_before) / (load.served - served_before)
--- a/standins/links.py
+++ b/standins/links.py
@@ -56,9 +56,9 @@
             for receiver in range(members)
             if sender != receiver
         ]
-        self.by_pair = {pair: Link() for pair in pairs}  # by sender and receiver
+        self.by_pair = {pair: Link() for pair in pairs}  # links by sender and receiver
         self.listen: list[Address] = []
-        self._endpoints: dict[tuple[int, int], _RelayEndpoint] = {}  # by owner and peer
+        self._endpoints: dict[tuple[int, int], _RelayEndpoint] = {}  # relay endpoints by owner and peer
 
     async def open(self, listen: list[Address]) -> None:
         """Bind a relay address for each pair of member and peer."""
--- a/standins/live.py
+++ b/standins/live.py
@@ -149,7 +149,7 @@
 
     def __init__(self, scenario: Scenario, seed: int) -> None:
         self.scenario, self.seed = scenario, seed
-        simulation = Simulation(scenario, seed)  # only for its servers and draws; its clock is never started
+        simulation = Simulation(scenario, seed)  # used for its servers and draws; it is never run
         self.traffic: Traffic = simulation.traffic
         self.placements = simulation.place_sessions()
         self.classes = list(scenario.classes.values())
--- a/standins/preload.py
+++ b/standins/preload.py
@@ -28,9 +28,9 @@
     ACCEPT = 0
     SOCKET = 1
     CONNECT = 2
-    RECV_ACCEPTED = 3  # on connections that the process accepted
+    RECV_ACCEPTED = 3  # recv on connections that the process accepted
     SEND_ACCEPTED = 4
-    RECV_DIALLED = 5  # on connections that the process opened
+    RECV_DIALLED = 5  # recv on connections that the process opened
     SEND_DIALLED = 6
     WAIT = 7
     OPEN = 8
--- a/standins/soak/records.py
+++ b/standins/soak/records.py
@@ -11,7 +11,7 @@
 ANSWER_SLACK_S = 0.5  # up to this long after the deadline an answer earns nothing but breaks no rule
 CANCEL_SLACK_S = 0.1  # after its client has disconnected, an attempt may still start for this long
 RULE_SLACK_S = 0.05  # tolerance on every time limit
-MEASURE_SLACK_S = 0.06  # for delays of this program, which runs on the same machine
+MEASURE_SLACK_S = 0.06  # allowance for delays of this program, which runs on the same machine
 
 
 @dataclass(frozen=True)
@@ -31,11 +31,11 @@
 )
 MAX_DEADLINE_S = max(kind.deadline_s for kind in KINDS)
 DRAIN_GRACE_S = 0.5
-MAX_END_DELAY_S = 1.0  # from an endpoint's end until its client's connection is ended or migrated
+MAX_END_DELAY_S = 1.0  # longest time from an endpoint's end until its client is cut off or migrated
 
 
 class End(StrEnum):
-    """How a client or an endpoint ends its side of a session."""
+    """The way in which a client or an endpoint ends its side of a session."""
 
     FIN = "FIN"
     RESET = "reset"
@@ -49,7 +49,7 @@
 class Session:
     """The lines of one session, as seen by its client and its endpoint."""
 
-    sent_by_endpoint: list[bytes] = field(default_factory=list)  # after UP
+    sent_by_endpoint: list[bytes] = field(default_factory=list)  # lines after UP
     received_by_client: list[bytes] | None = None  # None if the client has not collected them
     client_read_all: bool = False  # the client has read to the end of its connection
     endpoint_end: End | None = None  # how the endpoint ended the session on its own initiative
@@ -147,7 +147,7 @@
     # Connections that injected machine faults have broken, by node.
     broken_client_connections: dict[int, int] = field(default_factory=lambda: defaultdict(int))
     broken_endpoint_connections: dict[int, int] = field(default_factory=lambda: defaultdict(int))
-    logs: dict[int, str] = field(default_factory=dict)  # by node
+    logs: dict[int, str] = field(default_factory=dict)  # text of the log by node
     # Failed starts, unexpected and late exits, and faults in the log.
     node_faults: list[str] = field(default_factory=list)
     crowded: bool = False  # idle clients use up the descriptors, so the node may close new connections unread
--- a/standins/soak/run.py
+++ b/standins/soak/run.py
@@ -23,7 +23,7 @@
 from standins.soak.servers import FaultyEndpoint
 
 LASTS_S = 5.0  # time until the first node is shut down
-KILL_AFTER_S = MAX_DEADLINE_S + 0.7  # from SIGTERM to SIGKILL
+KILL_AFTER_S = MAX_DEADLINE_S + 0.7  # time from SIGTERM to SIGKILL
 READY_TIMEOUT_S = 25.0
 CLOCK_OFF_SHARE = 0.4  # share of starts on a machine with a wrong wall clock
 FAILING_START_SHARE = 0.3  # share of starts on a machine with failing calls
@@ -300,7 +300,7 @@
         node.listener.shutdown_started_at = time.monotonic()
         await self._end_process(node, node.process)
         await self._stop_faults(node)
-        await asyncio.sleep(0.05)  # for clients to read the last data
+        await asyncio.sleep(0.05)  # lets clients read the last data
         node.listener.node_killed = True
         self._check_log(node)
 
--- a/standins/soak/servers.py
+++ b/standins/soak/servers.py
@@ -52,7 +52,7 @@
 
     records: Records = field(default_factory=Records)
     rng: random.Random = field(default_factory=random.Random)
-    behavior: str = "healthy"  # or hung, full, resetting, late
+    behavior: str = "healthy"  # healthy, hung, full, resetting or late
     stopped: bool = False  # sessions are aborted, and so are new connections
     _sessions: list[Session] = field(default_factory=list)  # all sessions since the start
 
--- a/standins/soak/stream.py
+++ b/standins/soak/stream.py
@@ -25,7 +25,7 @@
         self._changed = asyncio.Event()
         self.lines: list[bytes] = []  # complete lines received so far, read by `readline` or not
         self._lines_read = 0  # number of `lines` that `readline` has returned
-        self.ended = False  # by a FIN or an error, after all data before it has been read
+        self.ended = False  # the connection has ended by a FIN or an error, and all data before has been read
         self.ended_at = 0.0
         self._receive_task = asyncio.create_task(self._receive())
 
--- a/stepflow/fleet/measurements.py
+++ b/stepflow/fleet/measurements.py
@@ -36,9 +36,9 @@
     wasted_work: float = 0.0
     imbalance: list[float] = field(
         default_factory=list
-    )  # each second: standard deviation of the servers' utilization
+    )  # by second: standard deviation of the servers' utilizations
     kind_load: dict[str, list[float]] = field(default_factory=dict)  # by kind, each second: load / capacity
-    server_load: dict[str, list[float]] = field(default_factory=dict)  # by kind: each server's mean
+    server_load: dict[str, list[float]] = field(default_factory=dict)  # by kind: each server's mean load
     peak_load: float = 0.0  # the highest utilization of the fleet
     attempts_at_degraded: int = 0  # counted while some of the ready servers, but not all, are degraded
     attempts_at_degraded_by_chance: float = 0.0  # expected number if servers were chosen at random
--- a/stepflow/fleet/rule_checker.py
+++ b/stepflow/fleet/rule_checker.py
@@ -1,7 +1,7 @@
 """Checks a policy's events and actions against the rules of the service.
 
-The checker observes a simulation and changes nothing in it. For each rule it keeps the worst value beside the
-bound, which shows the margin as well as whether the rule was kept. The names of the rules appear in reports.
+The checker observes a simulation and changes nothing in it. For each rule it keeps the worst value and the
+bound, which show the margin and whether the rule was kept. The names of the rules appear in reports.
 """
 
 from __future__ import annotations
--- a/stepflow/fleet/scenario.py
+++ b/stepflow/fleet/scenario.py
@@ -24,7 +24,7 @@
 
 @dataclass(frozen=True)
 class Kind:
-    """A kind of servers."""
+    """A kind of server: its share of the fleet, and the properties of its servers."""
 
     share: float = 1.0
     cores: float = 3.0
--- a/stepflow/fleet/traffic.py
+++ b/stepflow/fleet/traffic.py
@@ -1,8 +1,8 @@
 """The clients of a run, drawn before it starts: everything that no policy decision changes.
 
-Each property is drawn from a random stream of its own, so two runs on one seed have the same clients with the
-same loads, whatever their policies decide. Loads are relative to the mean load of a session. The names of the
-streams are part of the seed: another name gives other draws.
+Each property is drawn from a random stream of its own, so two runs with one seed have the same clients with
+the same loads, whatever their policies decide. Loads are relative to the mean load of a session. The names of
+the streams are part of the seed: another name gives other draws.
 """
 
 from __future__ import annotations
