--- a/benchmarks/memory.py
+++ b/benchmarks/memory.py
@@ -22,7 +22,7 @@
 
 ROOT = Path(__file__).resolve().parent.parent
 CLIENT_COUNT = 100
-RETRY_DELAY_S = 0.1  # seconds until a client whose request was refused sends another
+RETRY_DELAY_S = 0.1  # seconds until a client whose request was rejected sends another request
 SESSION_S = 0.02  # seconds that a session lasts after its echo; in opens.py, after UP
 
 
@@ -60,7 +60,7 @@
         return None
 
     async def run_sessions(self, total: int) -> None:
-        """Run short sessions one after another until all clients together have had `total` of them."""
+        """Run short sessions one after another until all clients together have had `total` sessions."""
         while self.served < total:
             session = await self.open()
             if session is not None:
