--- a/tests/handover_kit.py
+++ b/tests/handover_kit.py
@@ -18,7 +18,7 @@
 from pathlib import Path
 from typing import Any
 
-from tests.node_kit import PATIENCE, Discovery, Line, Node, Peer, opening
+from tests.node_kit import PATIENCE, Discovery, FakeEndpoint, LineConnection, Node, opening
 
 RECORDING = Path(__file__).parent / "data" / "handover-5fd6943.json"
 RECORDED_PEER = "127.0.0.1:1"  # replaces the addresses of the recording's endpoints, which are gone
@@ -33,7 +33,7 @@
 
 
 def channel_path(node: Node) -> str:
-    return f"{node.folder}/stepflow-n0"
+    return f"{node.temp_dir}/stepflow-n0"
 
 
 def with_tenants(config: dict[str, Any]) -> None:
@@ -217,14 +217,16 @@
 
 def record_handover() -> Recording:
     """Record two real processes: one session, a half line each way, and a line without its echo."""
-    first, second = Peer("s-1", X=None), Peer("s-2")
+    first, second = FakeEndpoint("s-1", X=None), FakeEndpoint("s-2")
     with ExitStack() as stack:
-        old = stack.enter_context(Node(first, second, discovery=Discovery(LISTED), change=recorded_config))
+        old = stack.enter_context(
+            Node(first, second, discovery=Discovery(LISTED), edit_config=recorded_config)
+        )
         path = channel_path(old)
         client = old.client(opening(0x1D, extra=",t=gold,h=2.0"))
         assert client.read() == "UP r1"
         wait_until_reported(path)
-        server = first.standing.get(timeout=PATIENCE)
+        server = first.connections.get(timeout=PATIENCE)
         tap = tap_when_waiting(path)
         new = stack.enter_context(old.successor())
         _send_half_lines(client, server, first)
@@ -247,16 +249,16 @@
     config["known"]["targets"][1]["state"] = "Terminating"
 
 
-def _send_half_lines(client: Line, server: Line, peer: Peer) -> None:
+def _send_half_lines(client: LineConnection, server: LineConnection, peer: FakeEndpoint) -> None:
     """Have each side send a whole line and a half line at once; return when the whole lines are read."""
     server.sock.sendall(b"LOAD 2.5\r\n" + PEER_HALF)
     assert client.read() == "LOAD 2.5"
     client.sock.sendall(b"X 1\r\n" + CLIENT_HALF)
-    while not peer.lines.get(timeout=PATIENCE).startswith("X"):
+    while not peer.received_lines.get(timeout=PATIENCE).startswith("X"):
         pass
 
 
-def _without_addresses(line: str, *peers: Peer) -> str:
+def _without_addresses(line: str, *peers: FakeEndpoint) -> str:
     for peer in peers:
         line = line.replace(f'"{peer.address}"', f'"{RECORDED_PEER}"')
     return line
--- a/tests/node/admin/test_admin_site.py
+++ b/tests/node/admin/test_admin_site.py
@@ -11,19 +11,19 @@
 from stepflow.node.admin.metrics import Gauges, render
 from stepflow.node.admin.site import MAX_ADMIN_CONNECTIONS
 from stepflow.node.runtime.counters import Counters
-from tests.node_kit import PATIENCE, Line, Node, Peer, opening
+from tests.node_kit import PATIENCE, FakeEndpoint, LineConnection, Node, opening
 
 
 def test_readyz_reports_whether_the_node_serves_until_it_exits() -> None:
-    with Node(Peer("s-1")) as node:
+    with Node(FakeEndpoint("s-1")) as node:
         client = node.client(opening())
         assert client.read() == "UP r1"
-        assert node.ops("/v1/readyz") == (200, "ready\n")
+        assert node.call_admin("/v1/readyz") == (200, "ready\n")
         node.terminate()
-        node.wait_log('event="shutdown started" connections=1')
-        assert node.ops("/v1/readyz") == (503, "not ready\n")
+        node.wait_for_log('event="shutdown started" connections=1')
+        assert node.call_admin("/v1/readyz") == (503, "not ready\n")
         assert client.read() == "MOVE"
-        assert node.ops("/v1/metrics")[0] == 200  # metrics are available until the process exits
+        assert node.call_admin("/v1/metrics")[0] == 200  # metrics are available until the process exits
 
 
 @pytest.mark.parametrize(
@@ -31,19 +31,22 @@
     [("GET", "/", 404), ("GET", "/v1/readyz/x", 404), ("POST", "/v1/metrics", 405)],
 )
 def test_unknown_paths_and_methods_are_refused(method: str, path: str, status: int) -> None:
-    with Node(Peer("s-1")) as node:
-        assert node.ops(path, method)[0] == status
+    with Node(FakeEndpoint("s-1")) as node:
+        assert node.call_admin(path, method)[0] == status
 
 
 @pytest.mark.parametrize("part", [b"", b"GET /v1/metrics HT", b"GET /v1/metrics HTTP/1.1\r\nx: "])
 def test_incomplete_requests_do_not_block_other_connections(part: bytes) -> None:
     """Incomplete requests are closed after a time limit, and take no descriptors from the node's clients."""
-    with Node(Peer("s-1")) as node:
-        held = [Line(socket.create_connection(node.ops_address)) for _ in range(3 * MAX_ADMIN_CONNECTIONS)]
+    with Node(FakeEndpoint("s-1")) as node:
+        held = [
+            LineConnection(socket.create_connection(node.admin_address))
+            for _ in range(3 * MAX_ADMIN_CONNECTIONS)
+        ]
         for line in held:
             with suppress(ConnectionError):  # a later connection may have replaced it already
                 line.sock.sendall(part)
-        assert node.ops("/v1/readyz")[0] == 200
+        assert node.call_admin("/v1/readyz")[0] == 200
         assert node.client(opening()).read() == "UP r1"
         assert {line.read() for line in held} <= {"", "RESET"}  # closed, though none of them has sent a FIN
 
@@ -60,11 +63,11 @@
     def try_once(config: dict[str, Any]) -> None:
         config["settings"]["policy_limits"]["most_tries"] = 1
 
-    with Node(peer := Peer("s-1", OPEN=answer), change=try_once) as node:
+    with Node(peer := FakeEndpoint("s-1", OPEN=answer), edit_config=try_once) as node:
         client = node.client(opening(d=600))
         assert client.read().split(" ")[0] == client_line.split(" ")[0]
-        assert peer.lines.get(timeout=PATIENCE)
-        lines = node.ops("/v1/metrics")[1].split("\n")
+        assert peer.received_lines.get(timeout=PATIENCE)
+        lines = node.call_admin("/v1/metrics")[1].split("\n")
         assert lines[:4] == [f"edge_gw.requests.view.{count}|c" for count in counts.split(" ")]
         in_flight = int(answer == "UP r1")
         assert f"edge_gw.in_flight:{in_flight}|g" in lines and "edge_gw.map_servers_known:1|g" in lines
@@ -72,14 +75,14 @@
 
 def test_request_rejected_during_shutdown_counts_as_refused() -> None:
     """Regression: the policy gets no requests during the shutdown, and the metrics did not count them."""
-    with Node(Peer("s-1")) as node:
+    with Node(FakeEndpoint("s-1")) as node:
         client, late = node.client(opening()), node.client()
         assert client.read() == "UP r1"
         node.terminate()
-        node.wait_log("stopped accepting clients")
+        node.wait_for_log("stopped accepting clients")
         late.send(opening(2))
         assert late.read() == "BUSY"
-        assert "edge_gw.requests.view.refused:1|c" in node.ops("/v1/metrics")[1].split("\n")
+        assert "edge_gw.requests.view.refused:1|c" in node.call_admin("/v1/metrics")[1].split("\n")
 
 
 def test_metric_names_contain_no_separators() -> None:
--- a/tests/node/clients/test_eviction.py
+++ b/tests/node/clients/test_eviction.py
@@ -7,12 +7,12 @@
 
 from stepflow.node.clients.connection import FIRST_LINE_TIMEOUT
 from tests.node.race_kit import few_sockets
-from tests.node_kit import PATIENCE, Discovery, Node, Peer, opening
+from tests.node_kit import PATIENCE, Discovery, FakeEndpoint, Node, opening
 
 
 def test_silent_connections_are_evicted_and_established_ones_stay() -> None:
     """The oldest silent connection is evicted first."""
-    with Node(Peer("s-1"), change=few_sockets) as node:
+    with Node(FakeEndpoint("s-1"), edit_config=few_sockets) as node:
         first = node.client(opening())
         assert first.read() == "UP r1"
         silent = [node.client() for _ in range(300)]
@@ -29,7 +29,7 @@
     """Regression: a client that was still writing, which may take 2 s, was evicted before newer ones."""
     assert timedelta(seconds=2.5) < FIRST_LINE_TIMEOUT < timedelta(seconds=2.8)
 
-    with Node(Peer("s-1"), change=few_sockets) as node:
+    with Node(FakeEndpoint("s-1"), edit_config=few_sockets) as node:
         slow = node.client()
         slow.sock.sendall(opening().encode()[:40])
         assert node.client("PING").read() == "PONG"  # so the node has read the partial line
@@ -42,33 +42,33 @@
 
 def test_client_with_unread_bytes_is_not_evicted() -> None:
     """Closing a socket with an unread OPEN line would reset the connection."""
-    with Node(Peer("s-1"), change=few_sockets) as node:
+    with Node(FakeEndpoint("s-1"), edit_config=few_sockets) as node:
         oldest = node.client("PING")
         assert oldest.read() == "PONG"
         silent = [node.client() for _ in range(56)]  # nearly all descriptors
         silent[-1].send("PING")
         assert silent[-1].read() == "PONG"  # so the node has accepted all of them
-        node.freeze()
+        node.suspend()
         silent += [node.client() for _ in range(80)]  # the node accepts these before it reads the OPEN line
         oldest.send(opening())
-        node.thaw()
+        node.resume()
         assert oldest.read() == "UP r1"
 
 
 def test_discovery_and_requests_get_descriptors_despite_idle_clients() -> None:
     """The list is fetched as soon as discovery is available again; health checks continue."""
-    discovery = Discovery(refuse=3)
-    with Node(peer := Peer("s-1"), discovery=discovery, change=few_sockets) as node:
+    discovery = Discovery(refuse_calls=3)
+    with Node(peer := FakeEndpoint("s-1"), discovery=discovery, edit_config=few_sockets) as node:
         silent = [node.client() for _ in range(150)]
         assert node.client(opening()).read() == "UP r1"
-        while discovery.refuse:
+        while discovery.refuse_calls:
             silent.append(node.client())
             assert node.client("PING").read() == "PONG"
-        assert discovery.calls.get(timeout=PATIENCE)
-        second = Peer("s-2")
-        discovery.tell(peer.entry("Terminating"), second.entry())
+        assert discovery.watch_paths.get(timeout=PATIENCE)
+        second = FakeEndpoint("s-2")
+        discovery.send_update(peer.list_entry("Terminating"), second.list_entry())
         answers = {node.client(opening(number, d=1000)).read() for number in range(2, 8)}
-        assert answers == {"UP r1"} and second.lines.get(timeout=PATIENCE).startswith("OPEN ")
+        assert answers == {"UP r1"} and second.received_lines.get(timeout=PATIENCE).startswith("OPEN ")
         node.terminate()
-        node.wait_log(r"probes=[1-9]\d* probes_failed=\d+ .* faults=0")
+        node.wait_for_log(r"probes=[1-9]\d* probes_failed=\d+ .* faults=0")
         second.close()
--- a/tests/node/clients/test_first_line.py
+++ b/tests/node/clients/test_first_line.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from tests.node_kit import PATIENCE, Node, Peer, opening
+from tests.node_kit import PATIENCE, FakeEndpoint, Node, opening
 
 
 @pytest.mark.parametrize(
@@ -39,17 +39,17 @@
     ],
 )
 def test_malformed_first_line_is_answered_and_reaches_no_endpoint(line: str) -> None:
-    with Node(peer := Peer("s-1")) as node:
+    with Node(peer := FakeEndpoint("s-1")) as node:
         client = node.client()
         with suppress(OSError):  # the node may stop reading
             client.send(line)
         assert client.read() == "ERR malformed"
         assert node.client(opening()).read() == "UP r1"  # the node still serves
-        assert peer.lines.get(timeout=PATIENCE).startswith("OPEN 0000000000000001 ")
+        assert peer.received_lines.get(timeout=PATIENCE).startswith("OPEN 0000000000000001 ")
 
 
 def test_id_of_another_open_request_is_malformed() -> None:
-    with Node(Peer("s-1")) as node:
+    with Node(FakeEndpoint("s-1")) as node:
         client = node.client(opening())
         assert client.read() == "UP r1"
         assert node.client(opening()).read() == "ERR malformed"
@@ -58,18 +58,18 @@
 
 
 def test_data_before_the_answer_cancels_the_request() -> None:
-    with Node(peer := Peer("s-1", OPEN=None)) as node:
+    with Node(peer := FakeEndpoint("s-1", OPEN=None)) as node:
         client = node.client(opening(d=30_000))
-        assert peer.lines.get(timeout=PATIENCE).startswith("OPEN ")
+        assert peer.received_lines.get(timeout=PATIENCE).startswith("OPEN ")
         client.send("M 1")
         assert client.read() == "ERR malformed"
         node.process.send_signal(signal.SIGUSR1)
-        node.wait_log("counters: .* malformed=1 .* left=1 ")
+        node.wait_for_log("counters: .* malformed=1 .* left=1 ")
 
 
 @pytest.mark.parametrize("part", ["", "OPEN 00", "PING\r\n"])
 def test_client_without_a_complete_open_line_times_out(part: str) -> None:
-    with Node(Peer("s-1")) as node:
+    with Node(FakeEndpoint("s-1")) as node:
         client = node.client()
         client.sock.sendall(part.encode())
         assert client.read() == ("PONG" if "PING" in part else "ERR too slow")
--- a/tests/node/machine_kit.py
+++ b/tests/node/machine_kit.py
@@ -8,7 +8,7 @@
 
 from standins.preload import Call, Machine
 from tests.node.session_kit import read_to_end
-from tests.node_kit import Line, Node
+from tests.node_kit import LineConnection, Node
 
 OWED_END_S = 1.0  # PROTOCOL: an end of the endpoint is passed on within a second
 TOLERANCE_S = 0.5
@@ -28,7 +28,7 @@
     machine.fail(Call.HELD_WAIT, 1.0, [DELAY_US])
 
 
-def write_lines(line: Line, text: str = "M 1", seconds: float = WRITE_DURATION_S) -> None:
+def write_lines(line: LineConnection, text: str = "M 1", seconds: float = WRITE_DURATION_S) -> None:
     """Write a line every few milliseconds, until the other side closes or the time is over."""
     line.sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     until = time.monotonic() + seconds
@@ -38,8 +38,8 @@
             time.sleep(LINE_INTERVAL_S)
 
 
-def expect_end(node: Node, line: Line, since: float) -> None:
+def expect_end(node: Node, line: LineConnection, since: float) -> None:
     """Check that the connection ends in time, and that the process holds nothing of it afterwards."""
     line.sock.settimeout(max(0.01, since + OWED_END_S + TOLERANCE_S - time.monotonic()))
     assert read_to_end(line)[-1] in ("", "RESET")
-    node.wait_counted("outlived", 0)
+    node.wait_for_counter("outlived", 0)
--- a/tests/node/process/test_adoption.py
+++ b/tests/node/process/test_adoption.py
@@ -12,7 +12,7 @@
 import time
 from itertools import count, islice
 
-from tests.node.session_kit import SilentPeer, session
+from tests.node.session_kit import SilentEndpoint, session
 from tests.node_kit import PATIENCE, Node
 
 RECEIVED_SOCKETS = 2  # received as descriptors; with one more free, only one of them can be duplicated
@@ -28,7 +28,7 @@
 
 
 def test_session_is_migrated_and_not_counted_when_the_successor_lacks_descriptors() -> None:
-    with Node(peer := SilentPeer()) as node:
+    with Node(peer := SilentEndpoint()) as node:
         client, endpoint = session(node, peer)
         with node.successor() as successor:
             time.sleep(0.3)  # until it has reported that it serves
@@ -37,5 +37,5 @@
             assert [client.read(), client.read()] == ["MOVE", ""]
             node.process.wait(PATIENCE)
             limit_free_descriptors(successor, 100)
-            assert "in_flight:0" in successor.ops("/v1/metrics")[1]
+            assert "in_flight:0" in successor.call_admin("/v1/metrics")[1]
         endpoint.close()
--- a/tests/node/process/test_handover_form.py
+++ b/tests/node/process/test_handover_form.py
@@ -29,7 +29,7 @@
     record_handover,
     with_tenants,
 )
-from tests.node_kit import PATIENCE, Discovery, Node, Peer, opening
+from tests.node_kit import PATIENCE, Discovery, FakeEndpoint, Node, opening
 
 KEY, GROUP = 0x7F3A9C21E0B4D655, 0x5C0F6E1A2B3D4C59
 SESSION = {
@@ -192,7 +192,7 @@
 
     `learned` replaces the recorded snapshot.
     """
-    peer = Peer("s-1")
+    peer = FakeEndpoint("s-1")
     sent, *rest = (line.replace(RECORDED_PEER, peer.address) for line in load_recording().old)
     state = json.loads(sent)
     if learned is not None:
@@ -200,7 +200,7 @@
         sent = json.dumps(state)
     listener = socket.create_server(("127.0.0.1", 0))
     (local_client, client), (local_server, server) = connected(), connected()
-    node = Node(discovery=discovery or Discovery(LISTED), change=with_tenants)
+    node = Node(discovery=discovery or Discovery(LISTED), edit_config=with_tenants)
     predecessor = Predecessor(channel_path(node), sent, listener)
     with node:
         old = predecessor.end()
@@ -210,7 +210,7 @@
                 continue
             old.send(line, local_client.fileno(), local_server.fileno())
             assert old.read_kind("taken") == {"taken": 1, "by_other": True}
-        node.wait_log("all sessions received.* sessions=1|sessions=1.*all sessions received")
+        node.wait_for_log("all sessions received.* sessions=1|sessions=1.*all sessions received")
         yield Replay(node, old, listener, client, server, state)
     old.close()
     for sock in (local_client, local_server, client, server, listener):
@@ -222,7 +222,7 @@
     """Kill the node, and return the warnings and errors that it has logged since its start."""
     node.process.kill()
     assert node.process.stderr is not None
-    log = node.seen + node.process.stderr.read()
+    log = node.log_text + node.process.stderr.read()
     assert re.search(r'level["=: ]+info', log)
     return re.findall(r'.*(?:level["=: ]+(?:warning|error|critical)|Traceback).*', log)
 
@@ -240,7 +240,7 @@
         server.sendall(b"M 1 goes on\r\n")
         assert read_line(client) == b"M 1 goes on\r\n"
         # The endpoint list, its revision and the listener were taken over as well.
-        assert discovery.calls.get(timeout=PATIENCE) == "/v1/servers?watch=1&from=7"
+        assert discovery.watch_paths.get(timeout=PATIENCE) == "/v1/servers?watch=1&from=7"
         address = replay.listener.getsockname()
         with socket.create_connection(address, timeout=PATIENCE) as fresh:
             fresh.sendall(opening(2).encode() + b"\r\n")
--- a/tests/node/process/test_transient_errors.py
+++ b/tests/node/process/test_transient_errors.py
@@ -21,7 +21,7 @@
 from stepflow.node.process.shutdown_schedule import CLIENT_LINGER
 from tests.node.machine_kit import on
 from tests.node.race_kit import expect_silence
-from tests.node_kit import PATIENCE, Discovery, Node, Peer, opening
+from tests.node_kit import PATIENCE, Discovery, FakeEndpoint, Node, opening
 
 EMPTY = '{"rev":1,"all":false,"targets":[]}'
 
@@ -35,7 +35,7 @@
 @pytest.mark.parametrize("error", [errno.ENFILE, errno.EMFILE, errno.ENOBUFS, errno.ENOMEM])
 def test_clients_wait_while_accept_lacks_resources(machine: Machine, error: int) -> None:
     """Regression: on EMFILE, all waiting clients were accepted and closed without an answer."""
-    with on(machine, Node(Peer("s-1"))) as node:
+    with on(machine, Node(FakeEndpoint("s-1"))) as node:
         machine.fail(Call.ACCEPT, 1.0, [error])
         clients = [node.client(opening(number)) for number in range(20)]
         expect_silence(0.1, *clients)
@@ -49,7 +49,7 @@
 
 @pytest.mark.parametrize("error", [errno.ECONNABORTED, errno.EPROTO, errno.ENETUNREACH, errno.EHOSTUNREACH])
 def test_error_of_one_connection_does_not_stop_accepting(machine: Machine, error: int) -> None:
-    with on(machine, Node(Peer("s-1"))) as node:
+    with on(machine, Node(FakeEndpoint("s-1"))) as node:
         machine.fail(Call.ACCEPT, 0.5, [error])
         assert [node.client(opening(number)).read() for number in range(10)] == ["UP r1"] * 10
         node.terminate()
@@ -58,9 +58,9 @@
 
 def test_clients_waiting_when_the_listener_closes_are_answered_though_accept_fails(machine: Machine) -> None:
     """Regression: waiting clients were reset when the listener closed."""
-    with on(machine, Node(Peer("s-1"))) as node:
+    with on(machine, Node(FakeEndpoint("s-1"))) as node:
         node.terminate()
-        node.wait_log('event="shutdown started"')
+        node.wait_for_log('event="shutdown started"')
         machine.fail(Call.ACCEPT, 1.0, [errno.ENFILE])
         waiting = [node.client(opening(number)) for number in range(20)]
         expect_silence(CLIENT_LINGER.total_seconds() + 0.6, *waiting)
@@ -72,20 +72,20 @@
 @pytest.mark.parametrize("call", [Call.SOCKET, Call.CONNECT])
 def test_attempt_waits_while_no_local_connection_can_be_made(machine: Machine, call: Call) -> None:
     """Regression: a request used up its attempts within a millisecond, and endpoints counted as failing."""
-    with on(machine, Node(Peer("s-1"), Peer("s-2"))) as node:
+    with on(machine, Node(FakeEndpoint("s-1"), FakeEndpoint("s-2"))) as node:
         machine.fail(call, 1.0)
         heal_after(machine, 0.1)
         client = node.client(opening(d=1000))
         assert client.read() == "UP r1"
-        node.wait_counted("retries", 0)
+        node.wait_for_counter("retries", 0)
 
 
 def test_node_becomes_ready_though_files_and_sockets_fail_at_the_start(
     machine: Machine, tmp_path: Path
 ) -> None:
     """Regression: the process exited with code 1 or 2."""
-    node = on(machine, Node(Peer("s-1")))
-    machine.env["STANDIN_FOLDER"] = node.folder
+    node = on(machine, Node(FakeEndpoint("s-1")))
+    machine.env["STANDIN_FOLDER"] = node.temp_dir
     node.env.update(machine.env)
     machine.fail(Call.OPEN, 1.0)
     machine.fail(Call.SOCKET, 1.0)
@@ -96,8 +96,8 @@
 
 def test_reload_reads_an_unreadable_configuration_again(machine: Machine) -> None:
     """Regression: the reload failed, and the node kept its old discovery address."""
-    node = on(machine, Node(Peer("s-1")))
-    machine.env["STANDIN_FOLDER"] = node.folder
+    node = on(machine, Node(FakeEndpoint("s-1")))
+    machine.env["STANDIN_FOLDER"] = node.temp_dir
     node.env.update(machine.env)
     with node:
         moved = Discovery()
@@ -105,9 +105,9 @@
         node.reload(discovery=moved.address)
         time.sleep(0.3)
         machine.heal()
-        assert moved.calls.get(timeout=PATIENCE)
-        node.wait_counted("reloads", 1)
-        node.wait_counted("reloads_failed", 0)
+        assert moved.watch_paths.get(timeout=PATIENCE)
+        node.wait_for_counter("reloads", 1)
+        node.wait_for_counter("reloads_failed", 0)
         moved.close()
 
 
@@ -141,8 +141,8 @@
     def closed(config: dict[str, Any]) -> None:
         config["discovery"] = f"{address[0]}:{address[1]}"
 
-    with Node(Peer("s-1"), change=closed) as node:
-        node.wait_counted("lists_failed", 1)
+    with Node(FakeEndpoint("s-1"), edit_config=closed) as node:
+        node.wait_for_counter("lists_failed", 1)
         with socket.create_server(address) as opened:
             opened.settimeout(6)
             opened.accept()[0].close()
@@ -150,18 +150,18 @@
 
 def test_no_attempt_starts_for_a_client_whose_end_is_unread(machine: Machine) -> None:
     """The client's end is read late, after many other events of the same reactor turn."""
-    with on(machine, Node(peer := Peer("s-1", OPEN="BUSY"))) as node:
+    with on(machine, Node(peer := FakeEndpoint("s-1", OPEN="BUSY"))) as node:
         client = node.client(opening(d=1000))
-        assert peer.lines.get(timeout=PATIENCE).startswith("OPEN")
+        assert peer.received_lines.get(timeout=PATIENCE).startswith("OPEN")
         machine.fail(Call.RECV_ACCEPTED, 1.0, [errno.EAGAIN])  # what clients send is read late
         client.close()
         time.sleep(0.1)
-        while not peer.lines.empty():
-            peer.lines.get()
+        while not peer.received_lines.empty():
+            peer.received_lines.get()
         time.sleep(0.6)  # a refused attempt is followed by another within 0.4 s
-        assert peer.lines.empty()
+        assert peer.received_lines.empty()
         machine.heal()
-        node.wait_counted("left", 1)
+        node.wait_for_counter("left", 1)
 
 
 @pytest.mark.parametrize(
@@ -170,7 +170,7 @@
 )
 def test_session_is_migrated_when_its_network_path_breaks(machine: Machine, error: int, answer: str) -> None:
     """Regression: the client got no MOVE, though others were answered. A reset comes from the endpoint."""
-    with on(machine, Node(Peer("s-1"))) as node:
+    with on(machine, Node(FakeEndpoint("s-1"))) as node:
         client = node.client(opening())
         assert client.read() == "UP r1"
         machine.fail(Call.RECV_DIALLED, 1.0, [error])
@@ -182,7 +182,7 @@
 
 def test_exit_code_is_0_though_signals_come_until_the_end() -> None:
     """Regression: the interpreter restores default handlers as it exits, and a SIGHUP killed the process."""
-    with Node(Peer("s-1")) as node:
+    with Node(FakeEndpoint("s-1")) as node:
         node.terminate()
         while node.process.poll() is None:
             node.process.send_signal(signal.SIGHUP)
@@ -194,20 +194,20 @@
     """Regression: the process exited at the first line of the log."""
     with socket.create_server(("127.0.0.1", 0)) as free:
         address = free.getsockname()
-    node = Node(Peer("s-1"))
+    node = Node(FakeEndpoint("s-1"))
     node.config["listen"] = f"{address[0]}:{address[1]}"
-    node.write()
+    node.write_config()
     with open("/dev/full", "w") as full:
         process = subprocess.Popen(
             [sys.executable, "-m", "stepflow"],
-            env={**os.environ, "GW_CONFIG": node._path, **node.env},
+            env={**os.environ, "GW_CONFIG": node.config_path, **node.env},
             stderr=full,
         )
     try:
         until = time.monotonic() + PATIENCE
         while True:
             try:
-                node._port = address[1]
+                node.port = address[1]
                 client = node.client(opening())
                 break
             except ConnectionRefusedError:
--- a/tests/node/race_kit.py
+++ b/tests/node/race_kit.py
@@ -11,7 +11,7 @@
 from pathlib import Path
 from typing import Any
 
-from tests.node_kit import PATIENCE, Discovery, Line, Listener, Node, list_entry, opening
+from tests.node_kit import PATIENCE, Discovery, LineConnection, Listener, Node, list_entry, opening
 
 
 def set_class(**settings: Any) -> Callable[[dict[str, Any]], None]:
@@ -28,7 +28,7 @@
     config["limits"]["sockets"] = 128
 
 
-def expect_silence(seconds: float, *silent: Line) -> None:
+def expect_silence(seconds: float, *silent: LineConnection) -> None:
     """Wait this long, and fail if anything arrives on one of these connections."""
     assert not select.select([line.sock for line in silent], [], [], seconds)[0]
 
@@ -40,7 +40,7 @@
         self.called: queue.Queue[str] = queue.Queue()
         super().__init__()
 
-    def serve(self, line: Line) -> None:
+    def serve(self, line: LineConnection) -> None:
         self.called.put(line.read())
         line.read()
 
@@ -56,15 +56,15 @@
         self.address = f"127.0.0.1:{self._sock.getsockname()[1]}"
         self._filler = socket.create_connection(self._sock.getsockname())
 
-    def entry(self, state: str = "Ready") -> dict[str, Any]:
+    def list_entry(self, state: str = "Ready") -> dict[str, Any]:
         """Its entry in discovery's list."""
         return list_entry(self.uid, self.address, state)
 
-    def open(self, patience: float = PATIENCE) -> Line:
+    def open(self, patience: float = PATIENCE) -> LineConnection:
         """Let the next connection be established, and accept it."""
         self._sock.settimeout(patience)
         self._sock.accept()[0].close()
-        return Line(self._sock.accept()[0])
+        return LineConnection(self._sock.accept()[0])
 
     def wait_for_connect(self) -> None:
         """Wait until the kernel shows a pending connect (state 02, SYN_SENT)."""
@@ -85,11 +85,11 @@
 
 
 @contextmanager
-def connecting(endpoint: LateEndpoint) -> Iterator[tuple[Node, Discovery, Line]]:
+def connecting(endpoint: LateEndpoint) -> Iterator[tuple[Node, Discovery, LineConnection]]:
     """Run a node that is connecting to the endpoint for a client; close the endpoint at the end."""
-    with Node(discovery=(discovery := Discovery()), change=slow_connects) as node:
-        assert discovery.calls.get(timeout=PATIENCE)
-        discovery.tell(endpoint.entry())
+    with Node(discovery=(discovery := Discovery()), edit_config=slow_connects) as node:
+        assert discovery.watch_paths.get(timeout=PATIENCE)
+        discovery.send_update(endpoint.list_entry())
         client = node.client(opening(d=9000))
         endpoint.wait_for_connect()
         yield node, discovery, client
--- a/tests/node/session_kit.py
+++ b/tests/node/session_kit.py
@@ -7,46 +7,46 @@
 from collections.abc import Iterator
 from contextlib import contextmanager
 
-from tests.node_kit import PATIENCE, Line, Node, Peer, opening
+from tests.node_kit import PATIENCE, FakeEndpoint, LineConnection, Node, opening
 
 LAST = [f"LOAD {n}" for n in range(3)]
 
 
-class SilentPeer(Peer):
+class SilentEndpoint(FakeEndpoint):
     """An endpoint that answers OPEN with `up`, if any, and then leaves the connection to the test."""
 
     def __init__(self, up: str | None = "UP r1") -> None:
         self.up = up
         super().__init__("s-1")
 
-    def serve(self, line: Line) -> None:
+    def serve(self, line: LineConnection) -> None:
         while (text := line.read()) not in ("", "RESET"):
             if text.startswith("OPEN "):
                 if self.up is not None:
                     line.send(self.up)
-                self.standing.put(line)
+                self.connections.put(line)
                 return
             line.send("PONG x0=0.2,x1=0.0,util=0.2")
 
 
 @contextmanager
 def frozen(node: Node) -> Iterator[None]:
-    """Freeze the node inside the block, so that it sees all that the other sides do there in one turn."""
-    node.freeze()
+    """Suspend the node inside the block, so that it sees all that the other sides do there in one turn."""
+    node.suspend()
     try:
         yield
     finally:
-        node.thaw()
+        node.resume()
 
 
-def session(node: Node, peer: Peer, number: int = 1) -> tuple[Line, Line]:
+def session(node: Node, peer: FakeEndpoint, number: int = 1) -> tuple[LineConnection, LineConnection]:
     """Establish a session; return the client's connection and the endpoint's."""
     client = node.client(opening(number))
     assert client.read() == "UP r1"
-    return client, peer.standing.get(timeout=PATIENCE)
+    return client, peer.connections.get(timeout=PATIENCE)
 
 
-def read_to_end(line: Line) -> list[str]:
+def read_to_end(line: LineConnection) -> list[str]:
     """Read all lines up to the end; the last item is the end itself: "" for a FIN, or "RESET"."""
     found = [line.read()]
     while found[-1] not in ("", "RESET"):
@@ -64,14 +64,14 @@
     return [f"LOAD {number:06d} {'z' * 1010}" for number in range(kilobytes)]
 
 
-def small_buffer_session(node: Node, peer: Peer) -> tuple[Line, Line]:
+def small_buffer_session(node: Node, peer: FakeEndpoint) -> tuple[LineConnection, LineConnection]:
     """Establish a session whose client has a receive buffer of a few kilobytes."""
     client = node.client(opening(), receive_buffer=4096)
     assert client.read() == "UP r1"
-    return client, peer.standing.get(timeout=PATIENCE)
+    return client, peer.connections.get(timeout=PATIENCE)
 
 
-def flood(line: Line) -> None:
+def flood(line: LineConnection) -> None:
     """Send until the node has stopped reading for 0.3 s."""
     for _ in range(2000):
         if not select.select([], [line.sock], [], 0.3)[1]:
--- a/tests/node/test_ends_carried_out.py
+++ b/tests/node/test_ends_carried_out.py
@@ -17,7 +17,7 @@
 from tests.node.race_kit import set_class
 from tests.node.session_kit import (
     LAST,
-    SilentPeer,
+    SilentEndpoint,
     flood,
     frozen,
     kilobyte_lines,
@@ -25,7 +25,7 @@
     session,
     small_buffer_session,
 )
-from tests.node_kit import PATIENCE, Line, Node, Peer, opening
+from tests.node_kit import PATIENCE, FakeEndpoint, LineConnection, Node, opening
 
 SHORT_REQUEST_S = 0.4
 STALLED_SESSION_END_S = 7.0  # PROTOCOL: a session without echoes is ended or migrated within this time
@@ -37,9 +37,9 @@
 @pytest.mark.parametrize("answer", ["BYE", "ERR"])
 def test_an_answer_is_relayed_although_its_endpoint_keeps_sending(answer: str) -> None:
     """The node resets the endpoint's connection and answers the client after that."""
-    with Node(peer := SilentPeer(up=None), change=EFFECT_ONCE) as node:
+    with Node(peer := SilentEndpoint(up=None), edit_config=EFFECT_ONCE) as node:
         client = node.client(opening())
-        endpoint = peer.standing.get(timeout=PATIENCE)
+        endpoint = peer.connections.get(timeout=PATIENCE)
         began = time.monotonic()
         with frozen(node):
             endpoint.send(answer, *kilobyte_lines(110))
@@ -49,13 +49,13 @@
 
 
 def test_a_rejected_request_is_retried_although_its_endpoint_keeps_sending() -> None:
-    with Node(peer := SilentPeer(up=None), change=EFFECT_ONCE) as node:
+    with Node(peer := SilentEndpoint(up=None), edit_config=EFFECT_ONCE) as node:
         client = node.client(opening())
-        endpoint = peer.standing.get(timeout=PATIENCE)
+        endpoint = peer.connections.get(timeout=PATIENCE)
         began = time.monotonic()
         with frozen(node):
             endpoint.send("BUSY", *kilobyte_lines(110))
-        peer.standing.get(timeout=0.5).send("UP r1")
+        peer.connections.get(timeout=0.5).send("UP r1")
         assert client.read() == "UP r1"
         expect_end(node, endpoint, began)
 
@@ -65,11 +65,11 @@
     machine: Machine, extra: str
 ) -> None:
     wait_ms = int(SHORT_REQUEST_S * 1000)
-    with on(machine, Node(peer := SilentPeer(up=None), change=EFFECT_ONCE)) as node:
+    with on(machine, Node(peer := SilentEndpoint(up=None), edit_config=EFFECT_ONCE)) as node:
         hold_up(machine)
         began = time.monotonic()
         client = node.client(opening(d=wait_ms, extra=extra))
-        endpoint = peer.standing.get(timeout=PATIENCE)
+        endpoint = peer.connections.get(timeout=PATIENCE)
         write_lines(endpoint, "LOAD 1", SHORT_REQUEST_S + 0.3)
         expect_end(node, endpoint, began + SHORT_REQUEST_S)
         client.sock.settimeout(0.2)
@@ -77,10 +77,10 @@
 
 
 def test_an_attempt_ends_when_its_client_leaves_although_its_endpoint_writes(machine: Machine) -> None:
-    with on(machine, Node(peer := SilentPeer(up=None))) as node:
+    with on(machine, Node(peer := SilentEndpoint(up=None))) as node:
         client = node.client(opening())
         hold_up(machine)
-        endpoint = peer.standing.get(timeout=PATIENCE)
+        endpoint = peer.connections.get(timeout=PATIENCE)
         began = time.monotonic()
         client.close(reset=True)
         write_lines(endpoint, "LOAD 1")
@@ -88,17 +88,17 @@
 
 
 def test_a_failed_health_check_is_closed_although_its_endpoint_writes(machine: Machine) -> None:
-    class HealthCheckPeer(Peer):
+    class HealthCheckEndpoint(FakeEndpoint):
         """Answers one health check on each connection, then leaves the connection to the test."""
 
-        def serve(self, line: Line) -> None:
+        def serve(self, line: LineConnection) -> None:
             line.read()
             line.send("PONG x0=0.2,x1=0.0,util=0.2")
-            self.held.put(line)
+            self.unanswered.put(line)
 
-    with on(machine, Node(peer := HealthCheckPeer("s-1"))) as node:
+    with on(machine, Node(peer := HealthCheckEndpoint("s-1"))) as node:
         node.client(opening())
-        endpoint = peer.held.get(timeout=PATIENCE)
+        endpoint = peer.unanswered.get(timeout=PATIENCE)
         hold_up(machine)
         began = time.monotonic()
         write_lines(endpoint)
@@ -107,7 +107,7 @@
 
 @pytest.mark.parametrize("reset", [False, True])
 def test_an_endpoint_that_writes_as_its_client_ends_is_closed_in_time(machine: Machine, reset: bool) -> None:
-    with on(machine, Node(peer := SilentPeer())) as node:
+    with on(machine, Node(peer := SilentEndpoint())) as node:
         client, endpoint = session(node, peer)
         hold_up(machine)
         began = time.monotonic()
@@ -120,7 +120,7 @@
 def test_an_overlong_line_ends_both_sides_although_its_sender_keeps_writing(
     machine: Machine, by_client: bool
 ) -> None:
-    with on(machine, Node(peer := SilentPeer())) as node:
+    with on(machine, Node(peer := SilentEndpoint())) as node:
         client, endpoint = session(node, peer)
         writer, reader = (client, endpoint) if by_client else (endpoint, client)
         hold_up(machine)
@@ -133,7 +133,7 @@
 
 def test_a_session_that_neither_side_reads_is_ended() -> None:
     """The buffers of both directions are full."""
-    with Node(peer := SilentPeer()) as node:
+    with Node(peer := SilentEndpoint()) as node:
         client, endpoint = small_buffer_session(node, peer)
         began = time.monotonic()
         flood(client)
@@ -149,7 +149,7 @@
     Seen: the connection stayed open forever. Before the forced close the node counts the dropped bytes, and
     it queried the endpoint's closed socket: `timer callback failed`, with ValueError for descriptor -1.
     """
-    with on(machine, Node(peer := SilentPeer())) as node:
+    with on(machine, Node(peer := SilentEndpoint())) as node:
         client, endpoint = session(node, peer)
         machine.fail(Call.SEND_ACCEPTED, 1.0, [errno.EAGAIN])  # as with a full receive buffer
         began = time.monotonic()
@@ -163,23 +163,23 @@
     machine: Machine, reset: bool
 ) -> None:
     """Seen: up to 2.5 s. Reading from the endpoint is paused meanwhile, so its end was not detected."""
-    with on(machine, Node(peer := SilentPeer())) as node:
+    with on(machine, Node(peer := SilentEndpoint())) as node:
         client, endpoint = session(node, peer)
         machine.fail(Call.SEND_ACCEPTED, 1.0, [errno.EAGAIN])  # as with a full receive buffer
         endpoint.send(*kilobyte_lines(110))
         time.sleep(0.3)
         endpoint.close(reset)
         time.sleep(OWED_END_S)
-        node.wait_counted("broken", 1)
-        node.wait_counted("outlived", 0)
+        node.wait_for_counter("broken", 1)
+        node.wait_for_counter("outlived", 0)
         assert read_to_end(client) == ["RESET"]  # the data that the client never received is dropped
 
 
 def test_a_client_that_writes_as_its_endpoint_ends_is_closed_during_a_shutdown(machine: Machine) -> None:
-    with on(machine, Node(peer := SilentPeer(), change=LONG_SHUTDOWN)) as node:
+    with on(machine, Node(peer := SilentEndpoint(), edit_config=LONG_SHUTDOWN)) as node:
         client, endpoint = session(node, peer)
         node.terminate()
-        node.wait_log("stopped accepting clients")
+        node.wait_for_log("stopped accepting clients")
         hold_up(machine)
         began = time.monotonic()
         endpoint.close(reset=True)
@@ -189,7 +189,7 @@
 
 
 def test_a_client_that_writes_as_its_endpoint_ends_is_closed_after_a_hand_over(machine: Machine) -> None:
-    with on(machine, Node(peer := SilentPeer(), change=LONG_SHUTDOWN)) as node:
+    with on(machine, Node(peer := SilentEndpoint(), edit_config=LONG_SHUTDOWN)) as node:
         client, endpoint = session(node, peer)
         with node.successor() as successor:
             node.terminate()
@@ -216,7 +216,7 @@
     Only the newest 64 lines without an echo were recorded, so that 64 echoes cleared any number of them, and
     no line was timed any more.
     """
-    with Node(peer := SilentPeer()) as node:
+    with Node(peer := SilentEndpoint()) as node:
         client, endpoint = session(node, peer)
         client.send(*["M 1"] * 3 * ECHOED_LINES)
         for _ in range(ECHOED_LINES):
@@ -229,14 +229,14 @@
 def test_a_client_is_closed_when_its_endpoint_ends_while_a_frozen_process_is_offered_the_session(
     reset: bool,
 ) -> None:
-    """Seen: the client waited for the frozen successor, or for the final migrations of its predecessor."""
-    with Node(peer := SilentPeer(), change=LONG_SHUTDOWN) as node:
+    """Seen: the client waited for the suspended successor, or for the final migrations of its predecessor."""
+    with Node(peer := SilentEndpoint(), edit_config=LONG_SHUTDOWN) as node:
         client, endpoint = session(node, peer)
         with node.successor() as successor:
             time.sleep(0.3)  # until the successor has announced that it serves
             with frozen(successor):
                 node.terminate()
-                node.wait_log("stopped accepting clients")
+                node.wait_for_log("stopped accepting clients")
                 time.sleep(0.1)  # until the session is offered
                 began = time.monotonic()
                 endpoint.close(reset)
@@ -245,4 +245,4 @@
                 assert time.monotonic() - began < OWED_END_S
             node.process.wait(PATIENCE)
             time.sleep(0.3)  # until the successor has detected the end of the session
-            assert "in_flight:0" in successor.ops("/v1/metrics")[1]
+            assert "in_flight:0" in successor.call_admin("/v1/metrics")[1]
--- a/tests/node/test_ends_in_order.py
+++ b/tests/node/test_ends_in_order.py
@@ -20,7 +20,7 @@
 from tests.node.race_kit import set_class
 from tests.node.session_kit import (
     LAST,
-    SilentPeer,
+    SilentEndpoint,
     end_of,
     flood,
     frozen,
@@ -29,7 +29,7 @@
     session,
     small_buffer_session,
 )
-from tests.node_kit import PATIENCE, Discovery, Node, Peer, opening
+from tests.node_kit import PATIENCE, Discovery, FakeEndpoint, Node, opening
 
 TRANSFERS = [Call.RECV_ACCEPTED, Call.SEND_ACCEPTED, Call.RECV_DIALLED, Call.SEND_DIALLED]
 TRANSIENT_ERRNOS = [errno.ENOMEM, errno.ENOBUFS, errno.EINTR, errno.EAGAIN]
@@ -37,14 +37,14 @@
 
 def truncated_metric(node: Node) -> str:
     """The metric of connections that were closed with bytes for them dropped."""
-    _, metrics = node.ops("/v1/metrics")
+    _, metrics = node.call_admin("/v1/metrics")
     return next(line for line in metrics.splitlines() if line.startswith("edge_gw.truncated:"))
 
 
 @pytest.mark.parametrize("reset", [False, True])
 def test_data_beyond_one_read_reaches_the_client_although_a_write_fails(reset: bool) -> None:
     """The client's line is written to an endpoint that has closed, while half of its data is still unread."""
-    with Node(peer := SilentPeer()) as node:
+    with Node(peer := SilentEndpoint()) as node:
         client, endpoint = session(node, peer)
         with frozen(node):
             client.send("M 1")
@@ -58,7 +58,7 @@
 @pytest.mark.parametrize("reset", [False, True])
 def test_a_client_that_reads_late_receives_all_data_before_the_end(reset: bool) -> None:
     """The client's full buffer pauses its endpoint, whose end becomes known while reading is paused."""
-    with Node(peer := SilentPeer()) as node:
+    with Node(peer := SilentEndpoint()) as node:
         client, endpoint = small_buffer_session(node, peer)
         endpoint.send(*kilobyte_lines(90))
         endpoint.close(reset)
@@ -68,17 +68,17 @@
 
 
 def test_data_that_a_client_never_reads_is_counted_as_dropped() -> None:
-    with Node(peer := SilentPeer()) as node:
+    with Node(peer := SilentEndpoint()) as node:
         client, endpoint = small_buffer_session(node, peer)
         flood(endpoint)
         endpoint.close(reset=True)
-        node.wait_log("session data dropped.* to=client")
+        node.wait_for_log("session data dropped.* to=client")
         assert truncated_metric(node) == "edge_gw.truncated:1|c"
         client.close()
 
 
 def test_a_client_that_half_closes_still_receives_data() -> None:
-    with Node(peer := SilentPeer()) as node:
+    with Node(peer := SilentEndpoint()) as node:
         client, endpoint = session(node, peer)
         client.send("LAST words")
         client.sock.shutdown(socket.SHUT_WR)
@@ -89,7 +89,7 @@
 
 
 def test_an_endpoint_that_half_closes_still_receives_data() -> None:
-    with Node(peer := SilentPeer()) as node:
+    with Node(peer := SilentEndpoint()) as node:
         client, endpoint = session(node, peer)
         with frozen(node):
             client.send("LAST words")
@@ -102,7 +102,7 @@
 
 @pytest.mark.parametrize("by_client", [False, True])
 def test_lines_before_an_overlong_line_are_relayed(by_client: bool) -> None:
-    with Node(peer := SilentPeer()) as node:
+    with Node(peer := SilentEndpoint()) as node:
         client, endpoint = session(node, peer)
         writer, reader = (client, endpoint) if by_client else (endpoint, client)
         with frozen(node):
@@ -112,10 +112,10 @@
 
 def test_lines_unread_at_a_migration_are_relayed_before_move() -> None:
     """The data exceeds what the node reads from one connection in a turn."""
-    with Node(peer := SilentPeer()) as node:
+    with Node(peer := SilentEndpoint()) as node:
         client, endpoint = session(node, peer)
         node.terminate()
-        node.wait_log("stopped accepting clients")
+        node.wait_for_log("stopped accepting clients")
         with frozen(node):
             endpoint.send(*kilobyte_lines(110))
             time.sleep(0.9)  # the time of the migration passes
@@ -124,10 +124,10 @@
 
 @pytest.mark.parametrize("reset", [False, True])
 def test_last_lines_reach_both_sides_during_a_shutdown(reset: bool) -> None:
-    with Node(peer := SilentPeer()) as node:
+    with Node(peer := SilentEndpoint()) as node:
         (client, endpoint), (other, other_endpoint) = session(node, peer), session(node, peer, 2)
         node.terminate()
-        node.wait_log("shutdown started")
+        node.wait_for_log("shutdown started")
         with frozen(node):
             endpoint.send(*LAST)
             endpoint.close(reset)
@@ -140,7 +140,7 @@
 @pytest.mark.parametrize("by_client", [False, True])
 @pytest.mark.parametrize("reset", [False, True])
 def test_last_lines_are_relayed_after_a_hand_over(reset: bool, by_client: bool) -> None:
-    with Node(peer := SilentPeer()) as node:
+    with Node(peer := SilentEndpoint()) as node:
         client, endpoint = session(node, peer)
         with node.successor() as successor:
             node.terminate()
@@ -156,13 +156,13 @@
 @pytest.mark.parametrize("reset", [False, True])
 def test_last_lines_are_relayed_during_a_hand_over(reset: bool, by_client: bool) -> None:
     """They arrive while the connections are passed between the processes and neither process reads them."""
-    with Node(peer := SilentPeer(), change=set_class(give_up_us=3_000_000)) as node:
+    with Node(peer := SilentEndpoint(), edit_config=set_class(give_up_us=3_000_000)) as node:
         client, endpoint = session(node, peer)
         with node.successor() as successor:
             time.sleep(0.3)  # until the successor has announced that it serves
             with frozen(successor):
                 node.terminate()
-                node.wait_log("stopped accepting clients")
+                node.wait_for_log("stopped accepting clients")
                 time.sleep(0.1)  # until the session is offered
                 writer, reader = (client, endpoint) if by_client else (endpoint, client)
                 writer.send(*LAST)
@@ -172,14 +172,14 @@
 
 def test_sessions_offered_by_a_process_that_is_killed_are_adopted() -> None:
     """The successor reads their messages later; only its first answer shows that the sender is gone."""
-    with Node(Peer("s-1"), change=set_class(give_up_us=3_000_000)) as node:
+    with Node(FakeEndpoint("s-1"), edit_config=set_class(give_up_us=3_000_000)) as node:
         clients = [node.client(opening(number)) for number in range(8)]
         assert [client.read() for client in clients] == ["UP r1"] * 8
         with node.successor() as successor:
             time.sleep(0.3)  # until the successor has announced that it serves
             with frozen(successor):
                 node.terminate()
-                node.wait_log("stopped accepting clients")
+                node.wait_for_log("stopped accepting clients")
                 time.sleep(0.1)  # until the sessions are offered
                 node.process.kill()
                 node.process.wait(PATIENCE)
@@ -190,13 +190,13 @@
 
 def test_a_rejection_followed_by_a_reset_counts_as_a_rejection() -> None:
     """The close resets the connection. After a reset alone, a non-idempotent request would be failed."""
-    with Node(peer := SilentPeer(up=None), change=set_class(effect="once")) as node:
+    with Node(peer := SilentEndpoint(up=None), edit_config=set_class(effect="once")) as node:
         client = node.client(opening())
-        endpoint = peer.standing.get(timeout=PATIENCE)
+        endpoint = peer.connections.get(timeout=PATIENCE)
         with frozen(node):
             endpoint.send("BUSY")
             endpoint.close(reset=True)
-        attempts = [peer.standing.get(timeout=PATIENCE)]  # a rejected request is retried
+        attempts = [peer.connections.get(timeout=PATIENCE)]  # a rejected request is retried
         attempts[0].send("UP r1")
         assert client.read() == "UP r1"
 
@@ -207,7 +207,7 @@
 )
 def test_a_session_survives_transient_errors_of_recv_and_send(tmp_path: Path, call: Call, error: int) -> None:
     machine = Machine(tmp_path)
-    with on(machine, Node(peer := Peer("s-1"))) as node:
+    with on(machine, Node(peer := FakeEndpoint("s-1"))) as node:
         client = node.client(opening())
         assert client.read() == "UP r1"
         machine.fail(call, 0.6, [error])
@@ -216,14 +216,14 @@
             assert client.read() == f"M {number}"
         assert machine.injected(call) > 0
         machine.heal()
-        peer.standing.get(timeout=PATIENCE).send(*LAST)
+        peer.connections.get(timeout=PATIENCE).send(*LAST)
         assert [client.read() for _ in LAST] == LAST
 
 
 @pytest.mark.parametrize("call", [Call.RECV_ACCEPTED, Call.RECV_DIALLED])
 def test_last_lines_are_read_although_recv_fails_with_enomem(tmp_path: Path, call: Call) -> None:
     machine = Machine(tmp_path)
-    with on(machine, Node(peer := SilentPeer())) as node:
+    with on(machine, Node(peer := SilentEndpoint())) as node:
         client, endpoint = session(node, peer)
         writer, reader = (client, endpoint) if call is Call.RECV_ACCEPTED else (endpoint, client)
         machine.fail(call, 0.8, [errno.ENOMEM])
@@ -237,13 +237,13 @@
 def test_a_list_update_followed_by_a_reset_is_applied() -> None:
     """Data that discovery wrote before the reset counts as received."""
     discovery = Discovery()
-    first, second = Peer("s-1"), Peer("s-2")
+    first, second = FakeEndpoint("s-1"), FakeEndpoint("s-2")
     with Node(first, discovery=discovery) as node, closing(second):
-        discovery.calls.get(timeout=PATIENCE)
+        discovery.watch_paths.get(timeout=PATIENCE)
         with frozen(node):
-            discovery.tell(second.entry(), first.entry("Gone"))
-            discovery.told.put(Discovery.RESET)
+            discovery.send_update(second.list_entry(), first.list_entry("Gone"))
+            discovery.updates.put(Discovery.RESET)
             time.sleep(0.1)
         client = node.client(opening())
         assert client.read() == "UP r1"
-        assert second.lines.get(timeout=PATIENCE).startswith("OPEN ")
+        assert second.received_lines.get(timeout=PATIENCE).startswith("OPEN ")
--- a/tests/node/test_last_lines.py
+++ b/tests/node/test_last_lines.py
@@ -7,22 +7,22 @@
 detected instead of after the data before it. Evidence: the same lines arrive if the end is a FIN, or if the
 reset comes some milliseconds later; `session data dropped` counts them as unsent.
 
-The process is frozen while the other sides act, so that it sees everything in one turn.
+The process is suspended while the other sides act, so that it sees everything in one turn.
 """
 
 from __future__ import annotations
 
 import pytest
 
-from tests.node.session_kit import LAST, SilentPeer, end_of, frozen, read_to_end, session
+from tests.node.session_kit import LAST, SilentEndpoint, end_of, frozen, read_to_end, session
 from tests.node_kit import PATIENCE, Node, opening
 
 
 @pytest.mark.parametrize("reset", [False, True])
 def test_the_answer_of_an_endpoint_that_ends_at_once_reaches_its_client(reset: bool) -> None:
-    with Node(peer := SilentPeer(up=None)) as node:
+    with Node(peer := SilentEndpoint(up=None)) as node:
         client = node.client(opening())
-        endpoint = peer.standing.get(timeout=PATIENCE)
+        endpoint = peer.connections.get(timeout=PATIENCE)
         with frozen(node):
             endpoint.send("UP r1", *LAST)
             endpoint.close(reset)
@@ -31,7 +31,7 @@
 
 @pytest.mark.parametrize("reset", [False, True])
 def test_the_last_lines_of_an_endpoint_reach_its_client(reset: bool) -> None:
-    with Node(peer := SilentPeer()) as node:
+    with Node(peer := SilentEndpoint()) as node:
         client, endpoint = session(node, peer)
         with frozen(node):
             endpoint.send(*LAST)
@@ -41,7 +41,7 @@
 
 @pytest.mark.parametrize("reset", [False, True])
 def test_the_last_lines_of_a_client_reach_its_endpoint(reset: bool) -> None:
-    with Node(peer := SilentPeer()) as node:
+    with Node(peer := SilentEndpoint()) as node:
         client, endpoint = session(node, peer)
         with frozen(node):
             client.send(*LAST)
--- a/tests/node/test_leaks.py
+++ b/tests/node/test_leaks.py
@@ -10,39 +10,39 @@
 import pytest
 
 from tests.census import COUNTED_CLASSES, SESSION_CLASSES
-from tests.node_kit import PATIENCE, Line, Node, Peer, opening
+from tests.node_kit import PATIENCE, FakeEndpoint, LineConnection, Node, opening
 
 SESSIONS = 40
 NONE_ALIVE = dict.fromkeys(COUNTED_CLASSES, 0)
 
 
-def _read_to_end(client: Line) -> None:
+def _read_to_end(client: LineConnection) -> None:
     while client.read() not in ("", "RESET"):
         pass
     client.close()
 
 
-def _client_closes(client: Line, at_peer: Line) -> None:
+def _client_closes(client: LineConnection, at_peer: LineConnection) -> None:
     client.close()
 
 
-def _client_resets(client: Line, at_peer: Line) -> None:
+def _client_resets(client: LineConnection, at_peer: LineConnection) -> None:
     client.close(reset=True)
 
 
-def _peer_sends_bye(client: Line, at_peer: Line) -> None:
+def _peer_sends_bye(client: LineConnection, at_peer: LineConnection) -> None:
     at_peer.send("BYE")
     client.send("FIN")
     assert [client.read(), client.read()] == ["BYE", ""]
     client.close()
 
 
-def _peer_resets(client: Line, at_peer: Line) -> None:
+def _peer_resets(client: LineConnection, at_peer: LineConnection) -> None:
     client.send("CUT")
     _read_to_end(client)
 
 
-def _client_sends_overlong_line(client: Line, at_peer: Line) -> None:
+def _client_sends_overlong_line(client: LineConnection, at_peer: LineConnection) -> None:
     client.send("M " + "x" * 5000)
     _read_to_end(client)
 
@@ -50,7 +50,7 @@
 def census(node: Node) -> dict[str, int]:
     """Return how many objects of each counted class are alive in the node."""
     node.process.send_signal(signal.SIGUSR2)
-    line = node.wait_log("census: (.*)").group(1)
+    line = node.wait_for_log("census: (.*)").group(1)
     return {name: int(count) for name, count in re.findall(r"(\w+)=(\d+)", line)}
 
 
@@ -64,7 +64,7 @@
 
 def test_census_counts_the_objects_of_a_session() -> None:
     """Guards the tests below: the name of a class that no longer exists would count nothing, and pass."""
-    with Node(Peer("s-1"), module="tests.census") as node:
+    with Node(FakeEndpoint("s-1"), module="tests.census") as node:
         client = node.client(opening())
         assert client.read() == "UP r1"
         assert {name: census(node)[name] for name in SESSION_CLASSES} == dict.fromkeys(SESSION_CLASSES, 1)
@@ -74,10 +74,10 @@
     "end", [_client_closes, _client_resets, _peer_sends_bye, _peer_resets, _client_sends_overlong_line]
 )
 def test_no_objects_of_a_session_are_left_without_the_garbage_collector(
-    end: Callable[[Line, Line], None],
+    end: Callable[[LineConnection, LineConnection], None],
 ) -> None:
     """Regression: each relayed session left a reference cycle of 2.5 KB, which was hardly ever collected."""
-    with Node(peer := Peer("s-1", FIN="FIN", CUT="RESET"), module="tests.census") as node:
+    with Node(peer := FakeEndpoint("s-1", FIN="FIN", CUT="RESET"), module="tests.census") as node:
         served = 0
         for number in range(SESSIONS):
             client = node.client(opening(number + 1))
@@ -85,7 +85,7 @@
                 client.close()
                 continue
             served += 1
-            at_peer = peer.standing.get(timeout=PATIENCE)
+            at_peer = peer.connections.get(timeout=PATIENCE)
             client.send("M 1")
             if client.read() == "M 1":  # otherwise the session was migrated, for the same reason
                 end(client, at_peer)
@@ -95,7 +95,7 @@
 
 
 def test_no_objects_of_a_rejected_or_malformed_client_are_left() -> None:
-    with Node(Peer("s-1", OPEN="BUSY"), module="tests.census") as node:
+    with Node(FakeEndpoint("s-1", OPEN="BUSY"), module="tests.census") as node:
         for number in range(SESSIONS):
             client = node.client(opening(number + 1, d=50) if number % 2 else "HELLO")
             assert client.read().split(" ")[0] in ("BUSY", "ERR")
--- a/tests/node/test_left_waiting.py
+++ b/tests/node/test_left_waiting.py
@@ -20,13 +20,13 @@
 
 from standins.preload import Machine
 from tests.node.machine_kit import expect_end, hold_up, on, write_lines
-from tests.node.session_kit import SilentPeer, session
+from tests.node.session_kit import SilentEndpoint, session
 from tests.node_kit import Node
 
 
 @pytest.mark.parametrize("reset", [False, True])
 def test_a_client_that_writes_as_its_endpoint_ends_is_closed_in_time(machine: Machine, reset: bool) -> None:
-    with on(machine, Node(peer := SilentPeer())) as node:
+    with on(machine, Node(peer := SilentEndpoint())) as node:
         client, endpoint = session(node, peer)
         hold_up(machine)
         began = time.monotonic()
--- a/tests/node/test_node_session_ends.py
+++ b/tests/node/test_node_session_ends.py
@@ -9,13 +9,13 @@
 
 from stepflow.node.relay.client_stall import CLIENT_STALL_CHECK_INTERVAL, CLIENT_STALL_TIMEOUT
 from tests.node.session_kit import flood
-from tests.node_kit import PATIENCE, Node, Peer, opening
+from tests.node_kit import PATIENCE, FakeEndpoint, Node, opening
 
 
 @pytest.mark.parametrize("reset", [False, True])
 def test_fin_is_relayed_as_fin_and_reset_as_reset(reset: bool) -> None:
     end = "RESET" if reset else ""
-    with Node(peer := Peer("s-1", BREAK=end or "FIN")) as node:
+    with Node(peer := FakeEndpoint("s-1", BREAK=end or "FIN")) as node:
         client = node.client(opening())
         assert client.read() == "UP r1"
         client.send("BREAK")  # the endpoint ends the connection on this line
@@ -23,42 +23,42 @@
         other = node.client(opening(2))
         assert other.read() == "UP r1"
         other.close(reset)
-        assert peer.ends.get(timeout=PATIENCE) == (end or "FIN")
+        assert peer.session_ends.get(timeout=PATIENCE) == (end or "FIN")
 
 
 def test_fin_of_a_client_is_relayed_as_fin_while_its_endpoint_floods_it() -> None:
     """Closing with unread data from the endpoint could reset it, and lose the client's last line."""
-    with Node(peer := Peer("s-1", LAST=None)) as node:
+    with Node(peer := FakeEndpoint("s-1", LAST=None)) as node:
         client = node.client(opening())
         assert client.read() == "UP r1"
-        flood(peer.standing.get(timeout=PATIENCE))
+        flood(peer.connections.get(timeout=PATIENCE))
         client.send("LAST words")
         client.sock.shutdown(socket.SHUT_WR)
-        received = [peer.lines.get(timeout=PATIENCE) for _ in range(2)]
+        received = [peer.received_lines.get(timeout=PATIENCE) for _ in range(2)]
         assert received[1] == "LAST words"
-        assert peer.ends.get(timeout=PATIENCE) == "FIN"
+        assert peer.session_ends.get(timeout=PATIENCE) == "FIN"
 
 
 def test_client_that_never_reads_is_closed_within_3_s_and_others_are_unaffected() -> None:
     """Otherwise it would stay forever, and backpressure would pause its endpoint."""
     assert timedelta(seconds=3) > CLIENT_STALL_TIMEOUT + CLIENT_STALL_CHECK_INTERVAL
-    with Node(peer := Peer("s-1")) as node:
+    with Node(peer := FakeEndpoint("s-1")) as node:
         stuck = node.client(opening())
         assert stuck.read() == "UP r1"
-        flood(peer.standing.get(timeout=PATIENCE))
+        flood(peer.connections.get(timeout=PATIENCE))
         other = node.client(opening(2))
         assert other.read() == "UP r1"
-        assert peer.ends.get(timeout=PATIENCE) == "FIN"
+        assert peer.session_ends.get(timeout=PATIENCE) == "FIN"
         other.send("M 1 unharmed")
         assert other.read() == "M 1 unharmed"
 
 
 def test_session_of_a_hung_endpoint_is_migrated_after_its_half_line_is_complete() -> None:
     """Lines arrive in pieces: an endpoint in the middle of a line gets time to complete it."""
-    with Node(peer := Peer("s-1", X=None)) as node:
+    with Node(peer := FakeEndpoint("s-1", X=None)) as node:
         first = node.client(opening())
         assert first.read() == "UP r1"
-        pieces = peer.standing.get(timeout=PATIENCE)
+        pieces = peer.connections.get(timeout=PATIENCE)
         other = node.client(opening(2))
         assert other.read() == "UP r1"
         first.send("X 1 anyone there")
@@ -71,18 +71,18 @@
 
 @pytest.mark.parametrize("reset", [False, True])
 def test_sides_that_end_in_the_same_turn_are_closed_without_affecting_other_requests(reset: bool) -> None:
-    with Node(peer := Peer("s-1")) as node:
+    with Node(peer := FakeEndpoint("s-1")) as node:
         client, other = node.client(opening()), node.client(opening(2))
         assert [client.read(), other.read()] == ["UP r1"] * 2
-        ends = [peer.standing.get(timeout=PATIENCE) for _ in range(2)]
-        node.freeze()
+        ends = [peer.connections.get(timeout=PATIENCE) for _ in range(2)]
+        node.suspend()
         client.send("M 1 half")
         client.close(reset)
         for line in ends:
             line.send("LOAD 3")
             line.sock.shutdown(socket.SHUT_RDWR)
-        node.thaw()
+        node.resume()
         assert [other.read(), other.read()] == ["LOAD 3", ""]
         assert node.client(opening(3)).read() == "UP r1"
         node.terminate()
-        node.wait_log("counters: .* served=3 .* faults=0")
+        node.wait_for_log("counters: .* served=3 .* faults=0")
--- a/tests/node/test_node_shutdown.py
+++ b/tests/node/test_node_shutdown.py
@@ -14,19 +14,19 @@
 
 from stepflow.node.process.shutdown_schedule import CLIENT_LINGER
 from tests.node.race_kit import SilentListener, expect_silence, set_class
-from tests.node_kit import PATIENCE, Node, Peer, opening
+from tests.node_kit import PATIENCE, FakeEndpoint, Node, opening
 
 
 def test_sigterm_migrates_sessions_and_prints_the_counters() -> None:
-    with Node(Peer("s-1")) as node:
+    with Node(FakeEndpoint("s-1")) as node:
         sessions = [node.client(opening(number)) for number in range(3)]
         assert [client.read() for client in sessions] == ["UP r1"] * 3
         node.terminate()
-        node.wait_log('event="shutdown started" connections=3')
+        node.wait_for_log('event="shutdown started" connections=3')
         sessions.append(node.client(opening(9)))
         assert sessions[-1].read() == "UP r1"  # clients keep connecting for a while
         assert [client.read() for client in sessions] == ["MOVE"] * 4
-        node.wait_log("counters: .* requests=4 .* served=4 .* moved=4 ")
+        node.wait_for_log("counters: .* requests=4 .* served=4 .* moved=4 ")
         assert node.process.wait(PATIENCE) == 0
 
 
@@ -36,11 +36,11 @@
     def set_longest_deadline(config: dict[str, Any]) -> None:
         config["settings"]["classes"][0]["give_up_us"] = 60_000_000
 
-    with Node(Peer("s-1"), change=set_longest_deadline) as node:
+    with Node(FakeEndpoint("s-1"), edit_config=set_longest_deadline) as node:
         client = node.client(opening())
         assert client.read() == "UP r1"
         node.terminate()
-        node.wait_log("stopped accepting clients")
+        node.wait_for_log("stopped accepting clients")
         client.send("M 1 still here")
         assert [client.read(), client.read()] == ["M 1 still here", "MOVE"]
         client.close()
@@ -49,13 +49,13 @@
 
 def test_sigterm_answers_requests_in_the_accept_queue() -> None:
     """The kernel resets connections in the queue of a listener that is closed."""
-    with Node(Peer("s-1")) as node:
+    with Node(FakeEndpoint("s-1")) as node:
         node.terminate()
-        node.wait_log('event="shutdown started"')
-        node.freeze()
+        node.wait_for_log('event="shutdown started"')
+        node.suspend()
         waiting = [node.client(opening(number)) for number in range(60)]
         expect_silence(CLIENT_LINGER.total_seconds() + 0.05, *waiting)  # the listener is due to close
-        node.thaw()
+        node.resume()
         assert [(line.read(), line.read()) for line in waiting] == [("BUSY", "")] * 60
         assert node.process.wait(PATIENCE) == 0
 
@@ -64,12 +64,12 @@
 def test_sigterm_does_not_reject_a_request_that_may_have_taken_effect(effect: str) -> None:
     """BUSY says that a retry is safe, but the endpoint may have the request."""
     change = set_class(effect=effect, key_scope="cell", key_ttl_us=5_000_000, give_up_us=3_000_000)
-    with Node(peer := Peer("s-1", OPEN=None), change=change) as node:
+    with Node(peer := FakeEndpoint("s-1", OPEN=None), edit_config=change) as node:
         taken, left = node.client(opening(1, d=3000)), node.client(opening(2, d=3000))
-        held = [peer.held.get(timeout=PATIENCE) for _ in range(2)]
-        first = peer.lines.get(timeout=PATIENCE).split(" ")[1]
+        held = [peer.unanswered.get(timeout=PATIENCE) for _ in range(2)]
+        first = peer.received_lines.get(timeout=PATIENCE).split(" ")[1]
         node.terminate()
-        node.wait_log("stopped accepting clients")
+        node.wait_for_log("stopped accepting clients")
         held[0].send("UP r7")
         served, other = (taken, left) if first == f"{1:016x}" else (left, taken)
         assert [served.read(), served.read()] == ["UP r7", "MOVE"]
@@ -78,9 +78,9 @@
 
 
 def test_sigterm_rejects_an_idempotent_request_and_cancels_its_attempt() -> None:
-    with Node(peer := Peer("s-1", OPEN=None), change=set_class(give_up_us=3_000_000)) as node:
+    with Node(peer := FakeEndpoint("s-1", OPEN=None), edit_config=set_class(give_up_us=3_000_000)) as node:
         client = node.client(opening(d=3000))
-        peer.held.get(timeout=PATIENCE)
+        peer.unanswered.get(timeout=PATIENCE)
         node.terminate()
         assert [client.read(), client.read()] == ["BUSY", ""]
         assert node.process.wait(PATIENCE) == 0
@@ -89,7 +89,7 @@
 @pytest.mark.parametrize("part", ["", "PING\r\n", "OPEN 00"])
 def test_sigterm_answers_unopened_clients_without_a_reset(part: str) -> None:
     """A request may be in transit when the process exits."""
-    with Node(Peer("s-1")) as node:
+    with Node(FakeEndpoint("s-1")) as node:
         unopened = node.client()
         unopened.sock.sendall(part.encode())
         if "PING" in part:
@@ -98,18 +98,18 @@
         assert unopened.read() == "BUSY"
         unopened.send(opening()[len(part) if "OPEN" in part else 0 :])
         assert unopened.read() in ("", "RESET")  # and no attempt is made
-        assert node.process.wait(PATIENCE) == 0 and node.peers[0].lines.empty()
+        assert node.process.wait(PATIENCE) == 0 and node.endpoints[0].received_lines.empty()
 
 
 def test_sigterm_migrates_a_session_at_the_end_of_its_line() -> None:
-    with Node(peer := Peer("s-1", X=None)) as node:
+    with Node(peer := FakeEndpoint("s-1", X=None)) as node:
         client = node.client(opening())
         assert client.read() == "UP r1"
-        endpoint = peer.standing.get(timeout=PATIENCE)
+        endpoint = peer.connections.get(timeout=PATIENCE)
         endpoint.sock.sendall(b"X ha")
         assert client.sock.recv(4) == b"X ha"
         node.terminate()
-        node.wait_log("stopped accepting clients")
+        node.wait_for_log("stopped accepting clients")
         expect_silence(0.9, client)  # the last migrations are over, the exit is not due yet
         endpoint.sock.sendall(b"lf\r\n")
         assert [client.read(), client.read(), client.read()] == ["lf", "MOVE", ""]
@@ -118,7 +118,7 @@
 
 def test_sigterm_exits_before_the_kill_with_short_deadlines() -> None:
     """At 200 ms, SIGKILL may come after 0.9 s; a client that does not read must not delay the exit."""
-    with Node(Peer("s-1"), change=set_class(give_up_us=200_000)) as node:
+    with Node(FakeEndpoint("s-1"), edit_config=set_class(give_up_us=200_000)) as node:
         client = node.client(opening(d=2000))
         assert client.read() == "UP r1"
         node.terminate()
@@ -127,7 +127,7 @@
 
 
 def test_repeated_signals_end_the_process_once() -> None:
-    with Node(Peer("s-1")) as node:
+    with Node(FakeEndpoint("s-1")) as node:
         client = node.client(opening())
         assert client.read() == "UP r1"
         for number in (signal.SIGTERM, signal.SIGHUP, signal.SIGTERM, signal.SIGINT):
@@ -140,11 +140,11 @@
 def test_sigterm_before_listening_exits_at_once() -> None:
     """The agent never answers, so the node does not listen for the first half second."""
     agent = SilentListener()
-    node = Node(change=lambda config: config["settings"].update(discovery="pushed"))
-    node.write(json.dumps({**node.config, "discovery": agent.address}))
+    node = Node(edit_config=lambda config: config["settings"].update(discovery="pushed"))
+    node.write_config(json.dumps({**node.config, "discovery": agent.address}))
     with subprocess.Popen(
         [sys.executable, "-m", "stepflow"],
-        env={**os.environ, "GW_CONFIG": node._path, **node.env},
+        env={**os.environ, "GW_CONFIG": node.config_path, **node.env},
         stderr=subprocess.PIPE,
         text=True,
     ) as process:
@@ -153,4 +153,4 @@
         log = process.communicate(timeout=PATIENCE)[1]
     assert process.returncode == 0 and "listening address" not in log and " faults=0" in log
     agent.close()
-    rmtree(node.folder)
+    rmtree(node.temp_dir)
--- a/tests/node/test_pushed_discovery.py
+++ b/tests/node/test_pushed_discovery.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from tests.node_kit import PATIENCE, Discovery, Node, Peer, opening
+from tests.node_kit import PATIENCE, Discovery, FakeEndpoint, Node, opening
 
 REQUEST_NUMBERS = count(1000)  # for requests that only need different numbers
 
@@ -25,23 +25,26 @@
 
 def test_the_agents_list_is_applied_before_the_first_request() -> None:
     """The node's last known list shows an endpoint as ready that the agent's list shows as draining."""
-    first_peer, second_peer = Peer("s-1"), Peer("s-2")
-    agent = Discovery(first=message(9, False, first_peer.entry("Terminating")))
-    with Node(first_peer, second_peer, discovery=agent, change=pushed) as node:
-        assert agent.calls.get(timeout=PATIENCE) == "/v1/servers?watch=1&from=1"
+    first_peer, second_peer = FakeEndpoint("s-1"), FakeEndpoint("s-2")
+    agent = Discovery(first_update=message(9, False, first_peer.list_entry("Terminating")))
+    with Node(first_peer, second_peer, discovery=agent, edit_config=pushed) as node:
+        assert agent.watch_paths.get(timeout=PATIENCE) == "/v1/servers?watch=1&from=1"
         for number in range(1, 13):
             assert node.client(opening(number)).read() == "UP r1"
-    assert first_peer.lines.empty() and second_peer.lines.qsize() == 12
+    assert first_peer.received_lines.empty() and second_peer.received_lines.qsize() == 12
 
 
 def test_a_node_serves_while_its_agent_refuses_calls_and_retries_until_it_answers() -> None:
-    first_peer, second_peer = Peer("s-1"), Peer("s-2")
-    agent = Discovery(first=message(9, False, first_peer.entry("Terminating")), refuse=6)
-    with Node(first_peer, second_peer, discovery=agent, change=pushed) as node:
+    first_peer, second_peer = FakeEndpoint("s-1"), FakeEndpoint("s-2")
+    agent = Discovery(first_update=message(9, False, first_peer.list_entry("Terminating")), refuse_calls=6)
+    with Node(first_peer, second_peer, discovery=agent, edit_config=pushed) as node:
         assert node.client(opening()).read() == "UP r1"  # by the last known list
-        agent.calls.get(timeout=PATIENCE)
+        agent.watch_paths.get(timeout=PATIENCE)
         deadline = time.monotonic() + PATIENCE
-        while "map_servers_excluded:1|g" not in node.ops("/v1/metrics")[1] and time.monotonic() < deadline:
+        while (
+            "map_servers_excluded:1|g" not in node.call_admin("/v1/metrics")[1]
+            and time.monotonic() < deadline
+        ):
             pass  # until the node has applied the update
         assert all_sessions_go_to(node, second_peer, 10)
 
@@ -49,28 +52,28 @@
 @pytest.mark.parametrize("fault", ["", "{", '{"rev":"x","all":true,"targets":[]}', "null"])
 def test_a_watch_of_the_agent_that_fails_is_restarted(fault: str) -> None:
     """An empty text stands for a closed connection."""
-    first_peer, second_peer = Peer("s-1"), Peer("s-2")
+    first_peer, second_peer = FakeEndpoint("s-1"), FakeEndpoint("s-2")
     agent = Discovery()
-    with Node(first_peer, second_peer, discovery=agent, change=pushed) as node:
-        assert agent.calls.get(timeout=PATIENCE).endswith("from=1")
-        agent.first = message(3, False, first_peer.entry("Terminating"))
-        agent.told.put(fault or Discovery.END)
+    with Node(first_peer, second_peer, discovery=agent, edit_config=pushed) as node:
+        assert agent.watch_paths.get(timeout=PATIENCE).endswith("from=1")
+        agent.first_update = message(3, False, first_peer.list_entry("Terminating"))
+        agent.updates.put(fault or Discovery.CLOSE)
         if fault == "{":
-            agent.told.put("]")
-        assert agent.calls.get(timeout=PATIENCE).endswith("from=1")
-        node.wait_log("discovery call failed")
+            agent.updates.put("]")
+        assert agent.watch_paths.get(timeout=PATIENCE).endswith("from=1")
+        node.wait_for_log("discovery call failed")
         wait_until_sessions_go_to(node, second_peer, 8)
 
 
-def all_sessions_go_to(node: Node, peer: Peer, sessions: int) -> bool:
+def all_sessions_go_to(node: Node, peer: FakeEndpoint, sessions: int) -> bool:
     """Return whether this number of new sessions are all established at this endpoint."""
-    before = peer.lines.qsize()
+    before = peer.received_lines.qsize()
     for _ in range(sessions):
         assert node.client(opening(next(REQUEST_NUMBERS))).read() == "UP r1"
-    return peer.lines.qsize() - before == sessions
+    return peer.received_lines.qsize() - before == sessions
 
 
-def wait_until_sessions_go_to(node: Node, peer: Peer, sessions: int) -> None:
+def wait_until_sessions_go_to(node: Node, peer: FakeEndpoint, sessions: int) -> None:
     """Open this number of sessions repeatedly, until all of them are established at this endpoint."""
     deadline = time.monotonic() + PATIENCE
     while not all_sessions_go_to(node, peer, sessions) and time.monotonic() < deadline:
@@ -83,8 +86,8 @@
 def test_an_indented_list_in_pieces_of_any_size_is_applied(
     pieces: int, change: Callable[[Any], None]
 ) -> None:
-    first_peer, second_peer = Peer("s-1"), Peer("s-2")
-    agent = Discovery(first=message(9, True, second_peer.entry(), indent=4), pieces=pieces)
-    with Node(first_peer, discovery=agent, change=change) as node:
-        agent.calls.get(timeout=PATIENCE)
+    first_peer, second_peer = FakeEndpoint("s-1"), FakeEndpoint("s-2")
+    agent = Discovery(first_update=message(9, True, second_peer.list_entry(), indent=4), chunk_count=pieces)
+    with Node(first_peer, discovery=agent, edit_config=change) as node:
+        agent.watch_paths.get(timeout=PATIENCE)
         wait_until_sessions_go_to(node, second_peer, 4)
--- a/tests/node/test_recording.py
+++ b/tests/node/test_recording.py
@@ -10,7 +10,7 @@
 
 from standins.preload import Call, Machine
 from stepflow.traffic.writer import journals
-from tests.node_kit import PATIENCE, Node, Peer, opening
+from tests.node_kit import PATIENCE, FakeEndpoint, Node, opening
 from tests.traffic.recorder_kit import KEY, count_kinds
 
 
@@ -21,18 +21,18 @@
 
 
 def test_node_records_its_sessions_and_writes_the_end_of_the_journal(tmp_path: Path) -> None:
-    node = Node(peer := Peer("s-1"))
+    node = Node(peer := FakeEndpoint("s-1"))
     node.env["STEPFLOW_CONF"] = write_operator_file(tmp_path, str(tmp_path / "t"))
     with node:
         for number in range(3):
             client = node.client(opening(number + 1))
             assert client.read() == "UP r1"
-            at_peer = peer.standing.get(timeout=PATIENCE)
+            at_peer = peer.connections.get(timeout=PATIENCE)
             at_peer.send("LOAD 12.5")
             assert client.read() == "LOAD 12.5"
             client.close()
         node.terminate()
-        node.wait_log("counters: ")
+        node.wait_for_log("counters: ")
     (path,) = journals(str(tmp_path / "t"))
     found = count_kinds(Path(path))
     assert [found[name] for name in ("REQUEST", "UP", "LOAD", "OUTCOME", "END")] == [3, 3, 3, 3, 1]
@@ -42,7 +42,7 @@
 def test_blocks_are_written_after_transient_disk_errors(tmp_path: Path) -> None:
     """Regression: a transient error ended the recording, and left half a block at its end."""
     machine = Machine(tmp_path)
-    node = Node(Peer("s-1"))
+    node = Node(FakeEndpoint("s-1"))
     node.env.update(machine.env, STEPFLOW_CONF=write_operator_file(tmp_path, str(tmp_path / "t")))
     with node:
         machine.fail(Call.WRITE, 0.7)
@@ -57,7 +57,7 @@
         node.terminate()
         time.sleep(0.4)
         machine.heal()
-        node.wait_log("counters: ")
+        node.wait_for_log("counters: ")
     assert machine.injected(Call.WRITE) + machine.injected(Call.OPEN) > 0
     found = sum((Counter(count_kinds(Path(path))) for path in journals(str(tmp_path / "t"))), Counter())
     assert (found["REQUEST"], found["LOST"], found["END"]) == (40, 0, 1)
@@ -66,28 +66,28 @@
 
 def test_permanent_disk_error_ends_the_recording_but_not_the_node(tmp_path: Path) -> None:
     (tmp_path / "file").write_text("")  # a file where the folder is expected
-    node = Node(Peer("s-1"))
+    node = Node(FakeEndpoint("s-1"))
     node.env["STEPFLOW_CONF"] = write_operator_file(tmp_path, str(tmp_path / "file"))
     with node:
-        node.wait_log("recording stopped after a failure")
+        node.wait_for_log("recording stopped after a failure")
         assert node.client(opening()).read() == "UP r1"
 
 
 def test_reload_starts_and_ends_a_recording_that_includes_established_sessions(tmp_path: Path) -> None:
     path = tmp_path / "op.conf"
     path.write_text("")
-    node = Node(Peer("s-1"))
+    node = Node(FakeEndpoint("s-1"))
     node.env["STEPFLOW_CONF"] = str(path)
     with node:
         client = node.client(opening())
         assert client.read() == "UP r1"
         write_operator_file(tmp_path, str(tmp_path / "t"))
         node.process.send_signal(signal.SIGHUP)
-        node.wait_log("recording started")
-        node.wait_log("event=reloaded")
+        node.wait_for_log("recording started")
+        node.wait_for_log("event=reloaded")
         path.write_text("")
         node.process.send_signal(signal.SIGHUP)
-        node.wait_log("event=reloaded")
+        node.wait_for_log("event=reloaded")
         (found,) = journals(str(tmp_path / "t"))
         assert count_kinds(Path(found))["STANDING"] >= 1 and count_kinds(Path(found))["END"] == 1
         client.send("M 1")
--- a/tests/node/test_scarce_watches.py
+++ b/tests/node/test_scarce_watches.py
@@ -14,15 +14,15 @@
 
 from standins.preload import Call, Machine
 from tests.node.machine_kit import OWED_END_S, on
-from tests.node.session_kit import LAST, SilentPeer, end_of, read_to_end, session
-from tests.node_kit import Node, Peer, opening
+from tests.node.session_kit import LAST, SilentEndpoint, end_of, read_to_end, session
+from tests.node_kit import FakeEndpoint, Node, opening
 
 FAILURE_SHARE = 0.3
 REQUESTS = 20
 
 
 def test_requests_are_answered_while_watching_connections_may_fail(machine: Machine) -> None:
-    with on(machine, Node(Peer("s-1"), Peer("s-2"))) as node:
+    with on(machine, Node(FakeEndpoint("s-1"), FakeEndpoint("s-2"))) as node:
         machine.fail(Call.WATCH, FAILURE_SHARE, [errno.ENOMEM])
         for number in range(REQUESTS):
             client = node.client(opening(number, d=5000))
@@ -31,8 +31,8 @@
             assert client.read() == "M 1"
             client.close()
         assert machine.injected(Call.WATCH) > 0
-        node.wait_counted("faults", 0)
-        assert "Traceback" not in node.seen
+        node.wait_for_counter("faults", 0)
+        assert "Traceback" not in node.log_text
 
 
 @pytest.mark.parametrize("reset", [False, True])
@@ -40,7 +40,7 @@
 def test_ends_are_passed_on_in_time_while_watching_connections_may_fail(
     machine: Machine, by_client: bool, reset: bool
 ) -> None:
-    with on(machine, Node(peer := SilentPeer())) as node:
+    with on(machine, Node(peer := SilentEndpoint())) as node:
         sessions = [session(node, peer, number) for number in range(REQUESTS)]
         machine.fail(Call.WATCH, FAILURE_SHARE, [errno.ENOMEM])
         for client, endpoint in sessions:
@@ -50,5 +50,5 @@
             reader.sock.settimeout(OWED_END_S)
             assert read_to_end(reader) == [*LAST, end_of(reset)]
         machine.heal()
-        node.wait_counted("outlived", 0)
-        assert "Traceback" not in node.seen
+        node.wait_for_counter("outlived", 0)
+        assert "Traceback" not in node.log_text
--- a/tests/node/test_unread_log.py
+++ b/tests/node/test_unread_log.py
@@ -9,7 +9,7 @@
 
 from pathlib import Path
 
-from tests.node_kit import PATIENCE, Node, Peer, opening
+from tests.node_kit import PATIENCE, FakeEndpoint, Node, opening
 
 CLIENTS = 250  # their log exceeds the capacity of a pipe
 ANSWER_S = 2.0
@@ -17,14 +17,14 @@
 
 def with_debug_log(node: Node) -> Node:
     """Configure the node to log at level debug."""
-    file = Path(node.folder) / "stepflow.conf"
+    file = Path(node.temp_dir) / "stepflow.conf"
     file.write_text("log {\n    level debug\n}\n")
     node.env["STEPFLOW_CONF"] = str(file)
     return node
 
 
 def test_clients_are_served_although_the_log_is_not_read() -> None:
-    with with_debug_log(Node(Peer("s-1"), Peer("s-2"), Peer("s-3"))) as node:
+    with with_debug_log(Node(FakeEndpoint("s-1"), FakeEndpoint("s-2"), FakeEndpoint("s-3"))) as node:
         for number in range(CLIENTS):
             client = node.client(opening(number))
             client.sock.settimeout(ANSWER_S)
--- a/tests/node/test_wall_clock.py
+++ b/tests/node/test_wall_clock.py
@@ -12,7 +12,7 @@
 
 from standins.preload import Machine
 from tests.node.machine_kit import on
-from tests.node_kit import PATIENCE, Node, Peer, opening
+from tests.node_kit import PATIENCE, FakeEndpoint, Node, opening
 
 HOUR = 3600.0
 STEP_DETECTION_S = 1.2  # time within which a step is detected
@@ -21,7 +21,7 @@
 
 def test_a_request_is_answered_in_time_after_the_wall_clock_was_set_back(machine: Machine) -> None:
     """The attempt hangs, so only a timer can end it; no timer fired until the clock had caught up."""
-    with on(machine, Node(Peer("s-1", OPEN=None))) as node:
+    with on(machine, Node(FakeEndpoint("s-1", OPEN=None))) as node:
         machine.step_wall_clock(-HOUR)
         time.sleep(STEP_DETECTION_S)  # timers set before the step are overdue by now
         client = node.client(opening(d=1000))
@@ -29,21 +29,21 @@
         began = time.monotonic()
         assert client.read() in ("BUSY", "ERR")
         assert time.monotonic() - began < 1.0 + SLACK_S
-        node.wait_counted("clock_steps", 1)
-        assert 'event="wall clock stepped"' in node.seen
-        node.wait_counted("overdue", 0)
+        node.wait_for_counter("clock_steps", 1)
+        assert 'event="wall clock stepped"' in node.log_text
+        node.wait_for_counter("overdue", 0)
 
 
 @pytest.mark.parametrize("seconds", [-HOUR, -2.0, 2.0, HOUR])
 def test_a_graceful_shutdown_keeps_its_schedule_across_wall_clock_steps(
     machine: Machine, seconds: float
 ) -> None:
-    with on(machine, Node(peer := Peer("s-1"))) as node:
+    with on(machine, Node(peer := FakeEndpoint("s-1"))) as node:
         client = node.client(opening())
         assert client.read() == "UP r1"
-        peer.standing.get(timeout=PATIENCE)
+        peer.connections.get(timeout=PATIENCE)
         node.terminate()
-        node.wait_log('event="shutdown started"')
+        node.wait_for_log('event="shutdown started"')
         began = time.monotonic()
         machine.step_wall_clock(seconds)
         assert client.read() == "MOVE"
--- a/tests/node_kit.py
+++ b/tests/node_kit.py
@@ -38,7 +38,7 @@
 }
 
 
-class Line:
+class LineConnection:
     """A TCP connection that is written and read by lines."""
 
     def __init__(self, sock: socket.socket) -> None:
@@ -77,20 +77,22 @@
                 sock, _ = self._sock.accept()
             except OSError:
                 return
-            threading.Thread(target=self._serve_until_closed, args=(Line(sock),), daemon=True).start()
+            threading.Thread(
+                target=self._serve_until_closed, args=(LineConnection(sock),), daemon=True
+            ).start()
 
-    def _serve_until_closed(self, line: Line) -> None:
+    def _serve_until_closed(self, line: LineConnection) -> None:
         with suppress(OSError):  # the node has closed the connection
             self.serve(line)
 
-    def serve(self, line: Line) -> None:
+    def serve(self, line: LineConnection) -> None:
         raise NotImplementedError
 
     def close(self) -> None:
         self._sock.close()
 
 
-class Peer(Listener):
+class FakeEndpoint(Listener):
     """An endpoint; `answers` maps the first word of a line to the line sent back, None to send nothing.
 
     The answers "FIN" and "RESET" end the connection. With `echo`, a line that starts with M comes back.
@@ -100,22 +102,26 @@
 
     def __init__(self, uid: str, echo: bool = True, **answers: str | None) -> None:
         self.uid, self.echo, self.answers = uid, echo, {**self.ANSWERS, **answers}
-        self.lines: queue.Queue[str] = queue.Queue()  # received, in order, without STATS
-        self.ends: queue.Queue[str] = queue.Queue()  # "FIN" or "RESET" of a session; a reset before UP
-        self.standing: queue.Queue[Line] = queue.Queue()  # connections whose OPEN was answered with UP r1
-        self.held: queue.Queue[Line] = queue.Queue()  # connections whose OPEN is not answered
+        # Received, in order, without STATS.
+        self.received_lines: queue.Queue[str] = queue.Queue()
+        # "FIN" or "RESET" of a session; a reset before UP.
+        self.session_ends: queue.Queue[str] = queue.Queue()
+        # Connections whose OPEN was answered with UP r1.
+        self.connections: queue.Queue[LineConnection] = queue.Queue()
+        # Connections whose OPEN is not answered.
+        self.unanswered: queue.Queue[LineConnection] = queue.Queue()
         super().__init__()
 
-    def entry(self, state: str = "Ready") -> dict[str, Any]:
+    def list_entry(self, state: str = "Ready") -> dict[str, Any]:
         return list_entry(self.uid, self.address, state)
 
-    def serve(self, line: Line) -> None:
+    def serve(self, line: LineConnection) -> None:
         established = opened = False
         while (text := line.read()) not in ("", "RESET"):
             word = text.split(" ")[0]
             opened = opened or word == "OPEN"
             if word != "STATS":
-                self.lines.put(text)
+                self.received_lines.put(text)
             answer = text if word == "M" and self.echo else self.answers.get(word, "SYNTAX")
             if answer in ("FIN", "RESET"):
                 line.close(reset=answer == "RESET")
@@ -123,76 +129,81 @@
             if answer is not None:
                 line.send(answer)
             elif word == "OPEN":
-                self.held.put(line)
+                self.unanswered.put(line)
             if word == "OPEN" and answer == "UP r1":
                 established = True
-                self.standing.put(line)
+                self.connections.put(line)
         if established or (opened and text == "RESET"):  # the node may reset a health check at any time
-            self.ends.put("RESET" if text else "FIN")
+            self.session_ends.put("RESET" if text else "FIN")
 
 
 class Discovery(Listener):
-    """Discovery; sends each watch the message `first`, then those put into `told`, by `tell` or directly.
+    """Discovery; sends each watch `first_update`, then what `send_update` or a test puts into `updates`.
 
-    Each message is split into at most `pieces` chunks. The first `refuse` calls are closed without an answer.
+    Each message is split into at most `chunk_count` chunks. The first `refuse_calls` calls are closed
+    without an answer.
     """
 
-    END, RESET = "END", "RESET"  # put into `told`: end the watch with a FIN or a reset
+    CLOSE, RESET = "END", "RESET"  # put into `updates`: end the watch with a FIN or a reset
 
     def __init__(
-        self, first: str = '{"rev":1,"all":false,"targets":[]}', refuse: int = 0, pieces: int = 1
+        self,
+        first_update: str = '{"rev":1,"all":false,"targets":[]}',
+        refuse_calls: int = 0,
+        chunk_count: int = 1,
     ) -> None:
-        self.first, self.refuse, self.pieces = first, refuse, pieces
-        self.rev = json.loads(first)["rev"]
-        self.calls: queue.Queue[str] = queue.Queue()  # the path of each watch, once it was sent `first`
-        self.told: queue.Queue[str] = queue.Queue()
+        self.first_update, self.refuse_calls, self.chunk_count = first_update, refuse_calls, chunk_count
+        self.rev = json.loads(first_update)["rev"]
+        # The path of each watch, once it was sent `first_update`.
+        self.watch_paths: queue.Queue[str] = queue.Queue()
+        self.updates: queue.Queue[str] = queue.Queue()
         super().__init__()
 
-    def serve(self, line: Line) -> None:
+    def serve(self, line: LineConnection) -> None:
         request = line.read()
         while line.read():
             pass
-        if self.refuse > 0:
-            self.refuse -= 1
+        if self.refuse_calls > 0:
+            self.refuse_calls -= 1
             line.close()
             return
         line.sock.sendall(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
-        self.chunk(line, self.first)
-        self.calls.put(request.split(" ")[1])
-        while (text := self.told.get()) not in (self.END, self.RESET):
-            self.chunk(line, text)
+        self.send_chunked(line, self.first_update)
+        self.watch_paths.put(request.split(" ")[1])
+        while (text := self.updates.get()) not in (self.CLOSE, self.RESET):
+            self.send_chunked(line, text)
         line.close(reset=text == self.RESET)
 
-    def chunk(self, line: Line, text: str) -> None:
+    def send_chunked(self, line: LineConnection, text: str) -> None:
         data = text.encode() + b"\n"
-        size = -(-len(data) // self.pieces)
+        size = -(-len(data) // self.chunk_count)
         for start in range(0, len(data), size):
             piece = data[start : start + size]
             line.sock.sendall(b"%x\r\n%s\r\n" % (len(piece), piece))
 
-    def tell(self, *entries: dict[str, Any]) -> None:
+    def send_update(self, *entries: dict[str, Any]) -> None:
         """Send a list update with these entries, under the next revision."""
         self.rev += 1
-        self.told.put(json.dumps({"rev": self.rev, "all": False, "targets": entries}))
+        self.updates.put(json.dumps({"rev": self.rev, "all": False, "targets": entries}))
 
 
 class Node:
     """A node in a process of its own, started by `python -m MODULE` as in production.
 
-    `change` edits the configuration before it is written.
+    `edit_config` edits the configuration before it is written.
     """
 
     def __init__(
         self,
-        *peers: Peer,
+        *endpoints: FakeEndpoint,
         discovery: Discovery | None = None,
-        change: Callable[[Any], None] | None = None,
+        edit_config: Callable[[Any], None] | None = None,
         module: str = "stepflow",
     ) -> None:
-        self.peers: tuple[Peer, ...] = peers
+        self.endpoints: tuple[FakeEndpoint, ...] = endpoints
         self.module = module
         self.discovery: Discovery | None = discovery or Discovery()
-        known = {"rev": 1, "all": True, "targets": [peer.entry() for peer in peers]}
+        known = {"rev": 1, "all": True, "targets": [peer.list_entry() for peer in endpoints]}
         self.config: dict[str, Any] = {
             "name": "n0",
             "listen": "127.0.0.1:0",
@@ -203,39 +214,39 @@
             "known": known,
             "settings": json.loads(json.dumps(SETTINGS)),
         }
-        if change is not None:
-            change(self.config)
-        self.folder = tempfile.mkdtemp()
-        self._path, self.env = f"{self.folder}/config.json", {"TMPDIR": self.folder}
-        self.write()
+        if edit_config is not None:
+            edit_config(self.config)
+        self.temp_dir = tempfile.mkdtemp()
+        self.config_path, self.env = f"{self.temp_dir}/config.json", {"TMPDIR": self.temp_dir}
+        self.write_config()
 
-    def write(self, text: str | None = None) -> None:
+    def write_config(self, text: str | None = None) -> None:
         """Write `text`, or else `config`, to the configuration file that the node reads."""
-        with open(self._path, "w") as file:
+        with open(self.config_path, "w") as file:
             file.write(json.dumps(self.config) if text is None else text)
 
     def successor(self) -> Node:
         """Return a second process of this node, to be started beside it.
 
-        Both use the same configuration and folder; the stand-ins and the folder stay with the first one.
+        Both use the same configuration and directory; the stand-ins and `temp_dir` stay with the first one.
         """
         other = copy(self)
-        other.peers, other.discovery, other.folder = (), None, ""
+        other.endpoints, other.discovery, other.temp_dir = (), None, ""
         other.env = {**self.env, "GW_OPS": "127.0.0.2:0"}
         return other
 
     def __enter__(self) -> Node:
-        self.seen = ""  # the log as read so far
+        self.log_text = ""  # the log as read so far
         self.process = subprocess.Popen(
             [sys.executable, "-m", self.module],
-            env={**os.environ, "GW_CONFIG": self._path, **self.env},
+            env={**os.environ, "GW_CONFIG": self.config_path, **self.env},
             stderr=subprocess.PIPE,
             text=True,
         )
-        found = self.wait_log(r'admin listening.*address["=:]+([0-9.]+):(\d+)')
-        self.ops_address = (found.group(1), int(found.group(2)))
-        found = self.wait_log(r'event["=:]+listening.*address["=:]+127\.0\.0\.1:(\d+)')
-        self._port = int(found.group(1))
+        found = self.wait_for_log(r'admin listening.*address["=:]+([0-9.]+):(\d+)')
+        self.admin_address = (found.group(1), int(found.group(2)))
+        found = self.wait_for_log(r'event["=:]+listening.*address["=:]+127\.0\.0\.1:(\d+)')
+        self.port = int(found.group(1))
         return self
 
     def __exit__(
@@ -243,66 +254,66 @@
     ) -> None:
         self.process.kill()
         self.process.communicate()
-        for listener in (*self.peers, *filter(None, [self.discovery])):
+        for listener in (*self.endpoints, *filter(None, [self.discovery])):
             listener.close()
-        if self.folder:
-            rmtree(self.folder)
+        if self.temp_dir:
+            rmtree(self.temp_dir)
 
-    def wait_log(self, pattern: str) -> re.Match[str]:
+    def wait_for_log(self, pattern: str) -> re.Match[str]:
         """Read the log up to the first line that matches; kill the node if none comes within PATIENCE."""
         assert self.process.stderr is not None
         limit = threading.Timer(PATIENCE, self.process.kill)
         limit.start()
         try:
             for line in self.process.stderr:
-                self.seen += line
+                self.log_text += line
                 if found := re.search(pattern, line):
                     return found
         finally:
             limit.cancel()
-        raise AssertionError(f"the node ended before it logged {pattern!r}; its log: {self.seen}")
+        raise AssertionError(f"the node ended before it logged {pattern!r}; its log: {self.log_text}")
 
     def wait_exit(self) -> str:
         """Wait for the process to exit and return its whole log; kill it after PATIENCE.
 
-        `communicate` would skip the text that `wait_log` has already read into its buffer.
+        `communicate` would skip the text that `wait_for_log` has already read into its buffer.
         """
         assert self.process.stderr is not None
         limit = threading.Timer(PATIENCE, self.process.kill)
         limit.start()
         try:
-            self.seen += self.process.stderr.read()
+            self.log_text += self.process.stderr.read()
             self.process.wait()
         finally:
             limit.cancel()
-        return self.seen
+        return self.log_text
 
-    def wait_counted(self, name: str, value: int) -> None:
+    def wait_for_counter(self, name: str, value: int) -> None:
         """Poll a counter until it reaches `value`: the events that it counts may still be under way."""
-        deadline, log_before = time.monotonic() + PATIENCE, self.seen
+        deadline, log_before = time.monotonic() + PATIENCE, self.log_text
         while True:
-            self.seen = log_before  # drop the log of the previous poll: there may be a thousand polls
+            self.log_text = log_before  # drop the log of the previous poll: there may be a thousand polls
             self.process.send_signal(signal.SIGUSR1)
-            count = int(self.wait_log(rf"counters: .*\b{name}=(\d+)").group(1))
+            count = int(self.wait_for_log(rf"counters: .*\b{name}=(\d+)").group(1))
             if count == value:
                 return
             assert count < value and time.monotonic() < deadline, f"{name}={count}"
 
-    def client(self, *lines: str, receive_buffer: int = 0) -> Line:
+    def client(self, *lines: str, receive_buffer: int = 0) -> LineConnection:
         """Connect a client and send these lines; a small `receive_buffer` takes little until it is read."""
         sock = socket.socket()
         if receive_buffer:
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, receive_buffer)
         sock.settimeout(PATIENCE)
-        sock.connect(("127.0.0.1", self._port))
-        line = Line(sock)
+        sock.connect(("127.0.0.1", self.port))
+        line = LineConnection(sock)
         if lines:
             line.send(*lines)
         return line
 
-    def ops(self, path: str, method: str = "GET") -> tuple[int, str]:
+    def call_admin(self, path: str, method: str = "GET") -> tuple[int, str]:
         """Make one call to the admin address and return the answer's status and body."""
-        call = http.client.HTTPConnection(*self.ops_address, timeout=PATIENCE)
+        call = http.client.HTTPConnection(*self.admin_address, timeout=PATIENCE)
         call.request(method, path)
         answer = call.getresponse()
         assert answer.getheader("connection") == "close"
@@ -310,17 +321,17 @@
 
     def reload(self, text: str | None = None, **change: Any) -> None:
         """Write `text`, or else `config` with these changes, to the configuration file and send SIGHUP."""
-        self.write(json.dumps({**self.config, **change}) if text is None else text)
+        self.write_config(json.dumps({**self.config, **change}) if text is None else text)
         self.process.send_signal(signal.SIGHUP)
 
-    def freeze(self) -> None:
+    def suspend(self) -> None:
         """Stop the process and wait until it has stopped; the kernel queues what arrives, in order."""
         self.process.send_signal(signal.SIGSTOP)
         with open(f"/proc/{self.process.pid}/stat") as stat:
             while stat.read().rpartition(")")[2].split()[0] != "T":
                 stat.seek(0)
 
-    def thaw(self) -> None:
+    def resume(self) -> None:
         """Let the stopped process run again."""
         self.process.send_signal(signal.SIGCONT)
 
--- a/tests/test_format_journal.py
+++ b/tests/test_format_journal.py
@@ -40,7 +40,7 @@
     TimerFired,
 )
 from stepflow.traffic import Recorder, read_journal
-from tests.node_kit import Node, Peer, opening
+from tests.node_kit import FakeEndpoint, Node, opening
 
 DATA = Path(__file__).parent / "data"
 JOURNAL = DATA / "traffic-v1.sft"  # every kind of row, as version 0.3.0 wrote them
@@ -173,12 +173,12 @@
 def test_a_node_writes_a_journal_with_the_expected_name_and_header(tmp_path: Path) -> None:
     conf = tmp_path / "stepflow.conf"
     conf.write_text(f"record {{\n folder {tmp_path}/traffic\n key {KEY}\n segment 64K\n}}\n")
-    node = Node(Peer("s-1"))
+    node = Node(FakeEndpoint("s-1"))
     node.env["STEPFLOW_CONF"] = str(conf)
     with node:
         assert node.client(opening(d=30_000)).read() == "UP r1"
         node.terminate()
-        node.wait_log("counters: ")
+        node.wait_for_log("counters: ")
         process = node.process.pid
     (path,) = (tmp_path / "traffic").iterdir()
     assert re.fullmatch(rf"traffic-\d{{16}}-00001-{process:04d}\.sft", path.name)
--- a/tests/test_format_ops.py
+++ b/tests/test_format_ops.py
@@ -13,7 +13,7 @@
 
 from stepflow.node.admin.metrics import Gauges, render
 from stepflow.node.runtime.counters import ClassCounts, Counters
-from tests.node_kit import PATIENCE, Node, Peer, opening
+from tests.node_kit import PATIENCE, FakeEndpoint, Node, opening
 
 COUNTER_KEYS = [
     "clients",
@@ -99,7 +99,7 @@
 
 def send_request(node: Node, method: str, path: str) -> tuple[int, dict[str, str], str]:
     """Send an HTTP request; return the status, the headers and the body of the response."""
-    connection = http.client.HTTPConnection(*node.ops_address, timeout=PATIENCE)
+    connection = http.client.HTTPConnection(*node.admin_address, timeout=PATIENCE)
     connection.request(method, path)
     response = connection.getresponse()
     headers = {name.lower(): value for name, value in response.getheaders()}
@@ -125,7 +125,7 @@
 def counters(node: Node) -> dict[str, int]:
     """Have the node print its line of counters, and return the values."""
     node.process.send_signal(signal.SIGUSR1)
-    return read_counters(node.wait_log(r"^counters: ").string)
+    return read_counters(node.wait_for_log(r"^counters: ").string)
 
 
 def read_counters(line: str) -> dict[str, int]:
@@ -141,16 +141,16 @@
     names = [f"requests.{name}.{metric}|c" for name in ("view", "save_edge") for metric in CLASS_METRICS] + [
         f"{name}|{kind}" for name, kind in OTHER_METRICS
     ]
-    with Node(Peer("s-1"), Peer("s-2"), change=two_classes) as node:
+    with Node(FakeEndpoint("s-1"), FakeEndpoint("s-2"), edit_config=two_classes) as node:
         assert send_request(node, "GET", "/v1/readyz") == (200, plain_headers("ready\n"), "ready\n")
         assert send_request(node, "HEAD", "/v1/readyz") == (200, plain_headers("ready\n"), "")
         client = node.client(opening(d=30_000))
         assert client.read() == "UP r1"
         assert node.client("HELLO").read() == "ERR malformed"
         node.reload("{")
-        node.wait_log("reload failed, keeping the old configuration")
+        node.wait_for_log("reload failed, keeping the old configuration")
         node.reload()
-        node.wait_log("event=reloaded")
+        node.wait_for_log("event=reloaded")
 
         status, headers, body = send_request(node, "GET", "/v1/metrics?any=thing")
         assert (status, headers) == (200, plain_headers(body))
@@ -193,9 +193,10 @@
         assert send_request(node, "POST", "/v1/metrics") == (405, refused, "ask with GET\n")
 
         node.terminate()
-        node.wait_log('event="shutdown started" connections=1')
+        node.wait_for_log('event="shutdown started" connections=1')
         assert send_request(node, "GET", "/v1/readyz") == (503, plain_headers("not ready\n"), "not ready\n")
         assert client.read() == "MOVE"
-        last = read_counters(node.wait_log(r"^counters: ").string)  # printed at the exit, without a signal
+        # Printed at the exit, without a signal.
+        last = read_counters(node.wait_for_log(r"^counters: ").string)
         assert list(last) == COUNTER_KEYS and last["moved"] == 1
         assert node.process.wait(PATIENCE) == 0
--- a/tests/test_terms.py
+++ b/tests/test_terms.py
@@ -12,7 +12,7 @@
 
 import pytest
 
-from tests.node_kit import PATIENCE, Discovery, Node, Peer, opening
+from tests.node_kit import PATIENCE, Discovery, FakeEndpoint, Node, opening
 
 ROOT = Path(__file__).resolve().parent.parent
 # Modules outside stepflow that an idle node has loaded: 311, of 364 before issue 33 and of 457 in all before
@@ -32,7 +32,7 @@
 
     If Unix sockets are refused too, the node serves as well and logs once that it can't be replaced.
     """
-    node = Node(peer := Peer("s-1"), module="tests.refused")
+    node = Node(peer := FakeEndpoint("s-1"), module="tests.refused")
     if not unix:
         node.env["REFUSED_UNIX"] = "1"
     with node:
@@ -40,16 +40,16 @@
         assert client.read() == "UP r1"
         new_discovery = Discovery()
         node.reload(discovery=new_discovery.address)
-        assert new_discovery.calls.get(timeout=PATIENCE).startswith("/v1/servers?watch=1")
+        assert new_discovery.watch_paths.get(timeout=PATIENCE).startswith("/v1/servers?watch=1")
         client.send("M 1")
         assert client.read() == "M 1"
-        assert node.ops("/v1/readyz")[0] == 200
+        assert node.call_admin("/v1/readyz")[0] == 200
         node.terminate()
         assert client.read() == "MOVE"
         log = node.wait_exit()
         assert node.process.returncode == 0
         new_discovery.close()
-    assert peer.lines.get(timeout=PATIENCE).startswith("OPEN ")
+    assert peer.received_lines.get(timeout=PATIENCE).startswith("OPEN ")
     assert log.count("listening for a successor failed") == (0 if unix else 1)
     assert log.count("refused ") == (0 if unix else 1), log
 
@@ -75,8 +75,8 @@
 
 
 def test_node_without_a_handover_folder_serves_clients() -> None:
-    node = Node(Peer("s-1"))
-    node.env["TMPDIR"] = f"{node.folder}/not/there"
+    node = Node(FakeEndpoint("s-1"))
+    node.env["TMPDIR"] = f"{node.temp_dir}/not/there"
     with node:
         assert node.client(opening()).read() == "UP r1"
         node.terminate()
@@ -86,9 +86,9 @@
 
 def test_private_memory_of_an_idle_node_is_below_its_limit() -> None:
     """200 nodes share a machine. The answer to SIGUSR1 shows that the node is idle and no longer starting."""
-    with Node(Peer("s-1")) as node:
+    with Node(FakeEndpoint("s-1")) as node:
         node.process.send_signal(signal.SIGUSR1)
-        node.wait_log("counters: ")
+        node.wait_for_log("counters: ")
         pages = Path(f"/proc/{node.process.pid}/smaps_rollup").read_text()
     private = re.search(r"Private_Dirty: *(\d+) kB", pages)
     assert private is not None and int(private[1]) / 1024 < MAX_PRIVATE_MB
