--- a/tests/handover_kit.py
+++ b/tests/handover_kit.py
@@ -18,16 +18,16 @@
 from pathlib import Path
 from typing import Any
 
-from tests.node_kit import PATIENCE, Discovery, FakeEndpoint, LineConnection, Node, opening
+from tests.node_kit import TIMEOUT_S, Discovery, FakeEndpoint, LineConnection, Node, open_line
 
 RECORDING = Path(__file__).parent / "data" / "handover-5fd6943.json"
 RECORDED_PEER = "127.0.0.1:1"  # replaces the addresses of the recording's endpoints, which are gone
 
 CLIENT_LINE, PEER_LINE = "M ü1", "M €2"
-HALF = 3  # bytes of each line sent before the hand-over: they end in the middle of a character
-CLIENT_HALF, PEER_HALF = CLIENT_LINE.encode()[:HALF], PEER_LINE.encode()[:HALF]
-CLIENT_REST, PEER_REST = (f"{line}\r\n".encode()[HALF:] for line in (CLIENT_LINE, PEER_LINE))
-LISTED = '{"rev":7,"all":false,"targets":[]}'
+SENT_BYTES = 3  # bytes of each line sent before the hand-over: they end in the middle of a character
+CLIENT_HALF, PEER_HALF = CLIENT_LINE.encode()[:SENT_BYTES], PEER_LINE.encode()[:SENT_BYTES]
+CLIENT_REST, PEER_REST = (f"{line}\r\n".encode()[SENT_BYTES:] for line in (CLIENT_LINE, PEER_LINE))
+EMPTY_LIST_UPDATE = '{"rev":7,"all":false,"targets":[]}'
 
 _MAX_READ_BYTES, _MAX_DESCRIPTORS = 1 << 16, 16
 
@@ -36,7 +36,7 @@
     return f"{node.temp_dir}/stepflow-n0"
 
 
-def with_tenants(config: dict[str, Any]) -> None:
+def use_recorded_settings(config: dict[str, Any]) -> None:
     """Use the recording's settings: tenants with names, and the longest possible shutdown."""
     config["settings"]["tenants"] = [{"name": "silver"}, {"name": "gold"}]
     config["settings"]["classes"][0]["give_up_us"] = 60_000_000
@@ -46,7 +46,7 @@
     """One end of the channel: sends and reads lines of JSON and the descriptors that come with them."""
 
     def __init__(self, sock: socket.socket) -> None:
-        sock.settimeout(PATIENCE)
+        sock.settimeout(TIMEOUT_S)
         self._sock, self._unread = sock, b""
         self.descriptors: list[int] = []
 
@@ -86,7 +86,7 @@
 
 def join_as_successor(path: str) -> ChannelEnd:
     """Connect to a process as its successor would, once it listens."""
-    until = time.monotonic() + PATIENCE
+    until = time.monotonic() + TIMEOUT_S
     while True:
         sock = socket.socket(socket.AF_UNIX)
         try:
@@ -118,7 +118,7 @@
         self._joined.put(end)
 
     def end(self) -> ChannelEnd:
-        return self._joined.get(timeout=PATIENCE)
+        return self._joined.get(timeout=TIMEOUT_S)
 
 
 @dataclass
@@ -162,7 +162,7 @@
         back = threading.Thread(target=self._forward, args=(new, old, "new"), daemon=True)
         back.start()
         self._forward(old, new, "old")
-        back.join(PATIENCE)
+        back.join(TIMEOUT_S)
         old.close()
         new.close()
 
@@ -187,14 +187,14 @@
 
     def finish(self) -> Recording:
         """Wait for the end of the channel, and return the recording."""
-        self._thread.join(PATIENCE)
+        self._thread.join(TIMEOUT_S)
         assert not self._thread.is_alive()
         return self.recording
 
 
-def wait_until_reported(path: str) -> None:
+def wait_for_load_report(path: str) -> None:
     """Wait until an endpoint's load report shows in the state that a process would hand over."""
-    until = time.monotonic() + PATIENCE
+    until = time.monotonic() + TIMEOUT_S
     while time.monotonic() < until:
         end = join_as_successor(path)
         try:
@@ -208,7 +208,7 @@
 
 def tap_when_waiting(path: str) -> Tap:
     """Tap a process that has just lost a successor, once it listens again."""
-    until = time.monotonic() + PATIENCE
+    until = time.monotonic() + TIMEOUT_S
     while not os.path.exists(path):
         assert time.monotonic() < until, "no process waits for a successor"
         time.sleep(0.01)
@@ -220,18 +220,18 @@
     first, second = FakeEndpoint("s-1", X=None), FakeEndpoint("s-2")
     with ExitStack() as stack:
         old = stack.enter_context(
-            Node(first, second, discovery=Discovery(LISTED), edit_config=recorded_config)
+            Node(first, second, discovery=Discovery(EMPTY_LIST_UPDATE), edit_config=recorded_config)
         )
         path = channel_path(old)
-        client = old.client(opening(0x1D, extra=",t=gold,h=2.0"))
+        client = old.client(open_line(0x1D, extra_fields=",t=gold,h=2.0"))
         assert client.read() == "UP r1"
-        wait_until_reported(path)
-        server = first.connections.get(timeout=PATIENCE)
+        wait_for_load_report(path)
+        server = first.connections.get(timeout=TIMEOUT_S)
         tap = tap_when_waiting(path)
         new = stack.enter_context(old.successor())
         _send_half_lines(client, server, first)
         old.terminate()
-        assert old.process.wait(PATIENCE) == 0
+        assert old.process.wait(TIMEOUT_S) == 0
         recording = tap.finish()
         server.sock.sendall(PEER_REST)  # first, or the endpoint's echo would split its line
         assert client.read() == PEER_LINE
@@ -244,7 +244,7 @@
 
 def recorded_config(config: dict[str, Any]) -> None:
     """Use the recording's configuration: a list with a revision, and one endpoint that is draining."""
-    with_tenants(config)
+    use_recorded_settings(config)
     config["known"]["rev"] = 7
     config["known"]["targets"][1]["state"] = "Terminating"
 
@@ -254,7 +254,7 @@
     server.sock.sendall(b"LOAD 2.5\r\n" + PEER_HALF)
     assert client.read() == "LOAD 2.5"
     client.sock.sendall(b"X 1\r\n" + CLIENT_HALF)
-    while not peer.received_lines.get(timeout=PATIENCE).startswith("X"):
+    while not peer.received_lines.get(timeout=TIMEOUT_S).startswith("X"):
         pass
 
 
--- a/tests/node/admin/test_admin_site.py
+++ b/tests/node/admin/test_admin_site.py
@@ -11,12 +11,12 @@
 from stepflow.node.admin.metrics import Gauges, render
 from stepflow.node.admin.site import MAX_ADMIN_CONNECTIONS
 from stepflow.node.runtime.counters import Counters
-from tests.node_kit import PATIENCE, FakeEndpoint, LineConnection, Node, opening
+from tests.node_kit import TIMEOUT_S, FakeEndpoint, LineConnection, Node, open_line
 
 
 def test_readyz_reports_whether_the_node_serves_until_it_exits() -> None:
     with Node(FakeEndpoint("s-1")) as node:
-        client = node.client(opening())
+        client = node.client(open_line())
         assert client.read() == "UP r1"
         assert node.call_admin("/v1/readyz") == (200, "ready\n")
         node.terminate()
@@ -47,7 +47,7 @@
             with suppress(ConnectionError):  # a later connection may have replaced it already
                 line.sock.sendall(part)
         assert node.call_admin("/v1/readyz")[0] == 200
-        assert node.client(opening()).read() == "UP r1"
+        assert node.client(open_line()).read() == "UP r1"
         assert {line.read() for line in held} <= {"", "RESET"}  # closed, though none of them has sent a FIN
 
 
@@ -64,9 +64,9 @@
         config["settings"]["policy_limits"]["most_tries"] = 1
 
     with Node(peer := FakeEndpoint("s-1", OPEN=answer), edit_config=try_once) as node:
-        client = node.client(opening(d=600))
+        client = node.client(open_line(wait_ms=600))
         assert client.read().split(" ")[0] == client_line.split(" ")[0]
-        assert peer.received_lines.get(timeout=PATIENCE)
+        assert peer.received_lines.get(timeout=TIMEOUT_S)
         lines = node.call_admin("/v1/metrics")[1].split("\n")
         assert lines[:4] == [f"edge_gw.requests.view.{count}|c" for count in counts.split(" ")]
         in_flight = int(answer == "UP r1")
@@ -76,11 +76,11 @@
 def test_request_rejected_during_shutdown_counts_as_refused() -> None:
     """Regression: the policy gets no requests during the shutdown, and the metrics did not count them."""
     with Node(FakeEndpoint("s-1")) as node:
-        client, late = node.client(opening()), node.client()
+        client, late = node.client(open_line()), node.client()
         assert client.read() == "UP r1"
         node.terminate()
         node.wait_for_log("stopped accepting clients")
-        late.send(opening(2))
+        late.send(open_line(2))
         assert late.read() == "BUSY"
         assert "edge_gw.requests.view.refused:1|c" in node.call_admin("/v1/metrics")[1].split("\n")
 
--- a/tests/node/clients/test_first_line.py
+++ b/tests/node/clients/test_first_line.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from tests.node_kit import PATIENCE, FakeEndpoint, Node, opening
+from tests.node_kit import TIMEOUT_S, FakeEndpoint, Node, open_line
 
 
 @pytest.mark.parametrize(
@@ -15,25 +15,25 @@
     [
         "HELLO",
         "OPEN",
-        opening().replace("c=view", "c=chat"),
-        opening(extra=",c=view"),
-        opening().replace("d=1000", "d=soon"),
-        opening().replace("7f3a9c21e0b4d655", "key"),
-        opening().replace("OPEN 0", "OPEN +"),
-        opening().replace("OPEN 00", "OPEN 0_"),
-        opening().replace("7f3a9c21e0b4d655", "0x7f"),
-        opening().replace("7f3a9c21e0b4d655", "f" * 400),
-        opening(extra=",\x00=1"),
-        opening(extra=",h=nan"),
-        opening(extra=",h=inf"),
-        opening(extra=",h=-1"),
-        opening(extra=",h=1e999"),
-        opening(d=-1),
-        opening(d=999_999_999),
-        opening().replace(",g=", ",g=-"),
-        opening(extra="," + "x" * 5000 + "=1"),
-        opening(9) + "\r\n" + opening(8),  # a client must wait for its answer after its line
-        opening(9) + "\r\nM 1",
+        open_line().replace("c=view", "c=chat"),
+        open_line(extra_fields=",c=view"),
+        open_line().replace("d=1000", "d=soon"),
+        open_line().replace("7f3a9c21e0b4d655", "key"),
+        open_line().replace("OPEN 0", "OPEN +"),
+        open_line().replace("OPEN 00", "OPEN 0_"),
+        open_line().replace("7f3a9c21e0b4d655", "0x7f"),
+        open_line().replace("7f3a9c21e0b4d655", "f" * 400),
+        open_line(extra_fields=",\x00=1"),
+        open_line(extra_fields=",h=nan"),
+        open_line(extra_fields=",h=inf"),
+        open_line(extra_fields=",h=-1"),
+        open_line(extra_fields=",h=1e999"),
+        open_line(wait_ms=-1),
+        open_line(wait_ms=999_999_999),
+        open_line().replace(",g=", ",g=-"),
+        open_line(extra_fields="," + "x" * 5000 + "=1"),
+        open_line(9) + "\r\n" + open_line(8),  # a client must wait for its answer after its line
+        open_line(9) + "\r\nM 1",
         "PING\r\n" * 300,
         "x" * 3_000_000,  # a reset must not overtake the answer
     ],
@@ -44,23 +44,23 @@
         with suppress(OSError):  # the node may stop reading
             client.send(line)
         assert client.read() == "ERR malformed"
-        assert node.client(opening()).read() == "UP r1"  # the node still serves
-        assert peer.received_lines.get(timeout=PATIENCE).startswith("OPEN 0000000000000001 ")
+        assert node.client(open_line()).read() == "UP r1"  # the node still serves
+        assert peer.received_lines.get(timeout=TIMEOUT_S).startswith("OPEN 0000000000000001 ")
 
 
 def test_id_of_another_open_request_is_malformed() -> None:
     with Node(FakeEndpoint("s-1")) as node:
-        client = node.client(opening())
+        client = node.client(open_line())
         assert client.read() == "UP r1"
-        assert node.client(opening()).read() == "ERR malformed"
+        assert node.client(open_line()).read() == "ERR malformed"
         client.send("M 1 unharmed")
         assert client.read() == "M 1 unharmed"
 
 
 def test_data_before_the_answer_cancels_the_request() -> None:
     with Node(peer := FakeEndpoint("s-1", OPEN=None)) as node:
-        client = node.client(opening(d=30_000))
-        assert peer.received_lines.get(timeout=PATIENCE).startswith("OPEN ")
+        client = node.client(open_line(wait_ms=30_000))
+        assert peer.received_lines.get(timeout=TIMEOUT_S).startswith("OPEN ")
         client.send("M 1")
         assert client.read() == "ERR malformed"
         node.process.send_signal(signal.SIGUSR1)
--- a/tests/node/conftest.py
+++ b/tests/node/conftest.py
@@ -12,5 +12,5 @@
 
 @pytest.fixture
 def machine(tmp_path: Path) -> Iterator[Machine]:
-    """A machine without injected faults; `machine_kit.on` runs a node on it."""
+    """A machine without injected faults; `machine_kit.with_faults` runs a node on it."""
     yield Machine(tmp_path)
--- a/tests/node/machine_kit.py
+++ b/tests/node/machine_kit.py
@@ -10,20 +10,20 @@
 from tests.node.session_kit import read_to_end
 from tests.node_kit import LineConnection, Node
 
-OWED_END_S = 1.0  # PROTOCOL: an end of the endpoint is passed on within a second
+END_DEADLINE_S = 1.0  # PROTOCOL: an end of the endpoint is passed on within a second
 TOLERANCE_S = 0.5
 DELAY_US = 4000
 LINE_INTERVAL_S = 0.002
 WRITE_DURATION_S = 0.2
 
 
-def on(machine: Machine, node: Node) -> Node:
+def with_faults(machine: Machine, node: Node) -> Node:
     """Have the node's process run under this machine's faults; return the node."""
     node.env.update(machine.env)
     return node
 
 
-def hold_up(machine: Machine) -> None:
+def delay_event_loop(machine: Machine) -> None:
     """Delay the process after each wait for its sockets."""
     machine.fail(Call.HELD_WAIT, 1.0, [DELAY_US])
 
@@ -40,6 +40,6 @@
 
 def expect_end(node: Node, line: LineConnection, since: float) -> None:
     """Check that the connection ends in time, and that the process holds nothing of it afterwards."""
-    line.sock.settimeout(max(0.01, since + OWED_END_S + TOLERANCE_S - time.monotonic()))
+    line.sock.settimeout(max(0.01, since + END_DEADLINE_S + TOLERANCE_S - time.monotonic()))
     assert read_to_end(line)[-1] in ("", "RESET")
     node.wait_for_counter("outlived", 0)
--- a/tests/node/process/test_adoption.py
+++ b/tests/node/process/test_adoption.py
@@ -13,7 +13,7 @@
 from itertools import count, islice
 
 from tests.node.session_kit import SilentEndpoint, session
-from tests.node_kit import PATIENCE, Node
+from tests.node_kit import TIMEOUT_S, Node
 
 RECEIVED_SOCKETS = 2  # received as descriptors; with one more free, only one of them can be duplicated
 
@@ -35,7 +35,7 @@
             limit_free_descriptors(successor, RECEIVED_SOCKETS + 1)
             node.terminate()
             assert [client.read(), client.read()] == ["MOVE", ""]
-            node.process.wait(PATIENCE)
+            node.process.wait(TIMEOUT_S)
             limit_free_descriptors(successor, 100)
             assert "in_flight:0" in successor.call_admin("/v1/metrics")[1]
         endpoint.close()
--- a/tests/node/process/test_handover.py
+++ b/tests/node/process/test_handover.py
@@ -30,7 +30,7 @@
 from stepflow.policy import Policy
 from stepflow.settings import parse_node_settings
 from tests.node.race_kit import SilentListener
-from tests.node_kit import PATIENCE, SETTINGS, Discovery, FakeEndpoint, LineConnection, Node, opening
+from tests.node_kit import SETTINGS, TIMEOUT_S, Discovery, FakeEndpoint, LineConnection, Node, open_line
 
 
 def set_longest_deadline(config: dict[str, Any]) -> None:
@@ -41,21 +41,21 @@
 def test_successor_takes_over_and_every_client_is_answered() -> None:
     """Regression: the successor failed to bind. A listener of its own would have reset the other's queue."""
     with Node(FakeEndpoint("s-1"), edit_config=set_longest_deadline) as old:
-        client, slow = old.client(opening(1)), old.client()
+        client, slow = old.client(open_line(1)), old.client()
         assert client.read() == "UP r1"
         with old.successor() as new:
             assert old.call_admin("/v1/readyz")[0] == new.call_admin("/v1/readyz")[0] == 200
             old.terminate()
             old.wait_for_log("stopped accepting clients")
-            slow.send(opening(2))  # the predecessor has accepted this connection
+            slow.send(open_line(2))  # the predecessor has accepted this connection
             assert slow.read() == "UP r1"
             assert old.call_admin("/v1/readyz")[0] == 503
-            fresh = [old.client(opening(number)) for number in range(3, 9)]
+            fresh = [old.client(open_line(number)) for number in range(3, 9)]
             assert [line.read() for line in fresh] == ["UP r1"] * 6
             # The snapshot is restored again, which discards what was learned from reports meanwhile.
             new.wait_for_log("all sessions received.* node=n0")
-            assert old.process.wait(PATIENCE) == 0
-            fresh.append(old.client(opening(9)))  # at the same address, after the predecessor has exited
+            assert old.process.wait(TIMEOUT_S) == 0
+            fresh.append(old.client(open_line(9)))  # at the same address, after the predecessor has exited
             assert fresh[-1].read() == "UP r1"
             for line in (client, slow, *fresh):
                 line.send("M 1 still here")
@@ -67,25 +67,25 @@
 def test_session_is_passed_with_its_half_line_and_its_owed_echo() -> None:
     """Regression: sessions were migrated, and most clients that reconnected at once were rejected."""
     with Node(peer := FakeEndpoint("s-1", X=None), edit_config=set_longest_deadline) as old:
-        client = old.client(opening())
+        client = old.client(open_line())
         assert client.read() == "UP r1"
-        server = peer.connections.get(timeout=PATIENCE)
+        server = peer.connections.get(timeout=TIMEOUT_S)
         server.sock.sendall(b"LOAD 2.5\r\nM ha")
         assert client.read() == "LOAD 2.5"
         with old.successor() as new:
             old.terminate()
-            assert old.process.wait(PATIENCE) == 0
+            assert old.process.wait(TIMEOUT_S) == 0
             assert "edge_gw.in_flight:1|g" in new.call_admin("/v1/metrics")[1].split()
             server.sock.sendall(b"lf\r\n")
             assert client.read() == "M half"
-            assert new.client(opening()).read() == "ERR malformed"  # the request id is still in use
+            assert new.client(open_line()).read() == "ERR malformed"  # the request id is still in use
             client.send("X 1 no echo")  # the echo timeout still applies
             assert client.read() == "MOVE"
 
 
 def test_session_that_the_successor_refuses_is_migrated() -> None:
     with Node(FakeEndpoint("s-1"), edit_config=set_longest_deadline) as old:
-        client = old.client(opening())
+        client = old.client(open_line())
         assert client.read() == "UP r1"
         old.config["settings"]["classes"][0]["name"] = "look"
         old.write_config()
@@ -93,18 +93,18 @@
             old.terminate()
             assert [client.read(), client.read()] == ["MOVE", ""]
             client.close()
-            assert old.process.wait(PATIENCE) == 0
+            assert old.process.wait(TIMEOUT_S) == 0
 
 
 def test_session_is_offered_only_once_all_its_bytes_are_sent() -> None:
     """Bytes that the predecessor has not sent to a slow client yet would be lost when it exits."""
     with Node(peer := FakeEndpoint("s-1"), edit_config=set_longest_deadline) as old:
-        client = old.client(opening())
+        client = old.client(open_line())
         assert client.read() == "UP r1"
         text = "M " + "x" * 4000
         threading.Thread(target=client.send, args=[text] * 2000, daemon=True).start()
         for _ in range(500):
-            assert peer.received_lines.get(timeout=PATIENCE)
+            assert peer.received_lines.get(timeout=TIMEOUT_S)
         with old.successor():
             old.terminate()
             old.wait_for_log("stopped accepting clients")
@@ -114,15 +114,15 @@
 def test_successor_continues_from_the_predecessors_endpoint_list() -> None:
     discovery = Discovery('{"rev":7,"all":false,"targets":[]}')
     with Node(first := FakeEndpoint("s-1"), second := FakeEndpoint("s-2"), discovery=discovery) as old:
-        assert discovery.watch_paths.get(timeout=PATIENCE) == "/v1/servers?watch=1&from=1"
+        assert discovery.watch_paths.get(timeout=TIMEOUT_S) == "/v1/servers?watch=1&from=1"
         discovery.send_update(first.list_entry("Terminating"))  # which raises the revision to 8
         discovery.send_update({"uid": "s-9", "state": "Nonsense"})
-        assert discovery.watch_paths.get(timeout=PATIENCE) == "/v1/servers?watch=1&from=8"
+        assert discovery.watch_paths.get(timeout=TIMEOUT_S) == "/v1/servers?watch=1&from=8"
         with old.successor() as new:
-            assert discovery.watch_paths.get(timeout=PATIENCE) == "/v1/servers?watch=1&from=8"
+            assert discovery.watch_paths.get(timeout=TIMEOUT_S) == "/v1/servers?watch=1&from=8"
             old.process.kill()
             for number in range(4):
-                assert new.client(opening(number)).read() == "UP r1"
+                assert new.client(open_line(number)).read() == "UP r1"
             assert first.received_lines.empty() and second.received_lines.qsize() == 4
 
 
@@ -131,14 +131,14 @@
         with old.successor() as dead:
             dead.process.kill()
         old.wait_for_log("waiting for a successor")
-        assert old.client(opening()).read() == "UP r1"
+        assert old.client(open_line()).read() == "UP r1"
         with old.successor() as new:
             old.process.kill()
             new.wait_for_log("waiting for a successor")
-            assert new.client(opening()).read() == "UP r1"
+            assert new.client(open_line()).read() == "UP r1"
             with new.successor() as third:
                 new.process.kill()
-                assert third.client(opening()).read() == "UP r1"
+                assert third.client(open_line()).read() == "UP r1"
 
 
 @contextmanager
@@ -149,7 +149,7 @@
     old.write_config(json.dumps({**old.config, "discovery": agent.address, "settings": settings}))
     env = {**os.environ, "GW_CONFIG": old.config_path, **old.env, "GW_OPS": "127.0.0.2:0"}
     with subprocess.Popen([sys.executable, "-m", old.module], env=env, stderr=subprocess.DEVNULL) as new:
-        agent.called.get(timeout=PATIENCE)
+        agent.called.get(timeout=TIMEOUT_S)
         new.send_signal(signal.SIGSTOP)
         yield new
         new.kill()
@@ -160,34 +160,34 @@
 def test_process_serves_after_sigterm_until_its_successor_serves(dies: bool) -> None:
     """Regression: the listener closed at once, and clients waited for a process that did not serve yet."""
     with Node(FakeEndpoint("s-1"), edit_config=set_longest_deadline) as old:
-        client = old.client(opening())
+        client = old.client(open_line())
         assert client.read() == "UP r1"
         with suspended_successor(old) as new:
             old.terminate()
             old.wait_for_log('event="shutdown started"')
-            fresh = [old.client(opening(number, d=5000)) for number in range(2, 8)]
+            fresh = [old.client(open_line(number, wait_ms=5000)) for number in range(2, 8)]
             assert [line.read() for line in fresh] == ["UP r1"] * 6
             if dies:
                 new.kill()
             assert [line.read() for line in (client, *fresh)] == ["MOVE"] * 7
-            assert old.process.wait(PATIENCE) == 0
+            assert old.process.wait(TIMEOUT_S) == 0
 
 
 def test_requests_waiting_at_a_successor_that_dies_are_answered() -> None:
     """Regression: the listener's queue was lost with the successor, and all waiting clients were reset."""
     with Node(FakeEndpoint("s-1"), edit_config=set_longest_deadline) as old:
-        client = old.client(opening())
+        client = old.client(open_line())
         assert client.read() == "UP r1"
         with old.successor() as dead:
             old.terminate()
             old.wait_for_log("stopped accepting clients")
             dead.suspend()
-            waiting = [old.client(opening(number)) for number in range(2, 8)]
+            waiting = [old.client(open_line(number)) for number in range(2, 8)]
             dead.process.kill()
             assert [(line.read(), line.read()) for line in waiting] == [("BUSY", "")] * 6
         with old.successor() as third:
-            assert third.client(opening(9)).read() == "UP r1"
-            assert old.process.wait(PATIENCE) == 0
+            assert third.client(open_line(9)).read() == "UP r1"
+            assert old.process.wait(TIMEOUT_S) == 0
 
 
 @pytest.mark.parametrize("answer", [None, "[]", "nonsense", "{}"])
@@ -201,7 +201,7 @@
         sock.listen()
         threading.Thread(target=lambda: LineConnection(sock.accept()[0]).send(answer), daemon=True).start()
     with node:
-        assert node.client(opening()).read() == "UP r1"
+        assert node.client(open_line()).read() == "UP r1"
 
 
 def stored(policy: Policy, now_us: int) -> dict[str, Any]:
--- a/tests/node/process/test_handover_form.py
+++ b/tests/node/process/test_handover_form.py
@@ -17,7 +17,7 @@
 
 from tests.handover_kit import (
     CLIENT_REST,
-    LISTED,
+    EMPTY_LIST_UPDATE,
     PEER_REST,
     RECORDED_PEER,
     ChannelEnd,
@@ -27,9 +27,9 @@
     join_as_successor,
     load_recording,
     record_handover,
-    with_tenants,
+    use_recorded_settings,
 )
-from tests.node_kit import PATIENCE, Discovery, FakeEndpoint, Node, opening
+from tests.node_kit import TIMEOUT_S, Discovery, FakeEndpoint, Node, open_line
 
 KEY, GROUP = 0x7F3A9C21E0B4D655, 0x5C0F6E1A2B3D4C59
 SESSION = {
@@ -174,7 +174,7 @@
 def connected() -> tuple[socket.socket, socket.socket]:
     """The local and the remote end of a connection."""
     with socket.create_server(("127.0.0.1", 0)) as listener:
-        remote = socket.create_connection(listener.getsockname(), timeout=PATIENCE)
+        remote = socket.create_connection(listener.getsockname(), timeout=TIMEOUT_S)
         return listener.accept()[0], remote
 
 
@@ -200,7 +200,7 @@
         sent = json.dumps(state)
     listener = socket.create_server(("127.0.0.1", 0))
     (local_client, client), (local_server, server) = connected(), connected()
-    node = Node(discovery=discovery or Discovery(LISTED), edit_config=with_tenants)
+    node = Node(discovery=discovery or Discovery(EMPTY_LIST_UPDATE), edit_config=use_recorded_settings)
     predecessor = Predecessor(channel_path(node), sent, listener)
     with node:
         old = predecessor.end()
@@ -228,7 +228,7 @@
 
 
 def test_session_passed_by_an_older_process_continues() -> None:
-    discovery = Discovery(LISTED)
+    discovery = Discovery(EMPTY_LIST_UPDATE)
     with replayed(discovery=discovery) as replay:
         client, server = replay.client, replay.server
         client.sendall(CLIENT_REST)
@@ -240,10 +240,10 @@
         server.sendall(b"M 1 goes on\r\n")
         assert read_line(client) == b"M 1 goes on\r\n"
         # The endpoint list, its revision and the listener were taken over as well.
-        assert discovery.watch_paths.get(timeout=PATIENCE) == "/v1/servers?watch=1&from=7"
+        assert discovery.watch_paths.get(timeout=TIMEOUT_S) == "/v1/servers?watch=1&from=7"
         address = replay.listener.getsockname()
-        with socket.create_connection(address, timeout=PATIENCE) as fresh:
-            fresh.sendall(opening(2).encode() + b"\r\n")
+        with socket.create_connection(address, timeout=TIMEOUT_S) as fresh:
+            fresh.sendall(open_line(2).encode() + b"\r\n")
             assert read_line(fresh) == b"UP r1\r\n"
         assert logged_above_info(replay.node) == []
 
@@ -286,13 +286,13 @@
         assert successor.read_kind("all") == {"all": True}
         for sock in passed:
             sock.close()
-        assert replay.node.process.wait(PATIENCE) == 0  # it holds no part of the session any more
+        assert replay.node.process.wait(TIMEOUT_S) == 0  # it holds no part of the session any more
         successor.close()
         assert logged_above_info(replay.node) == []
     assert state["list"] == replay.state["list"]
     snapshot = state["learned"]
     age = snapshot["servers"]["s-2"].pop("report_age_us")
-    assert 5_000_000 <= age < 5_000_000 + PATIENCE * 1_000_000
+    assert 5_000_000 <= age < 5_000_000 + TIMEOUT_S * 1_000_000
     assert snapshot["servers"]["s-2"] == {key: draining[key] for key in SERVER_KEYS[:-1]}
     for key in set(SNAPSHOT_KEYS) - {"servers"}:
         assert snapshot[key] == learned[key], key
--- a/tests/node/process/test_reload.py
+++ b/tests/node/process/test_reload.py
@@ -9,7 +9,7 @@
 import pytest
 
 from stepflow.settings import merge_settings, parse_node_settings
-from tests.node_kit import PATIENCE, SETTINGS, Discovery, FakeEndpoint, Node, opening
+from tests.node_kit import SETTINGS, TIMEOUT_S, Discovery, FakeEndpoint, Node, open_line
 
 Change = Callable[[Any], object]
 
@@ -28,13 +28,13 @@
         settings["classes"][0]["name"] = "look"
 
     with Node(FakeEndpoint("s-1")) as node:
-        client = node.client(opening())
+        client = node.client(open_line())
         assert client.read() == "UP r1"
         node.reload(settings=changed(rename))
         node.wait_for_log("settings updated.* classes=look")
         node.wait_for_log("event=reloaded")
-        assert node.client(opening(2)).read() == "ERR malformed"
-        assert node.client(opening(3).replace("c=view", "c=look")).read() == "UP r1"
+        assert node.client(open_line(2)).read() == "ERR malformed"
+        assert node.client(open_line(3).replace("c=view", "c=look")).read() == "UP r1"
         client.send("M 1 unharmed")
         assert client.read() == "M 1 unharmed"
         metrics = node.call_admin("/v1/metrics")[1].split()
@@ -48,14 +48,14 @@
         settings["classes"][0]["effect"] = "once"
 
     with Node(peer := FakeEndpoint("s-1", OPEN=None)) as node:
-        client = node.client(opening(1, d=8000))
-        assert peer.received_lines.get(timeout=PATIENCE).startswith("OPEN 0000000000000001 ")
+        client = node.client(open_line(1, wait_ms=8000))
+        assert peer.received_lines.get(timeout=TIMEOUT_S).startswith("OPEN 0000000000000001 ")
         node.reload(settings=changed(once))
         node.wait_for_log("event=reloaded")
-        assert peer.received_lines.get(timeout=PATIENCE).startswith("OPEN 0000000000000001 ")
+        assert peer.received_lines.get(timeout=TIMEOUT_S).startswith("OPEN 0000000000000001 ")
         client.close()
         # The request may have run, and now must not run twice; after another attempt it would say BUSY.
-        assert node.client(opening(2, d=600)).read() == "ERR"
+        assert node.client(open_line(2, wait_ms=600)).read() == "ERR"
         received = [peer.received_lines.get() for _ in range(peer.received_lines.qsize())]
         assert len([line for line in received if line.startswith("OPEN 0000000000000002 ")]) == 1
 
@@ -100,13 +100,13 @@
     """Regression: defaults replaced missing keys, and the rest of the file was applied."""
     second = Discovery()
     with Node(FakeEndpoint("s-1"), discovery=(discovery := Discovery())) as node:
-        assert discovery.watch_paths.get(timeout=PATIENCE)
+        assert discovery.watch_paths.get(timeout=TIMEOUT_S)
         tree = {**json.loads(json.dumps(node.config)), "discovery": second.address}
         tree["settings"]["policy_limits"]["most_tries"] = 2
         change(tree)
         node.reload(json.dumps(tree))
         node.wait_for_log("reload failed, keeping the old configuration")
-        assert node.client(opening()).read() == "UP r1"
+        assert node.client(open_line()).read() == "UP r1"
         metrics = node.call_admin("/v1/metrics")[1].split()
         assert "edge_gw.reloads_ok:0|c" in metrics and "edge_gw.reloads_failed:1|c" in metrics
         assert second.watch_paths.empty()
--- a/tests/node/race_kit.py
+++ b/tests/node/race_kit.py
@@ -11,7 +11,7 @@
 from pathlib import Path
 from typing import Any
 
-from tests.node_kit import PATIENCE, Discovery, LineConnection, Listener, Node, list_entry, opening
+from tests.node_kit import TIMEOUT_S, Discovery, LineConnection, Listener, Node, list_entry, open_line
 
 
 def set_class(**settings: Any) -> Callable[[dict[str, Any]], None]:
@@ -23,7 +23,7 @@
     return change
 
 
-def few_sockets(config: dict[str, Any]) -> None:
+def limit_sockets(config: dict[str, Any]) -> None:
     """Change the configuration to a limit that 150 clients exceed."""
     config["limits"]["sockets"] = 128
 
@@ -60,7 +60,7 @@
         """Its entry in discovery's list."""
         return list_entry(self.uid, self.address, state)
 
-    def open(self, patience: float = PATIENCE) -> LineConnection:
+    def open(self, patience: float = TIMEOUT_S) -> LineConnection:
         """Let the next connection be established, and accept it."""
         self._sock.settimeout(patience)
         self._sock.accept()[0].close()
@@ -69,7 +69,7 @@
     def wait_for_connect(self) -> None:
         """Wait until the kernel shows a pending connect (state 02, SYN_SENT)."""
         syn_sent = f"0100007F:{int(self.address.rpartition(':')[2]):04X} 02"
-        until = time.monotonic() + PATIENCE
+        until = time.monotonic() + TIMEOUT_S
         while syn_sent not in Path("/proc/net/tcp").read_text():
             assert time.monotonic() < until
 
@@ -78,19 +78,19 @@
         self._sock.close()
 
 
-def slow_connects(config: dict[str, Any]) -> None:
+def allow_slow_connects(config: dict[str, Any]) -> None:
     """Change the configuration so that connects may take 8 s, and no load report needs a connect."""
     config["settings"]["policy_limits"].update(connect_timeout_us=8_000_000, probing=False)
     config["settings"]["classes"][0]["give_up_us"] = 9_000_000
 
 
 @contextmanager
-def connecting(endpoint: LateEndpoint) -> Iterator[tuple[Node, Discovery, LineConnection]]:
+def node_with_pending_connect(endpoint: LateEndpoint) -> Iterator[tuple[Node, Discovery, LineConnection]]:
     """Run a node that is connecting to the endpoint for a client; close the endpoint at the end."""
-    with Node(discovery=(discovery := Discovery()), edit_config=slow_connects) as node:
-        assert discovery.watch_paths.get(timeout=PATIENCE)
+    with Node(discovery=(discovery := Discovery()), edit_config=allow_slow_connects) as node:
+        assert discovery.watch_paths.get(timeout=TIMEOUT_S)
         discovery.send_update(endpoint.list_entry())
-        client = node.client(opening(d=9000))
+        client = node.client(open_line(wait_ms=9000))
         endpoint.wait_for_connect()
         yield node, discovery, client
     endpoint.close()
--- a/tests/node/session_kit.py
+++ b/tests/node/session_kit.py
@@ -7,9 +7,9 @@
 from collections.abc import Iterator
 from contextlib import contextmanager
 
-from tests.node_kit import PATIENCE, FakeEndpoint, LineConnection, Node, opening
+from tests.node_kit import TIMEOUT_S, FakeEndpoint, LineConnection, Node, open_line
 
-LAST = [f"LOAD {n}" for n in range(3)]
+LAST_LINES = [f"LOAD {n}" for n in range(3)]
 
 
 class SilentEndpoint(FakeEndpoint):
@@ -30,7 +30,7 @@
 
 
 @contextmanager
-def frozen(node: Node) -> Iterator[None]:
+def suspended(node: Node) -> Iterator[None]:
     """Suspend the node inside the block, so that it sees all that the other sides do there in one turn."""
     node.suspend()
     try:
@@ -41,9 +41,9 @@
 
 def session(node: Node, peer: FakeEndpoint, number: int = 1) -> tuple[LineConnection, LineConnection]:
     """Establish a session; return the client's connection and the endpoint's."""
-    client = node.client(opening(number))
+    client = node.client(open_line(number))
     assert client.read() == "UP r1"
-    return client, peer.connections.get(timeout=PATIENCE)
+    return client, peer.connections.get(timeout=TIMEOUT_S)
 
 
 def read_to_end(line: LineConnection) -> list[str]:
@@ -54,7 +54,7 @@
     return found
 
 
-def end_of(reset: bool) -> str:
+def expected_end(reset: bool) -> str:
     """What `read` returns at a FIN or at a reset."""
     return "RESET" if reset else ""
 
@@ -66,9 +66,9 @@
 
 def small_buffer_session(node: Node, peer: FakeEndpoint) -> tuple[LineConnection, LineConnection]:
     """Establish a session whose client has a receive buffer of a few kilobytes."""
-    client = node.client(opening(), receive_buffer=4096)
+    client = node.client(open_line(), receive_buffer=4096)
     assert client.read() == "UP r1"
-    return client, peer.connections.get(timeout=PATIENCE)
+    return client, peer.connections.get(timeout=TIMEOUT_S)
 
 
 def flood(line: LineConnection) -> None:
--- a/tests/node/test_ends_carried_out.py
+++ b/tests/node/test_ends_carried_out.py
@@ -13,19 +13,19 @@
 import pytest
 
 from standins.preload import Call, Machine
-from tests.node.machine_kit import OWED_END_S, expect_end, hold_up, on, write_lines
+from tests.node.machine_kit import END_DEADLINE_S, delay_event_loop, expect_end, with_faults, write_lines
 from tests.node.race_kit import set_class
 from tests.node.session_kit import (
-    LAST,
+    LAST_LINES,
     SilentEndpoint,
     flood,
-    frozen,
     kilobyte_lines,
     read_to_end,
     session,
     small_buffer_session,
+    suspended,
 )
-from tests.node_kit import PATIENCE, FakeEndpoint, LineConnection, Node, opening
+from tests.node_kit import TIMEOUT_S, FakeEndpoint, LineConnection, Node, open_line
 
 SHORT_REQUEST_S = 0.4
 STALLED_SESSION_END_S = 7.0  # PROTOCOL: a session without echoes is ended or migrated within this time
@@ -38,22 +38,22 @@
 def test_an_answer_is_relayed_although_its_endpoint_keeps_sending(answer: str) -> None:
     """The node resets the endpoint's connection and answers the client after that."""
     with Node(peer := SilentEndpoint(up=None), edit_config=EFFECT_ONCE) as node:
-        client = node.client(opening())
-        endpoint = peer.connections.get(timeout=PATIENCE)
+        client = node.client(open_line())
+        endpoint = peer.connections.get(timeout=TIMEOUT_S)
         began = time.monotonic()
-        with frozen(node):
+        with suspended(node):
             endpoint.send(answer, *kilobyte_lines(110))
-        client.sock.settimeout(OWED_END_S)
+        client.sock.settimeout(END_DEADLINE_S)
         assert read_to_end(client) == [answer, ""]
         expect_end(node, endpoint, began)
 
 
 def test_a_rejected_request_is_retried_although_its_endpoint_keeps_sending() -> None:
     with Node(peer := SilentEndpoint(up=None), edit_config=EFFECT_ONCE) as node:
-        client = node.client(opening())
-        endpoint = peer.connections.get(timeout=PATIENCE)
+        client = node.client(open_line())
+        endpoint = peer.connections.get(timeout=TIMEOUT_S)
         began = time.monotonic()
-        with frozen(node):
+        with suspended(node):
             endpoint.send("BUSY", *kilobyte_lines(110))
         peer.connections.get(timeout=0.5).send("UP r1")
         assert client.read() == "UP r1"
@@ -65,11 +65,11 @@
     machine: Machine, extra: str
 ) -> None:
     wait_ms = int(SHORT_REQUEST_S * 1000)
-    with on(machine, Node(peer := SilentEndpoint(up=None), edit_config=EFFECT_ONCE)) as node:
-        hold_up(machine)
+    with with_faults(machine, Node(peer := SilentEndpoint(up=None), edit_config=EFFECT_ONCE)) as node:
+        delay_event_loop(machine)
         began = time.monotonic()
-        client = node.client(opening(d=wait_ms, extra=extra))
-        endpoint = peer.connections.get(timeout=PATIENCE)
+        client = node.client(open_line(wait_ms=wait_ms, extra_fields=extra))
+        endpoint = peer.connections.get(timeout=TIMEOUT_S)
         write_lines(endpoint, "LOAD 1", SHORT_REQUEST_S + 0.3)
         expect_end(node, endpoint, began + SHORT_REQUEST_S)
         client.sock.settimeout(0.2)
@@ -77,10 +77,10 @@
 
 
 def test_an_attempt_ends_when_its_client_leaves_although_its_endpoint_writes(machine: Machine) -> None:
-    with on(machine, Node(peer := SilentEndpoint(up=None))) as node:
-        client = node.client(opening())
-        hold_up(machine)
-        endpoint = peer.connections.get(timeout=PATIENCE)
+    with with_faults(machine, Node(peer := SilentEndpoint(up=None))) as node:
+        client = node.client(open_line())
+        delay_event_loop(machine)
+        endpoint = peer.connections.get(timeout=TIMEOUT_S)
         began = time.monotonic()
         client.close(reset=True)
         write_lines(endpoint, "LOAD 1")
@@ -96,10 +96,10 @@
             line.send("PONG x0=0.2,x1=0.0,util=0.2")
             self.unanswered.put(line)
 
-    with on(machine, Node(peer := HealthCheckEndpoint("s-1"))) as node:
-        node.client(opening())
-        endpoint = peer.unanswered.get(timeout=PATIENCE)
-        hold_up(machine)
+    with with_faults(machine, Node(peer := HealthCheckEndpoint("s-1"))) as node:
+        node.client(open_line())
+        endpoint = peer.unanswered.get(timeout=TIMEOUT_S)
+        delay_event_loop(machine)
         began = time.monotonic()
         write_lines(endpoint)
         expect_end(node, endpoint, began)
@@ -107,9 +107,9 @@
 
 @pytest.mark.parametrize("reset", [False, True])
 def test_an_endpoint_that_writes_as_its_client_ends_is_closed_in_time(machine: Machine, reset: bool) -> None:
-    with on(machine, Node(peer := SilentEndpoint())) as node:
+    with with_faults(machine, Node(peer := SilentEndpoint())) as node:
         client, endpoint = session(node, peer)
-        hold_up(machine)
+        delay_event_loop(machine)
         began = time.monotonic()
         client.close(reset)
         write_lines(endpoint)
@@ -120,10 +120,10 @@
 def test_an_overlong_line_ends_both_sides_although_its_sender_keeps_writing(
     machine: Machine, by_client: bool
 ) -> None:
-    with on(machine, Node(peer := SilentEndpoint())) as node:
+    with with_faults(machine, Node(peer := SilentEndpoint())) as node:
         client, endpoint = session(node, peer)
         writer, reader = (client, endpoint) if by_client else (endpoint, client)
-        hold_up(machine)
+        delay_event_loop(machine)
         began = time.monotonic()
         writer.send("x" * 5000)
         write_lines(writer)
@@ -149,11 +149,11 @@
     Seen: the connection stayed open forever. Before the forced close the node counts the dropped bytes, and
     it queried the endpoint's closed socket: `timer callback failed`, with ValueError for descriptor -1.
     """
-    with on(machine, Node(peer := SilentEndpoint())) as node:
+    with with_faults(machine, Node(peer := SilentEndpoint())) as node:
         client, endpoint = session(node, peer)
         machine.fail(Call.SEND_ACCEPTED, 1.0, [errno.EAGAIN])  # as with a full receive buffer
         began = time.monotonic()
-        endpoint.send(*LAST)
+        endpoint.send(*LAST_LINES)
         endpoint.close(reset=True)
         expect_end(node, client, began)
 
@@ -163,38 +163,38 @@
     machine: Machine, reset: bool
 ) -> None:
     """Seen: up to 2.5 s. Reading from the endpoint is paused meanwhile, so its end was not detected."""
-    with on(machine, Node(peer := SilentEndpoint())) as node:
+    with with_faults(machine, Node(peer := SilentEndpoint())) as node:
         client, endpoint = session(node, peer)
         machine.fail(Call.SEND_ACCEPTED, 1.0, [errno.EAGAIN])  # as with a full receive buffer
         endpoint.send(*kilobyte_lines(110))
         time.sleep(0.3)
         endpoint.close(reset)
-        time.sleep(OWED_END_S)
+        time.sleep(END_DEADLINE_S)
         node.wait_for_counter("broken", 1)
         node.wait_for_counter("outlived", 0)
         assert read_to_end(client) == ["RESET"]  # the data that the client never received is dropped
 
 
 def test_a_client_that_writes_as_its_endpoint_ends_is_closed_during_a_shutdown(machine: Machine) -> None:
-    with on(machine, Node(peer := SilentEndpoint(), edit_config=LONG_SHUTDOWN)) as node:
+    with with_faults(machine, Node(peer := SilentEndpoint(), edit_config=LONG_SHUTDOWN)) as node:
         client, endpoint = session(node, peer)
         node.terminate()
         node.wait_for_log("stopped accepting clients")
-        hold_up(machine)
+        delay_event_loop(machine)
         began = time.monotonic()
         endpoint.close(reset=True)
         write_lines(client)
-        client.sock.settimeout(began + OWED_END_S - time.monotonic())
+        client.sock.settimeout(began + END_DEADLINE_S - time.monotonic())
         assert read_to_end(client)[-1] in ("", "RESET")
 
 
 def test_a_client_that_writes_as_its_endpoint_ends_is_closed_after_a_hand_over(machine: Machine) -> None:
-    with on(machine, Node(peer := SilentEndpoint(), edit_config=LONG_SHUTDOWN)) as node:
+    with with_faults(machine, Node(peer := SilentEndpoint(), edit_config=LONG_SHUTDOWN)) as node:
         client, endpoint = session(node, peer)
         with node.successor() as successor:
             node.terminate()
-            node.process.wait(PATIENCE)
-            hold_up(machine)
+            node.process.wait(TIMEOUT_S)
+            delay_event_loop(machine)
             began = time.monotonic()
             endpoint.close(reset=True)
             write_lines(client)
@@ -202,11 +202,11 @@
 
 
 def test_a_client_that_keeps_writing_after_its_answer_is_closed(machine: Machine) -> None:
-    with on(machine, Node()) as node:
-        hold_up(machine)
+    with with_faults(machine, Node()) as node:
+        delay_event_loop(machine)
         client = node.client("nonsense")
         began = time.monotonic()
-        write_lines(client, "x" * 3000, seconds=OWED_END_S)
+        write_lines(client, "x" * 3000, seconds=END_DEADLINE_S)
         expect_end(node, client, began)
 
 
@@ -234,15 +234,15 @@
         client, endpoint = session(node, peer)
         with node.successor() as successor:
             time.sleep(0.3)  # until the successor has announced that it serves
-            with frozen(successor):
+            with suspended(successor):
                 node.terminate()
                 node.wait_for_log("stopped accepting clients")
                 time.sleep(0.1)  # until the session is offered
                 began = time.monotonic()
                 endpoint.close(reset)
-                client.sock.settimeout(OWED_END_S)
+                client.sock.settimeout(END_DEADLINE_S)
                 assert read_to_end(client)[-1] in ("", "RESET")
-                assert time.monotonic() - began < OWED_END_S
-            node.process.wait(PATIENCE)
+                assert time.monotonic() - began < END_DEADLINE_S
+            node.process.wait(TIMEOUT_S)
             time.sleep(0.3)  # until the successor has detected the end of the session
             assert "in_flight:0" in successor.call_admin("/v1/metrics")[1]
--- a/tests/node/test_ends_in_order.py
+++ b/tests/node/test_ends_in_order.py
@@ -16,20 +16,20 @@
 import pytest
 
 from standins.preload import Call, Machine
-from tests.node.machine_kit import on
+from tests.node.machine_kit import with_faults
 from tests.node.race_kit import set_class
 from tests.node.session_kit import (
-    LAST,
+    LAST_LINES,
     SilentEndpoint,
-    end_of,
+    expected_end,
     flood,
-    frozen,
     kilobyte_lines,
     read_to_end,
     session,
     small_buffer_session,
+    suspended,
 )
-from tests.node_kit import PATIENCE, Discovery, FakeEndpoint, Node, opening
+from tests.node_kit import TIMEOUT_S, Discovery, FakeEndpoint, Node, open_line
 
 TRANSFERS = [Call.RECV_ACCEPTED, Call.SEND_ACCEPTED, Call.RECV_DIALLED, Call.SEND_DIALLED]
 TRANSIENT_ERRNOS = [errno.ENOMEM, errno.ENOBUFS, errno.EINTR, errno.EAGAIN]
@@ -46,7 +46,7 @@
     """The client's line is written to an endpoint that has closed, while half of its data is still unread."""
     with Node(peer := SilentEndpoint()) as node:
         client, endpoint = session(node, peer)
-        with frozen(node):
+        with suspended(node):
             client.send("M 1")
             endpoint.send(*kilobyte_lines(110))
             endpoint.close(reset)
@@ -63,7 +63,7 @@
         endpoint.send(*kilobyte_lines(90))
         endpoint.close(reset)
         time.sleep(0.3)
-        assert read_to_end(client) == [*kilobyte_lines(90), end_of(reset)]
+        assert read_to_end(client) == [*kilobyte_lines(90), expected_end(reset)]
         assert truncated_metric(node) == "edge_gw.truncated:0|c"
 
 
@@ -83,19 +83,19 @@
         client.send("LAST words")
         client.sock.shutdown(socket.SHUT_WR)
         assert read_to_end(endpoint) == ["LAST words", ""]
-        endpoint.send(*LAST)
+        endpoint.send(*LAST_LINES)
         endpoint.close()
-        assert read_to_end(client) == [*LAST, ""]
+        assert read_to_end(client) == [*LAST_LINES, ""]
 
 
 def test_an_endpoint_that_half_closes_still_receives_data() -> None:
     with Node(peer := SilentEndpoint()) as node:
         client, endpoint = session(node, peer)
-        with frozen(node):
+        with suspended(node):
             client.send("LAST words")
-            endpoint.send(*LAST)
+            endpoint.send(*LAST_LINES)
             endpoint.sock.shutdown(socket.SHUT_WR)
-        assert read_to_end(client) == [*LAST, ""]
+        assert read_to_end(client) == [*LAST_LINES, ""]
         client.close()
         assert read_to_end(endpoint) == ["LAST words", ""]
 
@@ -105,9 +105,9 @@
     with Node(peer := SilentEndpoint()) as node:
         client, endpoint = session(node, peer)
         writer, reader = (client, endpoint) if by_client else (endpoint, client)
-        with frozen(node):
-            writer.send(*LAST, "x" * 5000)
-        assert read_to_end(reader)[: len(LAST)] == LAST
+        with suspended(node):
+            writer.send(*LAST_LINES, "x" * 5000)
+        assert read_to_end(reader)[: len(LAST_LINES)] == LAST_LINES
 
 
 def test_lines_unread_at_a_migration_are_relayed_before_move() -> None:
@@ -116,7 +116,7 @@
         client, endpoint = session(node, peer)
         node.terminate()
         node.wait_for_log("stopped accepting clients")
-        with frozen(node):
+        with suspended(node):
             endpoint.send(*kilobyte_lines(110))
             time.sleep(0.9)  # the time of the migration passes
         assert read_to_end(client) == [*kilobyte_lines(110), "MOVE", ""]
@@ -128,13 +128,13 @@
         (client, endpoint), (other, other_endpoint) = session(node, peer), session(node, peer, 2)
         node.terminate()
         node.wait_for_log("shutdown started")
-        with frozen(node):
-            endpoint.send(*LAST)
+        with suspended(node):
+            endpoint.send(*LAST_LINES)
             endpoint.close(reset)
-            other.send(*LAST)
+            other.send(*LAST_LINES)
             other.close(reset)
-        assert read_to_end(client) == [*LAST, end_of(reset)]
-        assert read_to_end(other_endpoint) == [*LAST, end_of(reset)]
+        assert read_to_end(client) == [*LAST_LINES, expected_end(reset)]
+        assert read_to_end(other_endpoint) == [*LAST_LINES, expected_end(reset)]
 
 
 @pytest.mark.parametrize("by_client", [False, True])
@@ -144,12 +144,12 @@
         client, endpoint = session(node, peer)
         with node.successor() as successor:
             node.terminate()
-            node.process.wait(PATIENCE)
+            node.process.wait(TIMEOUT_S)
             writer, reader = (client, endpoint) if by_client else (endpoint, client)
-            with frozen(successor):
-                writer.send(*LAST)
+            with suspended(successor):
+                writer.send(*LAST_LINES)
                 writer.close(reset)
-            assert read_to_end(reader) == [*LAST, end_of(reset)]
+            assert read_to_end(reader) == [*LAST_LINES, expected_end(reset)]
 
 
 @pytest.mark.parametrize("by_client", [False, True])
@@ -160,29 +160,29 @@
         client, endpoint = session(node, peer)
         with node.successor() as successor:
             time.sleep(0.3)  # until the successor has announced that it serves
-            with frozen(successor):
+            with suspended(successor):
                 node.terminate()
                 node.wait_for_log("stopped accepting clients")
                 time.sleep(0.1)  # until the session is offered
                 writer, reader = (client, endpoint) if by_client else (endpoint, client)
-                writer.send(*LAST)
+                writer.send(*LAST_LINES)
                 writer.close(reset)
-            assert read_to_end(reader) == [*LAST, end_of(reset)]
+            assert read_to_end(reader) == [*LAST_LINES, expected_end(reset)]
 
 
 def test_sessions_offered_by_a_process_that_is_killed_are_adopted() -> None:
     """The successor reads their messages later; only its first answer shows that the sender is gone."""
     with Node(FakeEndpoint("s-1"), edit_config=set_class(give_up_us=3_000_000)) as node:
-        clients = [node.client(opening(number)) for number in range(8)]
+        clients = [node.client(open_line(number)) for number in range(8)]
         assert [client.read() for client in clients] == ["UP r1"] * 8
         with node.successor() as successor:
             time.sleep(0.3)  # until the successor has announced that it serves
-            with frozen(successor):
+            with suspended(successor):
                 node.terminate()
                 node.wait_for_log("stopped accepting clients")
                 time.sleep(0.1)  # until the sessions are offered
                 node.process.kill()
-                node.process.wait(PATIENCE)
+                node.process.wait(TIMEOUT_S)
             for client in clients:
                 client.send("M 1")
             assert [client.read() for client in clients] == ["M 1"] * 8
@@ -191,12 +191,12 @@
 def test_a_rejection_followed_by_a_reset_counts_as_a_rejection() -> None:
     """The close resets the connection. After a reset alone, a non-idempotent request would be failed."""
     with Node(peer := SilentEndpoint(up=None), edit_config=set_class(effect="once")) as node:
-        client = node.client(opening())
-        endpoint = peer.connections.get(timeout=PATIENCE)
-        with frozen(node):
+        client = node.client(open_line())
+        endpoint = peer.connections.get(timeout=TIMEOUT_S)
+        with suspended(node):
             endpoint.send("BUSY")
             endpoint.close(reset=True)
-        attempts = [peer.connections.get(timeout=PATIENCE)]  # a rejected request is retried
+        attempts = [peer.connections.get(timeout=TIMEOUT_S)]  # a rejected request is retried
         attempts[0].send("UP r1")
         assert client.read() == "UP r1"
 
@@ -207,8 +207,8 @@
 )
 def test_a_session_survives_transient_errors_of_recv_and_send(tmp_path: Path, call: Call, error: int) -> None:
     machine = Machine(tmp_path)
-    with on(machine, Node(peer := FakeEndpoint("s-1"))) as node:
-        client = node.client(opening())
+    with with_faults(machine, Node(peer := FakeEndpoint("s-1"))) as node:
+        client = node.client(open_line())
         assert client.read() == "UP r1"
         machine.fail(call, 0.6, [error])
         for number in range(10):
@@ -216,18 +216,18 @@
             assert client.read() == f"M {number}"
         assert machine.injected(call) > 0
         machine.heal()
-        peer.connections.get(timeout=PATIENCE).send(*LAST)
-        assert [client.read() for _ in LAST] == LAST
+        peer.connections.get(timeout=TIMEOUT_S).send(*LAST_LINES)
+        assert [client.read() for _ in LAST_LINES] == LAST_LINES
 
 
 @pytest.mark.parametrize("call", [Call.RECV_ACCEPTED, Call.RECV_DIALLED])
 def test_last_lines_are_read_although_recv_fails_with_enomem(tmp_path: Path, call: Call) -> None:
     machine = Machine(tmp_path)
-    with on(machine, Node(peer := SilentEndpoint())) as node:
+    with with_faults(machine, Node(peer := SilentEndpoint())) as node:
         client, endpoint = session(node, peer)
         writer, reader = (client, endpoint) if call is Call.RECV_ACCEPTED else (endpoint, client)
         machine.fail(call, 0.8, [errno.ENOMEM])
-        with frozen(node):
+        with suspended(node):
             reader.send("M 1")
             writer.send(*kilobyte_lines(60))
             writer.close(reset=True)
@@ -239,11 +239,11 @@
     discovery = Discovery()
     first, second = FakeEndpoint("s-1"), FakeEndpoint("s-2")
     with Node(first, discovery=discovery) as node, closing(second):
-        discovery.watch_paths.get(timeout=PATIENCE)
-        with frozen(node):
+        discovery.watch_paths.get(timeout=TIMEOUT_S)
+        with suspended(node):
             discovery.send_update(second.list_entry(), first.list_entry("Gone"))
             discovery.updates.put(Discovery.RESET)
             time.sleep(0.1)
-        client = node.client(opening())
+        client = node.client(open_line())
         assert client.read() == "UP r1"
-        assert second.received_lines.get(timeout=PATIENCE).startswith("OPEN ")
+        assert second.received_lines.get(timeout=TIMEOUT_S).startswith("OPEN ")
--- a/tests/node/test_last_lines.py
+++ b/tests/node/test_last_lines.py
@@ -14,36 +14,36 @@
 
 import pytest
 
-from tests.node.session_kit import LAST, SilentEndpoint, end_of, frozen, read_to_end, session
-from tests.node_kit import PATIENCE, Node, opening
+from tests.node.session_kit import LAST_LINES, SilentEndpoint, expected_end, read_to_end, session, suspended
+from tests.node_kit import TIMEOUT_S, Node, open_line
 
 
 @pytest.mark.parametrize("reset", [False, True])
 def test_the_answer_of_an_endpoint_that_ends_at_once_reaches_its_client(reset: bool) -> None:
     with Node(peer := SilentEndpoint(up=None)) as node:
-        client = node.client(opening())
-        endpoint = peer.connections.get(timeout=PATIENCE)
-        with frozen(node):
-            endpoint.send("UP r1", *LAST)
+        client = node.client(open_line())
+        endpoint = peer.connections.get(timeout=TIMEOUT_S)
+        with suspended(node):
+            endpoint.send("UP r1", *LAST_LINES)
             endpoint.close(reset)
-        assert read_to_end(client) == ["UP r1", *LAST, end_of(reset)]
+        assert read_to_end(client) == ["UP r1", *LAST_LINES, expected_end(reset)]
 
 
 @pytest.mark.parametrize("reset", [False, True])
 def test_the_last_lines_of_an_endpoint_reach_its_client(reset: bool) -> None:
     with Node(peer := SilentEndpoint()) as node:
         client, endpoint = session(node, peer)
-        with frozen(node):
-            endpoint.send(*LAST)
+        with suspended(node):
+            endpoint.send(*LAST_LINES)
             endpoint.close(reset)
-        assert read_to_end(client) == [*LAST, end_of(reset)]
+        assert read_to_end(client) == [*LAST_LINES, expected_end(reset)]
 
 
 @pytest.mark.parametrize("reset", [False, True])
 def test_the_last_lines_of_a_client_reach_its_endpoint(reset: bool) -> None:
     with Node(peer := SilentEndpoint()) as node:
         client, endpoint = session(node, peer)
-        with frozen(node):
-            client.send(*LAST)
+        with suspended(node):
+            client.send(*LAST_LINES)
             client.close(reset)
-        assert read_to_end(endpoint) == [*LAST, end_of(reset)]
+        assert read_to_end(endpoint) == [*LAST_LINES, expected_end(reset)]
--- a/tests/node/test_leaks.py
+++ b/tests/node/test_leaks.py
@@ -10,7 +10,7 @@
 import pytest
 
 from tests.census import COUNTED_CLASSES, SESSION_CLASSES
-from tests.node_kit import PATIENCE, FakeEndpoint, LineConnection, Node, opening
+from tests.node_kit import TIMEOUT_S, FakeEndpoint, LineConnection, Node, open_line
 
 SESSIONS = 40
 NONE_ALIVE = dict.fromkeys(COUNTED_CLASSES, 0)
@@ -56,7 +56,7 @@
 
 def wait_for_none(node: Node) -> dict[str, int]:
     """Return the census once no objects are left, or the last census before the timeout."""
-    until = time.monotonic() + PATIENCE / 3
+    until = time.monotonic() + TIMEOUT_S / 3
     while (found := census(node)) != NONE_ALIVE and time.monotonic() < until:
         time.sleep(0.05)
     return found
@@ -65,7 +65,7 @@
 def test_census_counts_the_objects_of_a_session() -> None:
     """Guards the tests below: the name of a class that no longer exists would count nothing, and pass."""
     with Node(FakeEndpoint("s-1"), module="tests.census") as node:
-        client = node.client(opening())
+        client = node.client(open_line())
         assert client.read() == "UP r1"
         assert {name: census(node)[name] for name in SESSION_CLASSES} == dict.fromkeys(SESSION_CLASSES, 1)
 
@@ -80,12 +80,12 @@
     with Node(peer := FakeEndpoint("s-1", FIN="FIN", CUT="RESET"), module="tests.census") as node:
         served = 0
         for number in range(SESSIONS):
-            client = node.client(opening(number + 1))
+            client = node.client(open_line(number + 1))
             if client.read() != "UP r1":  # an endpoint that resets new sessions counts as full
                 client.close()
                 continue
             served += 1
-            at_peer = peer.connections.get(timeout=PATIENCE)
+            at_peer = peer.connections.get(timeout=TIMEOUT_S)
             client.send("M 1")
             if client.read() == "M 1":  # otherwise the session was migrated, for the same reason
                 end(client, at_peer)
@@ -97,7 +97,7 @@
 def test_no_objects_of_a_rejected_or_malformed_client_are_left() -> None:
     with Node(FakeEndpoint("s-1", OPEN="BUSY"), module="tests.census") as node:
         for number in range(SESSIONS):
-            client = node.client(opening(number + 1, d=50) if number % 2 else "HELLO")
+            client = node.client(open_line(number + 1, wait_ms=50) if number % 2 else "HELLO")
             assert client.read().split(" ")[0] in ("BUSY", "ERR")
             client.close()
         assert wait_for_none(node) == NONE_ALIVE
--- a/tests/node/test_left_waiting.py
+++ b/tests/node/test_left_waiting.py
@@ -19,16 +19,16 @@
 import pytest
 
 from standins.preload import Machine
-from tests.node.machine_kit import expect_end, hold_up, on, write_lines
+from tests.node.machine_kit import delay_event_loop, expect_end, with_faults, write_lines
 from tests.node.session_kit import SilentEndpoint, session
 from tests.node_kit import Node
 
 
 @pytest.mark.parametrize("reset", [False, True])
 def test_a_client_that_writes_as_its_endpoint_ends_is_closed_in_time(machine: Machine, reset: bool) -> None:
-    with on(machine, Node(peer := SilentEndpoint())) as node:
+    with with_faults(machine, Node(peer := SilentEndpoint())) as node:
         client, endpoint = session(node, peer)
-        hold_up(machine)
+        delay_event_loop(machine)
         began = time.monotonic()
         endpoint.close(reset)
         write_lines(client)
--- a/tests/node/test_log_form.py
+++ b/tests/node/test_log_form.py
@@ -6,7 +6,7 @@
 import signal
 from pathlib import Path
 
-from tests.node_kit import FakeEndpoint, Node, opening
+from tests.node_kit import FakeEndpoint, Node, open_line
 
 
 def test_the_form_of_the_log_follows_the_operators_file_across_reloads(tmp_path: Path) -> None:
@@ -15,7 +15,7 @@
     node = Node(FakeEndpoint("s-1"))
     node.env["STEPFLOW_CONF"] = str(path)
     with node:
-        assert node.client(opening()).read() == "UP r1"
+        assert node.client(open_line()).read() == "UP r1"
         path.write_text("log {\n form yaml\n}\n")
         node.process.send_signal(signal.SIGHUP)
         event = json.loads(node.wait_for_log("reload failed").string)
--- a/tests/node/test_node_group.py
+++ b/tests/node/test_node_group.py
@@ -19,7 +19,7 @@
 from standins.crowd import Crowd, Ledger, LedgerServer
 from standins.fleet import Fleet
 from standins.node import start_node
-from tests.node_kit import PATIENCE, SETTINGS
+from tests.node_kit import SETTINGS, TIMEOUT_S
 
 NODES, CLIENTS, SERVERS = 4, 24, 5
 PORT = 7070
@@ -68,7 +68,7 @@
     async def stop(self, number: int, how: signal.Signals) -> int:
         """Send a signal to a node and wait for its exit; return its exit code."""
         self.nodes[number].send_signal(how)
-        return await asyncio.wait_for(self.nodes[number].wait(), PATIENCE)
+        return await asyncio.wait_for(self.nodes[number].wait(), TIMEOUT_S)
 
     async def run(self, scenario: Callable[[NodeGroup, Crowd], Awaitable[None]]) -> None:
         """Start the nodes and the clients, run the scenario, stop everything, and check the results."""
--- a/tests/node/test_node_late_connects.py
+++ b/tests/node/test_node_late_connects.py
@@ -4,14 +4,14 @@
 
 from contextlib import suppress
 
-from tests.node.race_kit import LateEndpoint, connecting, expect_silence, set_class
-from tests.node_kit import PATIENCE, FakeEndpoint, Node, opening
+from tests.node.race_kit import LateEndpoint, expect_silence, node_with_pending_connect, set_class
+from tests.node_kit import TIMEOUT_S, FakeEndpoint, Node, open_line
 
 
 def test_endpoint_that_drains_during_the_connect_gets_no_request() -> None:
     """Its OPEN line would be sent once the connection is established, a second after the grace period."""
     endpoint, second = LateEndpoint("s-1"), FakeEndpoint("s-2")
-    with connecting(endpoint) as (_, discovery, client):
+    with node_with_pending_connect(endpoint) as (_, discovery, client):
         discovery.send_update(endpoint.list_entry("Terminating"), second.list_entry())
         late = endpoint.open()
         assert late.read() in ("", "RESET")
@@ -22,7 +22,7 @@
 
 def test_client_that_disconnects_during_the_connect_cancels_it() -> None:
     endpoint = LateEndpoint("s-1")
-    with connecting(endpoint) as (node, _, client):
+    with node_with_pending_connect(endpoint) as (node, _, client):
         client.close()
         node.wait_for_counter("left", 1)
         with suppress(TimeoutError):  # the connect was cancelled: no connection arrives
@@ -35,14 +35,14 @@
     with Node(
         first := FakeEndpoint("s-1", OPEN="ERR"), FakeEndpoint("s-2", OPEN="ERR"), edit_config=change
     ) as node:
-        client = node.client(opening(d=5000))
-        first.received_lines.get(timeout=PATIENCE)
+        client = node.client(open_line(wait_ms=5000))
+        first.received_lines.get(timeout=TIMEOUT_S)
         client.close()
         node.wait_for_counter("left", 1)
         for peer in node.endpoints:
             peer.answers["OPEN"] = "UP r1"
         before = sum(peer.received_lines.qsize() for peer in node.endpoints)
-        other = node.client(opening(2))
+        other = node.client(open_line(2))
         assert other.read() == "UP r1"
         expect_silence(0.5, other)  # longer than the delay before the next attempt
         assert sum(peer.received_lines.qsize() for peer in node.endpoints) == before + 1
--- a/tests/node/test_node_shutdown.py
+++ b/tests/node/test_node_shutdown.py
@@ -14,20 +14,20 @@
 
 from stepflow.node.process.shutdown_schedule import CLIENT_LINGER
 from tests.node.race_kit import SilentListener, expect_silence, set_class
-from tests.node_kit import PATIENCE, FakeEndpoint, Node, opening
+from tests.node_kit import TIMEOUT_S, FakeEndpoint, Node, open_line
 
 
 def test_sigterm_migrates_sessions_and_prints_the_counters() -> None:
     with Node(FakeEndpoint("s-1")) as node:
-        sessions = [node.client(opening(number)) for number in range(3)]
+        sessions = [node.client(open_line(number)) for number in range(3)]
         assert [client.read() for client in sessions] == ["UP r1"] * 3
         node.terminate()
         node.wait_for_log('event="shutdown started" connections=3')
-        sessions.append(node.client(opening(9)))
+        sessions.append(node.client(open_line(9)))
         assert sessions[-1].read() == "UP r1"  # clients keep connecting for a while
         assert [client.read() for client in sessions] == ["MOVE"] * 4
         node.wait_for_log("counters: .* requests=4 .* served=4 .* moved=4 ")
-        assert node.process.wait(PATIENCE) == 0
+        assert node.process.wait(TIMEOUT_S) == 0
 
 
 def test_sigterm_serves_a_session_while_there_is_time() -> None:
@@ -37,14 +37,14 @@
         config["settings"]["classes"][0]["give_up_us"] = 60_000_000
 
     with Node(FakeEndpoint("s-1"), edit_config=set_longest_deadline) as node:
-        client = node.client(opening())
+        client = node.client(open_line())
         assert client.read() == "UP r1"
         node.terminate()
         node.wait_for_log("stopped accepting clients")
         client.send("M 1 still here")
         assert [client.read(), client.read()] == ["M 1 still here", "MOVE"]
         client.close()
-        assert node.process.wait(PATIENCE) == 0
+        assert node.process.wait(TIMEOUT_S) == 0
 
 
 def test_sigterm_answers_requests_in_the_accept_queue() -> None:
@@ -53,11 +53,11 @@
         node.terminate()
         node.wait_for_log('event="shutdown started"')
         node.suspend()
-        waiting = [node.client(opening(number)) for number in range(60)]
+        waiting = [node.client(open_line(number)) for number in range(60)]
         expect_silence(CLIENT_LINGER.total_seconds() + 0.05, *waiting)  # the listener is due to close
         node.resume()
         assert [(line.read(), line.read()) for line in waiting] == [("BUSY", "")] * 60
-        assert node.process.wait(PATIENCE) == 0
+        assert node.process.wait(TIMEOUT_S) == 0
 
 
 @pytest.mark.parametrize("effect", ["once", "by_key"])
@@ -65,25 +65,25 @@
     """BUSY says that a retry is safe, but the endpoint may have the request."""
     change = set_class(effect=effect, key_scope="cell", key_ttl_us=5_000_000, give_up_us=3_000_000)
     with Node(peer := FakeEndpoint("s-1", OPEN=None), edit_config=change) as node:
-        taken, left = node.client(opening(1, d=3000)), node.client(opening(2, d=3000))
-        held = [peer.unanswered.get(timeout=PATIENCE) for _ in range(2)]
-        first = peer.received_lines.get(timeout=PATIENCE).split(" ")[1]
+        taken, left = node.client(open_line(1, wait_ms=3000)), node.client(open_line(2, wait_ms=3000))
+        held = [peer.unanswered.get(timeout=TIMEOUT_S) for _ in range(2)]
+        first = peer.received_lines.get(timeout=TIMEOUT_S).split(" ")[1]
         node.terminate()
         node.wait_for_log("stopped accepting clients")
         held[0].send("UP r7")
         served, other = (taken, left) if first == f"{1:016x}" else (left, taken)
         assert [served.read(), served.read()] == ["UP r7", "MOVE"]
         assert [other.read(), other.read()] == ["ERR", ""]
-        assert node.process.wait(PATIENCE) == 0
+        assert node.process.wait(TIMEOUT_S) == 0
 
 
 def test_sigterm_rejects_an_idempotent_request_and_cancels_its_attempt() -> None:
     with Node(peer := FakeEndpoint("s-1", OPEN=None), edit_config=set_class(give_up_us=3_000_000)) as node:
-        client = node.client(opening(d=3000))
-        peer.unanswered.get(timeout=PATIENCE)
+        client = node.client(open_line(wait_ms=3000))
+        peer.unanswered.get(timeout=TIMEOUT_S)
         node.terminate()
         assert [client.read(), client.read()] == ["BUSY", ""]
-        assert node.process.wait(PATIENCE) == 0
+        assert node.process.wait(TIMEOUT_S) == 0
 
 
 @pytest.mark.parametrize("part", ["", "PING\r\n", "OPEN 00"])
@@ -96,16 +96,16 @@
             assert unopened.read() == "PONG"
         node.terminate()
         assert unopened.read() == "BUSY"
-        unopened.send(opening()[len(part) if "OPEN" in part else 0 :])
+        unopened.send(open_line()[len(part) if "OPEN" in part else 0 :])
         assert unopened.read() in ("", "RESET")  # and no attempt is made
-        assert node.process.wait(PATIENCE) == 0 and node.endpoints[0].received_lines.empty()
+        assert node.process.wait(TIMEOUT_S) == 0 and node.endpoints[0].received_lines.empty()
 
 
 def test_sigterm_migrates_a_session_at_the_end_of_its_line() -> None:
     with Node(peer := FakeEndpoint("s-1", X=None)) as node:
-        client = node.client(opening())
+        client = node.client(open_line())
         assert client.read() == "UP r1"
-        endpoint = peer.connections.get(timeout=PATIENCE)
+        endpoint = peer.connections.get(timeout=TIMEOUT_S)
         endpoint.sock.sendall(b"X ha")
         assert client.sock.recv(4) == b"X ha"
         node.terminate()
@@ -113,13 +113,13 @@
         expect_silence(0.9, client)  # the last migrations are over, the exit is not due yet
         endpoint.sock.sendall(b"lf\r\n")
         assert [client.read(), client.read(), client.read()] == ["lf", "MOVE", ""]
-        assert node.process.wait(PATIENCE) == 0
+        assert node.process.wait(TIMEOUT_S) == 0
 
 
 def test_sigterm_exits_before_the_kill_with_short_deadlines() -> None:
     """At 200 ms, SIGKILL may come after 0.9 s; a client that does not read must not delay the exit."""
     with Node(FakeEndpoint("s-1"), edit_config=set_class(give_up_us=200_000)) as node:
-        client = node.client(opening(d=2000))
+        client = node.client(open_line(wait_ms=2000))
         assert client.read() == "UP r1"
         node.terminate()
         assert node.process.wait(0.9) == 0  # the client keeps its side open
@@ -128,12 +128,12 @@
 
 def test_repeated_signals_end_the_process_once() -> None:
     with Node(FakeEndpoint("s-1")) as node:
-        client = node.client(opening())
+        client = node.client(open_line())
         assert client.read() == "UP r1"
         for number in (signal.SIGTERM, signal.SIGHUP, signal.SIGTERM, signal.SIGINT):
             node.process.send_signal(number)
         assert [client.read(), client.read()] == ["MOVE", ""]
-        assert node.process.wait(PATIENCE) == 0
+        assert node.process.wait(TIMEOUT_S) == 0
         assert node.process.stderr is not None and " faults=0" in node.process.stderr.read()
 
 
@@ -148,9 +148,9 @@
         stderr=subprocess.PIPE,
         text=True,
     ) as process:
-        agent.called.get(timeout=PATIENCE)
+        agent.called.get(timeout=TIMEOUT_S)
         process.send_signal(signal.SIGTERM)
-        log = process.communicate(timeout=PATIENCE)[1]
+        log = process.communicate(timeout=TIMEOUT_S)[1]
     assert process.returncode == 0 and "listening address" not in log and " faults=0" in log
     agent.close()
     rmtree(node.temp_dir)
--- a/tests/node/test_pushed_discovery.py
+++ b/tests/node/test_pushed_discovery.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from tests.node_kit import PATIENCE, Discovery, FakeEndpoint, Node, opening
+from tests.node_kit import TIMEOUT_S, Discovery, FakeEndpoint, Node, open_line
 
 REQUEST_NUMBERS = count(1000)  # for requests that only need different numbers
 
@@ -28,9 +28,9 @@
     first_peer, second_peer = FakeEndpoint("s-1"), FakeEndpoint("s-2")
     agent = Discovery(first_update=message(9, False, first_peer.list_entry("Terminating")))
     with Node(first_peer, second_peer, discovery=agent, edit_config=pushed) as node:
-        assert agent.watch_paths.get(timeout=PATIENCE) == "/v1/servers?watch=1&from=1"
+        assert agent.watch_paths.get(timeout=TIMEOUT_S) == "/v1/servers?watch=1&from=1"
         for number in range(1, 13):
-            assert node.client(opening(number)).read() == "UP r1"
+            assert node.client(open_line(number)).read() == "UP r1"
     assert first_peer.received_lines.empty() and second_peer.received_lines.qsize() == 12
 
 
@@ -38,9 +38,9 @@
     first_peer, second_peer = FakeEndpoint("s-1"), FakeEndpoint("s-2")
     agent = Discovery(first_update=message(9, False, first_peer.list_entry("Terminating")), refuse_calls=6)
     with Node(first_peer, second_peer, discovery=agent, edit_config=pushed) as node:
-        assert node.client(opening()).read() == "UP r1"  # by the last known list
-        agent.watch_paths.get(timeout=PATIENCE)
-        deadline = time.monotonic() + PATIENCE
+        assert node.client(open_line()).read() == "UP r1"  # by the last known list
+        agent.watch_paths.get(timeout=TIMEOUT_S)
+        deadline = time.monotonic() + TIMEOUT_S
         while (
             "map_servers_excluded:1|g" not in node.call_admin("/v1/metrics")[1]
             and time.monotonic() < deadline
@@ -55,12 +55,12 @@
     first_peer, second_peer = FakeEndpoint("s-1"), FakeEndpoint("s-2")
     agent = Discovery()
     with Node(first_peer, second_peer, discovery=agent, edit_config=pushed) as node:
-        assert agent.watch_paths.get(timeout=PATIENCE).endswith("from=1")
+        assert agent.watch_paths.get(timeout=TIMEOUT_S).endswith("from=1")
         agent.first_update = message(3, False, first_peer.list_entry("Terminating"))
         agent.updates.put(fault or Discovery.CLOSE)
         if fault == "{":
             agent.updates.put("]")
-        assert agent.watch_paths.get(timeout=PATIENCE).endswith("from=1")
+        assert agent.watch_paths.get(timeout=TIMEOUT_S).endswith("from=1")
         node.wait_for_log("discovery call failed")
         wait_until_sessions_go_to(node, second_peer, 8)
 
@@ -69,13 +69,13 @@
     """Return whether this number of new sessions are all established at this endpoint."""
     before = peer.received_lines.qsize()
     for _ in range(sessions):
-        assert node.client(opening(next(REQUEST_NUMBERS))).read() == "UP r1"
+        assert node.client(open_line(next(REQUEST_NUMBERS))).read() == "UP r1"
     return peer.received_lines.qsize() - before == sessions
 
 
 def wait_until_sessions_go_to(node: Node, peer: FakeEndpoint, sessions: int) -> None:
     """Open this number of sessions repeatedly, until all of them are established at this endpoint."""
-    deadline = time.monotonic() + PATIENCE
+    deadline = time.monotonic() + TIMEOUT_S
     while not all_sessions_go_to(node, peer, sessions) and time.monotonic() < deadline:
         pass
     assert time.monotonic() < deadline
@@ -89,5 +89,5 @@
     first_peer, second_peer = FakeEndpoint("s-1"), FakeEndpoint("s-2")
     agent = Discovery(first_update=message(9, True, second_peer.list_entry(), indent=4), chunk_count=pieces)
     with Node(first_peer, discovery=agent, edit_config=change) as node:
-        agent.watch_paths.get(timeout=PATIENCE)
+        agent.watch_paths.get(timeout=TIMEOUT_S)
         wait_until_sessions_go_to(node, second_peer, 4)
--- a/tests/node/test_recording.py
+++ b/tests/node/test_recording.py
@@ -10,7 +10,7 @@
 
 from standins.preload import Call, Machine
 from stepflow.traffic.writer import journals
-from tests.node_kit import PATIENCE, FakeEndpoint, Node, opening
+from tests.node_kit import TIMEOUT_S, FakeEndpoint, Node, open_line
 from tests.traffic.recorder_kit import KEY, count_kinds
 
 
@@ -25,9 +25,9 @@
     node.env["STEPFLOW_CONF"] = write_operator_file(tmp_path, str(tmp_path / "t"))
     with node:
         for number in range(3):
-            client = node.client(opening(number + 1))
+            client = node.client(open_line(number + 1))
             assert client.read() == "UP r1"
-            at_peer = peer.connections.get(timeout=PATIENCE)
+            at_peer = peer.connections.get(timeout=TIMEOUT_S)
             at_peer.send("LOAD 12.5")
             assert client.read() == "LOAD 12.5"
             client.close()
@@ -50,7 +50,7 @@
         machine.fail(Call.SHORT_WRITE, 0.7)
         answers: Counter[str] = Counter()
         for number in range(40):
-            client = node.client(opening(number + 1))
+            client = node.client(open_line(number + 1))
             answers[client.read().split()[0]] += 1
             client.close()
             time.sleep(0.03)
@@ -70,7 +70,7 @@
     node.env["STEPFLOW_CONF"] = write_operator_file(tmp_path, str(tmp_path / "file"))
     with node:
         node.wait_for_log("recording stopped after a failure")
-        assert node.client(opening()).read() == "UP r1"
+        assert node.client(open_line()).read() == "UP r1"
 
 
 def test_reload_starts_and_ends_a_recording_that_includes_established_sessions(tmp_path: Path) -> None:
@@ -79,7 +79,7 @@
     node = Node(FakeEndpoint("s-1"))
     node.env["STEPFLOW_CONF"] = str(path)
     with node:
-        client = node.client(opening())
+        client = node.client(open_line())
         assert client.read() == "UP r1"
         write_operator_file(tmp_path, str(tmp_path / "t"))
         node.process.send_signal(signal.SIGHUP)
--- a/tests/node/test_request_log.py
+++ b/tests/node/test_request_log.py
@@ -5,7 +5,7 @@
 import re
 from pathlib import Path
 
-from tests.node_kit import FakeEndpoint, Node, opening
+from tests.node_kit import FakeEndpoint, Node, open_line
 
 
 def events_of(seen: str, request: str) -> list[str]:
@@ -16,7 +16,7 @@
 
 def test_requests_are_not_logged_at_the_default_level() -> None:
     with Node(FakeEndpoint("s-1")) as node:
-        assert node.client(opening(7)).read() == "UP r1"
+        assert node.client(open_line(7)).read() == "UP r1"
         node.wait_for_counter("served", 1)
         assert events_of(node.log_text, f"{7:016x}") == []
 
@@ -27,7 +27,7 @@
     node = Node(FakeEndpoint("s-1", OPEN="BUSY"))
     node.env["STEPFLOW_CONF"] = str(conf)
     with node:
-        assert node.client(opening(7, d=400)).read().startswith("BUSY")
+        assert node.client(open_line(7, wait_ms=400)).read().startswith("BUSY")
         node.wait_for_counter("rejected", 1)
         events = events_of(node.log_text, f"{7:016x}")
         closed = [event for event in events if event == "connection closed"]
--- a/tests/node/test_scarce_watches.py
+++ b/tests/node/test_scarce_watches.py
@@ -13,19 +13,19 @@
 import pytest
 
 from standins.preload import Call, Machine
-from tests.node.machine_kit import OWED_END_S, on
-from tests.node.session_kit import LAST, SilentEndpoint, end_of, read_to_end, session
-from tests.node_kit import FakeEndpoint, Node, opening
+from tests.node.machine_kit import END_DEADLINE_S, with_faults
+from tests.node.session_kit import LAST_LINES, SilentEndpoint, expected_end, read_to_end, session
+from tests.node_kit import FakeEndpoint, Node, open_line
 
 FAILURE_SHARE = 0.3
 REQUESTS = 20
 
 
 def test_requests_are_answered_while_watching_connections_may_fail(machine: Machine) -> None:
-    with on(machine, Node(FakeEndpoint("s-1"), FakeEndpoint("s-2"))) as node:
+    with with_faults(machine, Node(FakeEndpoint("s-1"), FakeEndpoint("s-2"))) as node:
         machine.fail(Call.WATCH, FAILURE_SHARE, [errno.ENOMEM])
         for number in range(REQUESTS):
-            client = node.client(opening(number, d=5000))
+            client = node.client(open_line(number, wait_ms=5000))
             assert client.read() == "UP r1"
             client.send("M 1")
             assert client.read() == "M 1"
@@ -40,15 +40,15 @@
 def test_ends_are_passed_on_in_time_while_watching_connections_may_fail(
     machine: Machine, by_client: bool, reset: bool
 ) -> None:
-    with on(machine, Node(peer := SilentEndpoint())) as node:
+    with with_faults(machine, Node(peer := SilentEndpoint())) as node:
         sessions = [session(node, peer, number) for number in range(REQUESTS)]
         machine.fail(Call.WATCH, FAILURE_SHARE, [errno.ENOMEM])
         for client, endpoint in sessions:
             writer, reader = (client, endpoint) if by_client else (endpoint, client)
-            writer.send(*LAST)
+            writer.send(*LAST_LINES)
             writer.close(reset)
-            reader.sock.settimeout(OWED_END_S)
-            assert read_to_end(reader) == [*LAST, end_of(reset)]
+            reader.sock.settimeout(END_DEADLINE_S)
+            assert read_to_end(reader) == [*LAST_LINES, expected_end(reset)]
         machine.heal()
         node.wait_for_counter("outlived", 0)
         assert "Traceback" not in node.log_text
--- a/tests/node/test_suspended_process.py
+++ b/tests/node/test_suspended_process.py
@@ -7,8 +7,8 @@
 
 import queue
 
-from tests.node.race_kit import LateEndpoint, connecting, expect_silence, set_class
-from tests.node_kit import PATIENCE, Discovery, FakeEndpoint, LineConnection, Node, opening
+from tests.node.race_kit import LateEndpoint, expect_silence, node_with_pending_connect, set_class
+from tests.node_kit import TIMEOUT_S, Discovery, FakeEndpoint, LineConnection, Node, open_line
 
 
 def pending_attempt(node: Node) -> LineConnection:
@@ -27,7 +27,7 @@
         client = node.client("PING")
         assert client.read() == "PONG"
         node.suspend()
-        client.send(opening())
+        client.send(open_line())
         expect_silence(2.7, client)
         node.resume()
         assert client.read() == "UP r1"
@@ -36,11 +36,11 @@
 def test_endpoint_whose_echo_came_in_time_does_not_count_as_hung() -> None:
     """Otherwise all sessions of all endpoints would be migrated after a suspension of 2 s."""
     with Node(peer := FakeEndpoint("s-1", X=None)) as node:
-        client = node.client(opening())
+        client = node.client(open_line())
         assert client.read() == "UP r1"
-        session = peer.connections.get(timeout=PATIENCE)
+        session = peer.connections.get(timeout=TIMEOUT_S)
         client.send("X 1")
-        assert [peer.received_lines.get(timeout=PATIENCE) for _ in range(2)][1] == "X 1"
+        assert [peer.received_lines.get(timeout=TIMEOUT_S) for _ in range(2)][1] == "X 1"
         node.suspend()
         session.send("X 1")
         expect_silence(2.7, client)
@@ -54,7 +54,7 @@
     """Otherwise an established session would be closed, and its client rejected."""
     change = set_class(give_up_us=3_000_000)
     with Node(FakeEndpoint("s-1", OPEN=None), FakeEndpoint("s-2", OPEN=None), edit_config=change) as node:
-        client = node.client(opening(d=3000))
+        client = node.client(open_line(wait_ms=3000))
         attempt = pending_attempt(node)
         node.suspend()
         attempt.send("UP r7")
@@ -67,7 +67,7 @@
     """Otherwise all nodes would renew their watches at once after the machine was suspended."""
     discovery = Discovery()
     with Node(FakeEndpoint("s-1"), discovery=discovery) as node:
-        assert discovery.watch_paths.get(timeout=PATIENCE)
+        assert discovery.watch_paths.get(timeout=TIMEOUT_S)
         client = node.client()
         node.suspend()
         discovery.send_update(node.endpoints[0].list_entry())
@@ -81,7 +81,7 @@
 def test_no_request_is_sent_for_a_client_that_left_after_the_connect() -> None:
     """The node handles both events in one reactor turn, the connect first."""
     endpoint = LateEndpoint("s-1")
-    with connecting(endpoint) as (node, _, client):
+    with node_with_pending_connect(endpoint) as (node, _, client):
         node.suspend()
         late = endpoint.open()
         client.close()
--- a/tests/node/test_unread_log.py
+++ b/tests/node/test_unread_log.py
@@ -9,7 +9,7 @@
 
 from pathlib import Path
 
-from tests.node_kit import PATIENCE, FakeEndpoint, Node, opening
+from tests.node_kit import TIMEOUT_S, FakeEndpoint, Node, open_line
 
 CLIENTS = 250  # their log exceeds the capacity of a pipe
 ANSWER_S = 2.0
@@ -26,9 +26,9 @@
 def test_clients_are_served_although_the_log_is_not_read() -> None:
     with with_debug_log(Node(FakeEndpoint("s-1"), FakeEndpoint("s-2"), FakeEndpoint("s-3"))) as node:
         for number in range(CLIENTS):
-            client = node.client(opening(number))
+            client = node.client(open_line(number))
             client.sock.settimeout(ANSWER_S)
             assert client.read() != ""
             client.close()
         node.terminate()
-        assert node.process.wait(PATIENCE) == 0
+        assert node.process.wait(TIMEOUT_S) == 0
--- a/tests/node/test_wall_clock.py
+++ b/tests/node/test_wall_clock.py
@@ -11,8 +11,8 @@
 import pytest
 
 from standins.preload import Machine
-from tests.node.machine_kit import on
-from tests.node_kit import PATIENCE, FakeEndpoint, Node, opening
+from tests.node.machine_kit import with_faults
+from tests.node_kit import TIMEOUT_S, FakeEndpoint, Node, open_line
 
 HOUR = 3600.0
 STEP_DETECTION_S = 1.2  # time within which a step is detected
@@ -21,10 +21,10 @@
 
 def test_a_request_is_answered_in_time_after_the_wall_clock_was_set_back(machine: Machine) -> None:
     """The attempt hangs, so only a timer can end it; no timer fired until the clock had caught up."""
-    with on(machine, Node(FakeEndpoint("s-1", OPEN=None))) as node:
+    with with_faults(machine, Node(FakeEndpoint("s-1", OPEN=None))) as node:
         machine.step_wall_clock(-HOUR)
         time.sleep(STEP_DETECTION_S)  # timers set before the step are overdue by now
-        client = node.client(opening(d=1000))
+        client = node.client(open_line(wait_ms=1000))
         client.sock.settimeout(1.0 + SLACK_S)
         began = time.monotonic()
         assert client.read() in ("BUSY", "ERR")
@@ -38,14 +38,14 @@
 def test_a_graceful_shutdown_keeps_its_schedule_across_wall_clock_steps(
     machine: Machine, seconds: float
 ) -> None:
-    with on(machine, Node(peer := FakeEndpoint("s-1"))) as node:
-        client = node.client(opening())
+    with with_faults(machine, Node(peer := FakeEndpoint("s-1"))) as node:
+        client = node.client(open_line())
         assert client.read() == "UP r1"
-        peer.connections.get(timeout=PATIENCE)
+        peer.connections.get(timeout=TIMEOUT_S)
         node.terminate()
         node.wait_for_log('event="shutdown started"')
         began = time.monotonic()
         machine.step_wall_clock(seconds)
         assert client.read() == "MOVE"
-        assert node.process.wait(PATIENCE) == 0
+        assert node.process.wait(TIMEOUT_S) == 0
         assert 0.4 < time.monotonic() - began < 1.2 + 0.7
--- a/tests/node_kit.py
+++ b/tests/node_kit.py
@@ -22,7 +22,7 @@
 from types import TracebackType
 from typing import Any
 
-PATIENCE = 30.0  # seconds: the timeout of each wait for an expected event
+TIMEOUT_S = 30.0  # seconds: the timeout of each wait for an expected event
 
 SETTINGS: dict[str, Any] = {
     "group_size": 1,
@@ -43,7 +43,7 @@
 
     def __init__(self, sock: socket.socket) -> None:
         self.sock = sock
-        sock.settimeout(PATIENCE)
+        sock.settimeout(TIMEOUT_S)
         self._file = sock.makefile("rb")
 
     def send(self, *lines: str) -> None:
@@ -260,9 +260,9 @@
             rmtree(self.temp_dir)
 
     def wait_for_log(self, pattern: str) -> re.Match[str]:
-        """Read the log up to the first line that matches; kill the node if none comes within PATIENCE."""
+        """Read the log up to the first line that matches; kill the node if none comes within TIMEOUT_S."""
         assert self.process.stderr is not None
-        limit = threading.Timer(PATIENCE, self.process.kill)
+        limit = threading.Timer(TIMEOUT_S, self.process.kill)
         limit.start()
         try:
             for line in self.process.stderr:
@@ -274,12 +274,12 @@
         raise AssertionError(f"the node ended before it logged {pattern!r}; its log: {self.log_text}")
 
     def wait_exit(self) -> str:
-        """Wait for the process to exit and return its whole log; kill it after PATIENCE.
+        """Wait for the process to exit and return its whole log; kill it after TIMEOUT_S.
 
         `communicate` would skip the text that `wait_for_log` has already read into its buffer.
         """
         assert self.process.stderr is not None
-        limit = threading.Timer(PATIENCE, self.process.kill)
+        limit = threading.Timer(TIMEOUT_S, self.process.kill)
         limit.start()
         try:
             self.log_text += self.process.stderr.read()
@@ -290,7 +290,7 @@
 
     def wait_for_counter(self, name: str, value: int) -> None:
         """Poll a counter until it reaches `value`: the events that it counts may still be under way."""
-        deadline, log_before = time.monotonic() + PATIENCE, self.log_text
+        deadline, log_before = time.monotonic() + TIMEOUT_S, self.log_text
         while True:
             self.log_text = log_before  # drop the log of the previous poll: there may be a thousand polls
             self.process.send_signal(signal.SIGUSR1)
@@ -304,7 +304,7 @@
         sock = socket.socket()
         if receive_buffer:
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, receive_buffer)
-        sock.settimeout(PATIENCE)
+        sock.settimeout(TIMEOUT_S)
         sock.connect(("127.0.0.1", self.port))
         line = LineConnection(sock)
         if lines:
@@ -313,7 +313,7 @@
 
     def call_admin(self, path: str, method: str = "GET") -> tuple[int, str]:
         """Make one call to the admin address and return the answer's status and body."""
-        call = http.client.HTTPConnection(*self.admin_address, timeout=PATIENCE)
+        call = http.client.HTTPConnection(*self.admin_address, timeout=TIMEOUT_S)
         call.request(method, path)
         answer = call.getresponse()
         assert answer.getheader("connection") == "close"
@@ -339,9 +339,11 @@
         self.process.send_signal(signal.SIGTERM)
 
 
-def opening(number: int = 1, extra: str = "", d: int = 1000, group: int = 0x5C0F6E1A2B3D4C59) -> str:
-    """Return an OPEN line of class `view`; `d` is the client's wait in ms, `extra` goes before the group."""
-    return f"OPEN {number:016x} 7f3a9c21e0b4d655 c=view,d={d}{extra},g={group:016x}"
+def open_line(
+    number: int = 1, extra_fields: str = "", wait_ms: int = 1000, group: int = 0x5C0F6E1A2B3D4C59
+) -> str:
+    """Return an OPEN line of class `view`; `extra_fields` goes before the group."""
+    return f"OPEN {number:016x} 7f3a9c21e0b4d655 c=view,d={wait_ms}{extra_fields},g={group:016x}"
 
 
 def list_entry(uid: str, address: str, state: str = "Ready") -> dict[str, Any]:
--- a/tests/test_format_journal.py
+++ b/tests/test_format_journal.py
@@ -40,7 +40,7 @@
     TimerFired,
 )
 from stepflow.traffic import Recorder, read_journal
-from tests.node_kit import FakeEndpoint, Node, opening
+from tests.node_kit import FakeEndpoint, Node, open_line
 
 DATA = Path(__file__).parent / "data"
 JOURNAL = DATA / "traffic-v1.sft"  # every kind of row, as version 0.3.0 wrote them
@@ -176,7 +176,7 @@
     node = Node(FakeEndpoint("s-1"))
     node.env["STEPFLOW_CONF"] = str(conf)
     with node:
-        assert node.client(opening(d=30_000)).read() == "UP r1"
+        assert node.client(open_line(wait_ms=30_000)).read() == "UP r1"
         node.terminate()
         node.wait_for_log("counters: ")
         process = node.process.pid
--- a/tests/test_format_ops.py
+++ b/tests/test_format_ops.py
@@ -13,7 +13,7 @@
 
 from stepflow.node.admin.metrics import Gauges, render
 from stepflow.node.runtime.counters import ClassCounts, Counters
-from tests.node_kit import PATIENCE, FakeEndpoint, Node, opening
+from tests.node_kit import TIMEOUT_S, FakeEndpoint, Node, open_line
 
 COUNTER_KEYS = [
     "clients",
@@ -99,7 +99,7 @@
 
 def send_request(node: Node, method: str, path: str) -> tuple[int, dict[str, str], str]:
     """Send an HTTP request; return the status, the headers and the body of the response."""
-    connection = http.client.HTTPConnection(*node.admin_address, timeout=PATIENCE)
+    connection = http.client.HTTPConnection(*node.admin_address, timeout=TIMEOUT_S)
     connection.request(method, path)
     response = connection.getresponse()
     headers = {name.lower(): value for name, value in response.getheaders()}
@@ -144,7 +144,7 @@
     with Node(FakeEndpoint("s-1"), FakeEndpoint("s-2"), edit_config=two_classes) as node:
         assert send_request(node, "GET", "/v1/readyz") == (200, plain_headers("ready\n"), "ready\n")
         assert send_request(node, "HEAD", "/v1/readyz") == (200, plain_headers("ready\n"), "")
-        client = node.client(opening(d=30_000))
+        client = node.client(open_line(wait_ms=30_000))
         assert client.read() == "UP r1"
         assert node.client("HELLO").read() == "ERR malformed"
         node.reload("{")
@@ -199,4 +199,4 @@
         # Printed at the exit, without a signal.
         last = read_counters(node.wait_for_log(r"^counters: ").string)
         assert list(last) == COUNTER_KEYS and last["moved"] == 1
-        assert node.process.wait(PATIENCE) == 0
+        assert node.process.wait(TIMEOUT_S) == 0
--- a/tests/test_terms.py
+++ b/tests/test_terms.py
@@ -12,7 +12,7 @@
 
 import pytest
 
-from tests.node_kit import PATIENCE, Discovery, FakeEndpoint, Node, opening
+from tests.node_kit import TIMEOUT_S, Discovery, FakeEndpoint, Node, open_line
 
 ROOT = Path(__file__).resolve().parent.parent
 # Modules outside stepflow that an idle node has loaded: 311, of 364 before issue 33 and of 457 in all before
@@ -36,11 +36,11 @@
     if not unix:
         node.env["REFUSED_UNIX"] = "1"
     with node:
-        client = node.client(opening())
+        client = node.client(open_line())
         assert client.read() == "UP r1"
         new_discovery = Discovery()
         node.reload(discovery=new_discovery.address)
-        assert new_discovery.watch_paths.get(timeout=PATIENCE).startswith("/v1/servers?watch=1")
+        assert new_discovery.watch_paths.get(timeout=TIMEOUT_S).startswith("/v1/servers?watch=1")
         client.send("M 1")
         assert client.read() == "M 1"
         assert node.call_admin("/v1/readyz")[0] == 200
@@ -49,7 +49,7 @@
         log = node.wait_exit()
         assert node.process.returncode == 0
         new_discovery.close()
-    assert peer.received_lines.get(timeout=PATIENCE).startswith("OPEN ")
+    assert peer.received_lines.get(timeout=TIMEOUT_S).startswith("OPEN ")
     assert log.count("listening for a successor failed") == (0 if unix else 1)
     assert log.count("refused ") == (0 if unix else 1), log
 
@@ -78,7 +78,7 @@
     node = Node(FakeEndpoint("s-1"))
     node.env["TMPDIR"] = f"{node.temp_dir}/not/there"
     with node:
-        assert node.client(opening()).read() == "UP r1"
+        assert node.client(open_line()).read() == "UP r1"
         node.terminate()
         log = node.wait_exit()
     assert log.count("listening for a successor failed") == 1
--- a/tests/traffic/test_writer.py
+++ b/tests/traffic/test_writer.py
@@ -7,7 +7,7 @@
 
 from stepflow.traffic import Writer
 from stepflow.traffic.writer import MAX_PENDING_BYTES, journals
-from tests.node_kit import PATIENCE
+from tests.node_kit import TIMEOUT_S
 
 
 def test_the_writer_keeps_max_files_files_and_drops_blocks_after_a_permanent_error(tmp_path: Path) -> None:
@@ -38,5 +38,5 @@
         writer = Writer(str(tmp_path), 2, lambda stamp=stamp: stamp)  # type: ignore[misc]
         for number in range(2):
             assert writer.put(data + b"%d" % number, True)
-        writer.close(PATIENCE)
+        writer.close(TIMEOUT_S)
     assert [Path(name).read_bytes() for name in journals(str(tmp_path))] == [b"new0", b"new1"]
