--- a/tests/node_kit.py
+++ b/tests/node_kit.py
@@ -203,7 +203,7 @@
         self.endpoints: tuple[FakeEndpoint, ...] = endpoints
         self.module = module
         self.discovery: Discovery | None = discovery or Discovery()
-        known = {"rev": 1, "all": True, "targets": [peer.list_entry() for peer in endpoints]}
+        known = {"rev": 1, "all": True, "targets": [endpoint.list_entry() for endpoint in endpoints]}
         self.config: dict[str, Any] = {
             "name": "n0",
             "listen": "127.0.0.1:0",
