--- a/tests/node/race_kit.py
+++ b/tests/node/race_kit.py
@@ -11,7 +11,7 @@
 from pathlib import Path
 from typing import Any
 
-from tests.node_kit import PATIENCE, Discovery, Line, Listener, Node, list_entry, opening
+from tests.node_kit import TIMEOUT_S, Discovery, LineConnection, Listener, Node, list_entry, open_line
 
 
 def set_class(**settings: Any) -> Callable[[dict[str, Any]], None]:
@@ -23,12 +23,12 @@
     return change
 
 
-def few_sockets(config: dict[str, Any]) -> None:
+def limit_sockets(config: dict[str, Any]) -> None:
     """Change the configuration to a limit that 150 clients exceed."""
     config["limits"]["sockets"] = 128
 
 
-def expect_silence(seconds: float, *silent: Line) -> None:
+def expect_silence(seconds: float, *silent: LineConnection) -> None:
     """Wait this long, and fail if anything arrives on one of these connections."""
     assert not select.select([line.sock for line in silent], [], [], seconds)[0]
 
@@ -40,7 +40,7 @@
         self.called: queue.Queue[str] = queue.Queue()
         super().__init__()
 
-    def serve(self, line: Line) -> None:
+    def serve(self, line: LineConnection) -> None:
         self.called.put(line.read())
         line.read()
 
@@ -56,20 +56,20 @@
         self.address = f"127.0.0.1:{self._sock.getsockname()[1]}"
         self._filler = socket.create_connection(self._sock.getsockname())
 
-    def entry(self, state: str = "Ready") -> dict[str, Any]:
+    def list_entry(self, state: str = "Ready") -> dict[str, Any]:
         """Its entry in discovery's list."""
         return list_entry(self.uid, self.address, state)
 
-    def open(self, patience: float = PATIENCE) -> Line:
+    def open(self, patience: float = TIMEOUT_S) -> LineConnection:
         """Let the next connection be established, and accept it."""
         self._sock.settimeout(patience)
         self._sock.accept()[0].close()
-        return Line(self._sock.accept()[0])
+        return LineConnection(self._sock.accept()[0])
 
     def wait_for_connect(self) -> None:
         """Wait until the kernel shows a pending connect (state 02, SYN_SENT)."""
         syn_sent = f"0100007F:{int(self.address.rpartition(':')[2]):04X} 02"
-        until = time.monotonic() + PATIENCE
+        until = time.monotonic() + TIMEOUT_S
         while syn_sent not in Path("/proc/net/tcp").read_text():
             assert time.monotonic() < until
 
@@ -78,19 +78,19 @@
         self._sock.close()
 
 
-def slow_connects(config: dict[str, Any]) -> None:
+def allow_slow_connects(config: dict[str, Any]) -> None:
     """Change the configuration so that connects may take 8 s, and no load report needs a connect."""
     config["settings"]["policy_limits"].update(connect_timeout_us=8_000_000, probing=False)
     config["settings"]["classes"][0]["give_up_us"] = 9_000_000
 
 
 @contextmanager
-def connecting(endpoint: LateEndpoint) -> Iterator[tuple[Node, Discovery, Line]]:
+def node_with_pending_connect(endpoint: LateEndpoint) -> Iterator[tuple[Node, Discovery, LineConnection]]:
     """Run a node that is connecting to the endpoint for a client; close the endpoint at the end."""
-    with Node(discovery=(discovery := Discovery()), change=slow_connects) as node:
-        assert discovery.calls.get(timeout=PATIENCE)
-        discovery.tell(endpoint.entry())
-        client = node.client(opening(d=9000))
+    with Node(discovery=(discovery := Discovery()), edit_config=allow_slow_connects) as node:
+        assert discovery.watch_paths.get(timeout=TIMEOUT_S)
+        discovery.send_update(endpoint.list_entry())
+        client = node.client(open_line(wait_ms=9000))
         endpoint.wait_for_connect()
         yield node, discovery, client
     endpoint.close()
