--- a/tests/handover_kit.py
+++ b/tests/handover_kit.py
@@ -249,18 +249,18 @@
     config["known"]["targets"][1]["state"] = "Terminating"
 
 
-def _send_half_lines(client: LineConnection, server: LineConnection, peer: FakeEndpoint) -> None:
+def _send_half_lines(client: LineConnection, server: LineConnection, endpoint: FakeEndpoint) -> None:
     """Have each side send a whole line and a half line at once; return when the whole lines are read."""
     server.sock.sendall(b"LOAD 2.5\r\n" + PEER_HALF)
     assert client.read() == "LOAD 2.5"
     client.sock.sendall(b"X 1\r\n" + CLIENT_HALF)
-    while not peer.received_lines.get(timeout=TIMEOUT_S).startswith("X"):
+    while not endpoint.received_lines.get(timeout=TIMEOUT_S).startswith("X"):
         pass
 
 
-def _without_addresses(line: str, *peers: FakeEndpoint) -> str:
-    for peer in peers:
-        line = line.replace(f'"{peer.address}"', f'"{RECORDED_PEER}"')
+def _without_addresses(line: str, *endpoints: FakeEndpoint) -> str:
+    for endpoint in endpoints:
+        line = line.replace(f'"{endpoint.address}"', f'"{RECORDED_PEER}"')
     return line
 
 
--- a/tests/node/admin/test_admin_site.py
+++ b/tests/node/admin/test_admin_site.py
@@ -63,10 +63,10 @@
     def try_once(config: dict[str, Any]) -> None:
         config["settings"]["policy_limits"]["most_tries"] = 1
 
-    with Node(peer := FakeEndpoint("s-1", OPEN=answer), edit_config=try_once) as node:
+    with Node(endpoint := FakeEndpoint("s-1", OPEN=answer), edit_config=try_once) as node:
         client = node.client(open_line(wait_ms=600))
         assert client.read().split(" ")[0] == client_line.split(" ")[0]
-        assert peer.received_lines.get(timeout=TIMEOUT_S)
+        assert endpoint.received_lines.get(timeout=TIMEOUT_S)
         lines = node.call_admin("/v1/metrics")[1].split("\n")
         assert lines[:4] == [f"edge_gw.requests.view.{count}|c" for count in counts.split(" ")]
         in_flight = int(answer == "UP r1")
--- a/tests/node/clients/test_eviction.py
+++ b/tests/node/clients/test_eviction.py
@@ -58,7 +58,7 @@
 def test_discovery_and_requests_get_descriptors_despite_idle_clients() -> None:
     """The list is fetched as soon as discovery is available again; health checks continue."""
     discovery = Discovery(refuse_calls=3)
-    with Node(peer := FakeEndpoint("s-1"), discovery=discovery, edit_config=limit_sockets) as node:
+    with Node(endpoint := FakeEndpoint("s-1"), discovery=discovery, edit_config=limit_sockets) as node:
         silent = [node.client() for _ in range(150)]
         assert node.client(open_line()).read() == "UP r1"
         while discovery.refuse_calls:
@@ -66,7 +66,7 @@
             assert node.client("PING").read() == "PONG"
         assert discovery.watch_paths.get(timeout=TIMEOUT_S)
         second = FakeEndpoint("s-2")
-        discovery.send_update(peer.list_entry("Terminating"), second.list_entry())
+        discovery.send_update(endpoint.list_entry("Terminating"), second.list_entry())
         answers = {node.client(open_line(number, wait_ms=1000)).read() for number in range(2, 8)}
         assert answers == {"UP r1"} and second.received_lines.get(timeout=TIMEOUT_S).startswith("OPEN ")
         node.terminate()
--- a/tests/node/clients/test_first_line.py
+++ b/tests/node/clients/test_first_line.py
@@ -39,13 +39,13 @@
     ],
 )
 def test_malformed_first_line_is_answered_and_reaches_no_endpoint(line: str) -> None:
-    with Node(peer := FakeEndpoint("s-1")) as node:
+    with Node(endpoint := FakeEndpoint("s-1")) as node:
         client = node.client()
         with suppress(OSError):  # the node may stop reading
             client.send(line)
         assert client.read() == "ERR malformed"
         assert node.client(open_line()).read() == "UP r1"  # the node still serves
-        assert peer.received_lines.get(timeout=TIMEOUT_S).startswith("OPEN 0000000000000001 ")
+        assert endpoint.received_lines.get(timeout=TIMEOUT_S).startswith("OPEN 0000000000000001 ")
 
 
 def test_id_of_another_open_request_is_malformed() -> None:
@@ -58,9 +58,9 @@
 
 
 def test_data_before_the_answer_cancels_the_request() -> None:
-    with Node(peer := FakeEndpoint("s-1", OPEN=None)) as node:
+    with Node(endpoint := FakeEndpoint("s-1", OPEN=None)) as node:
         client = node.client(open_line(wait_ms=30_000))
-        assert peer.received_lines.get(timeout=TIMEOUT_S).startswith("OPEN ")
+        assert endpoint.received_lines.get(timeout=TIMEOUT_S).startswith("OPEN ")
         client.send("M 1")
         assert client.read() == "ERR malformed"
         node.process.send_signal(signal.SIGUSR1)
--- a/tests/node/process/test_adoption.py
+++ b/tests/node/process/test_adoption.py
@@ -28,8 +28,8 @@
 
 
 def test_session_is_migrated_and_not_counted_when_the_successor_lacks_descriptors() -> None:
-    with Node(peer := SilentEndpoint()) as node:
-        client, endpoint = session(node, peer)
+    with Node(fake_endpoint := SilentEndpoint()) as node:
+        client, endpoint = session(node, fake_endpoint)
         with node.successor() as successor:
             time.sleep(0.3)  # until it has reported that it serves
             limit_free_descriptors(successor, RECEIVED_SOCKETS + 1)
--- a/tests/node/process/test_handover.py
+++ b/tests/node/process/test_handover.py
@@ -66,10 +66,10 @@
 
 def test_session_is_passed_with_its_half_line_and_its_owed_echo() -> None:
     """Regression: sessions were migrated, and most clients that reconnected at once were rejected."""
-    with Node(peer := FakeEndpoint("s-1", X=None), edit_config=set_longest_deadline) as old:
+    with Node(endpoint := FakeEndpoint("s-1", X=None), edit_config=set_longest_deadline) as old:
         client = old.client(open_line())
         assert client.read() == "UP r1"
-        server = peer.connections.get(timeout=TIMEOUT_S)
+        server = endpoint.connections.get(timeout=TIMEOUT_S)
         server.sock.sendall(b"LOAD 2.5\r\nM ha")
         assert client.read() == "LOAD 2.5"
         with old.successor() as new:
@@ -98,13 +98,13 @@
 
 def test_session_is_offered_only_once_all_its_bytes_are_sent() -> None:
     """Bytes that the predecessor has not sent to a slow client yet would be lost when it exits."""
-    with Node(peer := FakeEndpoint("s-1"), edit_config=set_longest_deadline) as old:
+    with Node(endpoint := FakeEndpoint("s-1"), edit_config=set_longest_deadline) as old:
         client = old.client(open_line())
         assert client.read() == "UP r1"
         text = "M " + "x" * 4000
         threading.Thread(target=client.send, args=[text] * 2000, daemon=True).start()
         for _ in range(500):
-            assert peer.received_lines.get(timeout=TIMEOUT_S)
+            assert endpoint.received_lines.get(timeout=TIMEOUT_S)
         with old.successor():
             old.terminate()
             old.wait_for_log("stopped accepting clients")
--- a/tests/node/process/test_handover_form.py
+++ b/tests/node/process/test_handover_form.py
@@ -192,8 +192,8 @@
 
     `learned` replaces the recorded snapshot.
     """
-    peer = FakeEndpoint("s-1")
-    sent, *rest = (line.replace(RECORDED_PEER, peer.address) for line in load_recording().old)
+    endpoint = FakeEndpoint("s-1")
+    sent, *rest = (line.replace(RECORDED_PEER, endpoint.address) for line in load_recording().old)
     state = json.loads(sent)
     if learned is not None:
         state["learned"] = learned
@@ -215,7 +215,7 @@
     old.close()
     for sock in (local_client, local_server, client, server, listener):
         sock.close()
-    peer.close()
+    endpoint.close()
 
 
 def logged_above_info(node: Node) -> list[str]:
--- a/tests/node/process/test_reload.py
+++ b/tests/node/process/test_reload.py
@@ -47,16 +47,16 @@
         settings["policy_limits"]["most_tries"] = 1
         settings["classes"][0]["effect"] = "once"
 
-    with Node(peer := FakeEndpoint("s-1", OPEN=None)) as node:
+    with Node(endpoint := FakeEndpoint("s-1", OPEN=None)) as node:
         client = node.client(open_line(1, wait_ms=8000))
-        assert peer.received_lines.get(timeout=TIMEOUT_S).startswith("OPEN 0000000000000001 ")
+        assert endpoint.received_lines.get(timeout=TIMEOUT_S).startswith("OPEN 0000000000000001 ")
         node.reload(settings=changed(once))
         node.wait_for_log("event=reloaded")
-        assert peer.received_lines.get(timeout=TIMEOUT_S).startswith("OPEN 0000000000000001 ")
+        assert endpoint.received_lines.get(timeout=TIMEOUT_S).startswith("OPEN 0000000000000001 ")
         client.close()
         # The request may have run, and now must not run twice; after another attempt it would say BUSY.
         assert node.client(open_line(2, wait_ms=600)).read() == "ERR"
-        received = [peer.received_lines.get() for _ in range(peer.received_lines.qsize())]
+        received = [endpoint.received_lines.get() for _ in range(endpoint.received_lines.qsize())]
         assert len([line for line in received if line.startswith("OPEN 0000000000000002 ")]) == 1
 
 
--- a/tests/node/process/test_transient_errors.py
+++ b/tests/node/process/test_transient_errors.py
@@ -150,16 +150,16 @@
 
 def test_no_attempt_starts_for_a_client_whose_end_is_unread(machine: Machine) -> None:
     """The client's end is read late, after many other events of the same reactor turn."""
-    with with_faults(machine, Node(peer := FakeEndpoint("s-1", OPEN="BUSY"))) as node:
+    with with_faults(machine, Node(endpoint := FakeEndpoint("s-1", OPEN="BUSY"))) as node:
         client = node.client(open_line(wait_ms=1000))
-        assert peer.received_lines.get(timeout=TIMEOUT_S).startswith("OPEN")
+        assert endpoint.received_lines.get(timeout=TIMEOUT_S).startswith("OPEN")
         machine.fail(Call.RECV_ACCEPTED, 1.0, [errno.EAGAIN])  # what clients send is read late
         client.close()
         time.sleep(0.1)
-        while not peer.received_lines.empty():
-            peer.received_lines.get()
+        while not endpoint.received_lines.empty():
+            endpoint.received_lines.get()
         time.sleep(0.6)  # a refused attempt is followed by another within 0.4 s
-        assert peer.received_lines.empty()
+        assert endpoint.received_lines.empty()
         machine.heal()
         node.wait_for_counter("left", 1)
 
--- a/tests/node/session_kit.py
+++ b/tests/node/session_kit.py
@@ -39,11 +39,11 @@
         node.resume()
 
 
-def session(node: Node, peer: FakeEndpoint, number: int = 1) -> tuple[LineConnection, LineConnection]:
+def session(node: Node, endpoint: FakeEndpoint, number: int = 1) -> tuple[LineConnection, LineConnection]:
     """Establish a session; return the client's connection and the endpoint's."""
     client = node.client(open_line(number))
     assert client.read() == "UP r1"
-    return client, peer.connections.get(timeout=TIMEOUT_S)
+    return client, endpoint.connections.get(timeout=TIMEOUT_S)
 
 
 def read_to_end(line: LineConnection) -> list[str]:
@@ -64,11 +64,11 @@
     return [f"LOAD {number:06d} {'z' * 1010}" for number in range(kilobytes)]
 
 
-def small_buffer_session(node: Node, peer: FakeEndpoint) -> tuple[LineConnection, LineConnection]:
+def small_buffer_session(node: Node, endpoint: FakeEndpoint) -> tuple[LineConnection, LineConnection]:
     """Establish a session whose client has a receive buffer of a few kilobytes."""
     client = node.client(open_line(), receive_buffer=4096)
     assert client.read() == "UP r1"
-    return client, peer.connections.get(timeout=TIMEOUT_S)
+    return client, endpoint.connections.get(timeout=TIMEOUT_S)
 
 
 def flood(line: LineConnection) -> None:
--- a/tests/node/test_ends_carried_out.py
+++ b/tests/node/test_ends_carried_out.py
@@ -37,9 +37,9 @@
 @pytest.mark.parametrize("answer", ["BYE", "ERR"])
 def test_an_answer_is_relayed_although_its_endpoint_keeps_sending(answer: str) -> None:
     """The node resets the endpoint's connection and answers the client after that."""
-    with Node(peer := SilentEndpoint(up=None), edit_config=EFFECT_ONCE) as node:
+    with Node(fake_endpoint := SilentEndpoint(up=None), edit_config=EFFECT_ONCE) as node:
         client = node.client(open_line())
-        endpoint = peer.connections.get(timeout=TIMEOUT_S)
+        endpoint = fake_endpoint.connections.get(timeout=TIMEOUT_S)
         began = time.monotonic()
         with suspended(node):
             endpoint.send(answer, *kilobyte_lines(110))
@@ -49,13 +49,13 @@
 
 
 def test_a_rejected_request_is_retried_although_its_endpoint_keeps_sending() -> None:
-    with Node(peer := SilentEndpoint(up=None), edit_config=EFFECT_ONCE) as node:
+    with Node(fake_endpoint := SilentEndpoint(up=None), edit_config=EFFECT_ONCE) as node:
         client = node.client(open_line())
-        endpoint = peer.connections.get(timeout=TIMEOUT_S)
+        endpoint = fake_endpoint.connections.get(timeout=TIMEOUT_S)
         began = time.monotonic()
         with suspended(node):
             endpoint.send("BUSY", *kilobyte_lines(110))
-        peer.connections.get(timeout=0.5).send("UP r1")
+        fake_endpoint.connections.get(timeout=0.5).send("UP r1")
         assert client.read() == "UP r1"
         expect_end(node, endpoint, began)
 
@@ -65,11 +65,13 @@
     machine: Machine, extra: str
 ) -> None:
     wait_ms = int(SHORT_REQUEST_S * 1000)
-    with with_faults(machine, Node(peer := SilentEndpoint(up=None), edit_config=EFFECT_ONCE)) as node:
+    with with_faults(
+        machine, Node(fake_endpoint := SilentEndpoint(up=None), edit_config=EFFECT_ONCE)
+    ) as node:
         delay_event_loop(machine)
         began = time.monotonic()
         client = node.client(open_line(wait_ms=wait_ms, extra_fields=extra))
-        endpoint = peer.connections.get(timeout=TIMEOUT_S)
+        endpoint = fake_endpoint.connections.get(timeout=TIMEOUT_S)
         write_lines(endpoint, "LOAD 1", SHORT_REQUEST_S + 0.3)
         expect_end(node, endpoint, began + SHORT_REQUEST_S)
         client.sock.settimeout(0.2)
@@ -77,10 +79,10 @@
 
 
 def test_an_attempt_ends_when_its_client_leaves_although_its_endpoint_writes(machine: Machine) -> None:
-    with with_faults(machine, Node(peer := SilentEndpoint(up=None))) as node:
+    with with_faults(machine, Node(fake_endpoint := SilentEndpoint(up=None))) as node:
         client = node.client(open_line())
         delay_event_loop(machine)
-        endpoint = peer.connections.get(timeout=TIMEOUT_S)
+        endpoint = fake_endpoint.connections.get(timeout=TIMEOUT_S)
         began = time.monotonic()
         client.close(reset=True)
         write_lines(endpoint, "LOAD 1")
@@ -96,9 +98,9 @@
             line.send("PONG x0=0.2,x1=0.0,util=0.2")
             self.unanswered.put(line)
 
-    with with_faults(machine, Node(peer := HealthCheckEndpoint("s-1"))) as node:
+    with with_faults(machine, Node(fake_endpoint := HealthCheckEndpoint("s-1"))) as node:
         node.client(open_line())
-        endpoint = peer.unanswered.get(timeout=TIMEOUT_S)
+        endpoint = fake_endpoint.unanswered.get(timeout=TIMEOUT_S)
         delay_event_loop(machine)
         began = time.monotonic()
         write_lines(endpoint)
@@ -107,8 +109,8 @@
 
 @pytest.mark.parametrize("reset", [False, True])
 def test_an_endpoint_that_writes_as_its_client_ends_is_closed_in_time(machine: Machine, reset: bool) -> None:
-    with with_faults(machine, Node(peer := SilentEndpoint())) as node:
-        client, endpoint = session(node, peer)
+    with with_faults(machine, Node(fake_endpoint := SilentEndpoint())) as node:
+        client, endpoint = session(node, fake_endpoint)
         delay_event_loop(machine)
         began = time.monotonic()
         client.close(reset)
@@ -120,8 +122,8 @@
 def test_an_overlong_line_ends_both_sides_although_its_sender_keeps_writing(
     machine: Machine, by_client: bool
 ) -> None:
-    with with_faults(machine, Node(peer := SilentEndpoint())) as node:
-        client, endpoint = session(node, peer)
+    with with_faults(machine, Node(fake_endpoint := SilentEndpoint())) as node:
+        client, endpoint = session(node, fake_endpoint)
         writer, reader = (client, endpoint) if by_client else (endpoint, client)
         delay_event_loop(machine)
         began = time.monotonic()
@@ -133,8 +135,8 @@
 
 def test_a_session_that_neither_side_reads_is_ended() -> None:
     """The buffers of both directions are full."""
-    with Node(peer := SilentEndpoint()) as node:
-        client, endpoint = small_buffer_session(node, peer)
+    with Node(fake_endpoint := SilentEndpoint()) as node:
+        client, endpoint = small_buffer_session(node, fake_endpoint)
         began = time.monotonic()
         flood(client)
         flood(endpoint)
@@ -149,8 +151,8 @@
     Seen: the connection stayed open forever. Before the forced close the node counts the dropped bytes, and
     it queried the endpoint's closed socket: `timer callback failed`, with ValueError for descriptor -1.
     """
-    with with_faults(machine, Node(peer := SilentEndpoint())) as node:
-        client, endpoint = session(node, peer)
+    with with_faults(machine, Node(fake_endpoint := SilentEndpoint())) as node:
+        client, endpoint = session(node, fake_endpoint)
         machine.fail(Call.SEND_ACCEPTED, 1.0, [errno.EAGAIN])  # as with a full receive buffer
         began = time.monotonic()
         endpoint.send(*LAST_LINES)
@@ -163,8 +165,8 @@
     machine: Machine, reset: bool
 ) -> None:
     """Seen: up to 2.5 s. Reading from the endpoint is paused meanwhile, so its end was not detected."""
-    with with_faults(machine, Node(peer := SilentEndpoint())) as node:
-        client, endpoint = session(node, peer)
+    with with_faults(machine, Node(fake_endpoint := SilentEndpoint())) as node:
+        client, endpoint = session(node, fake_endpoint)
         machine.fail(Call.SEND_ACCEPTED, 1.0, [errno.EAGAIN])  # as with a full receive buffer
         endpoint.send(*kilobyte_lines(110))
         time.sleep(0.3)
@@ -176,8 +178,8 @@
 
 
 def test_a_client_that_writes_as_its_endpoint_ends_is_closed_during_a_shutdown(machine: Machine) -> None:
-    with with_faults(machine, Node(peer := SilentEndpoint(), edit_config=LONG_SHUTDOWN)) as node:
-        client, endpoint = session(node, peer)
+    with with_faults(machine, Node(fake_endpoint := SilentEndpoint(), edit_config=LONG_SHUTDOWN)) as node:
+        client, endpoint = session(node, fake_endpoint)
         node.terminate()
         node.wait_for_log("stopped accepting clients")
         delay_event_loop(machine)
@@ -189,8 +191,8 @@
 
 
 def test_a_client_that_writes_as_its_endpoint_ends_is_closed_after_a_hand_over(machine: Machine) -> None:
-    with with_faults(machine, Node(peer := SilentEndpoint(), edit_config=LONG_SHUTDOWN)) as node:
-        client, endpoint = session(node, peer)
+    with with_faults(machine, Node(fake_endpoint := SilentEndpoint(), edit_config=LONG_SHUTDOWN)) as node:
+        client, endpoint = session(node, fake_endpoint)
         with node.successor() as successor:
             node.terminate()
             node.process.wait(TIMEOUT_S)
@@ -216,8 +218,8 @@
     Only the newest 64 lines without an echo were recorded, so that 64 echoes cleared any number of them, and
     no line was timed any more.
     """
-    with Node(peer := SilentEndpoint()) as node:
-        client, endpoint = session(node, peer)
+    with Node(fake_endpoint := SilentEndpoint()) as node:
+        client, endpoint = session(node, fake_endpoint)
         client.send(*["M 1"] * 3 * ECHOED_LINES)
         for _ in range(ECHOED_LINES):
             endpoint.send(endpoint.read())
@@ -230,8 +232,8 @@
     reset: bool,
 ) -> None:
     """Seen: the client waited for the suspended successor, or for the final migrations of its predecessor."""
-    with Node(peer := SilentEndpoint(), edit_config=LONG_SHUTDOWN) as node:
-        client, endpoint = session(node, peer)
+    with Node(fake_endpoint := SilentEndpoint(), edit_config=LONG_SHUTDOWN) as node:
+        client, endpoint = session(node, fake_endpoint)
         with node.successor() as successor:
             time.sleep(0.3)  # until the successor has announced that it serves
             with suspended(successor):
--- a/tests/node/test_ends_in_order.py
+++ b/tests/node/test_ends_in_order.py
@@ -44,8 +44,8 @@
 @pytest.mark.parametrize("reset", [False, True])
 def test_data_beyond_one_read_reaches_the_client_although_a_write_fails(reset: bool) -> None:
     """The client's line is written to an endpoint that has closed, while half of its data is still unread."""
-    with Node(peer := SilentEndpoint()) as node:
-        client, endpoint = session(node, peer)
+    with Node(fake_endpoint := SilentEndpoint()) as node:
+        client, endpoint = session(node, fake_endpoint)
         with suspended(node):
             client.send("M 1")
             endpoint.send(*kilobyte_lines(110))
@@ -58,8 +58,8 @@
 @pytest.mark.parametrize("reset", [False, True])
 def test_a_client_that_reads_late_receives_all_data_before_the_end(reset: bool) -> None:
     """The client's full buffer pauses its endpoint, whose end becomes known while reading is paused."""
-    with Node(peer := SilentEndpoint()) as node:
-        client, endpoint = small_buffer_session(node, peer)
+    with Node(fake_endpoint := SilentEndpoint()) as node:
+        client, endpoint = small_buffer_session(node, fake_endpoint)
         endpoint.send(*kilobyte_lines(90))
         endpoint.close(reset)
         time.sleep(0.3)
@@ -68,8 +68,8 @@
 
 
 def test_data_that_a_client_never_reads_is_counted_as_dropped() -> None:
-    with Node(peer := SilentEndpoint()) as node:
-        client, endpoint = small_buffer_session(node, peer)
+    with Node(fake_endpoint := SilentEndpoint()) as node:
+        client, endpoint = small_buffer_session(node, fake_endpoint)
         flood(endpoint)
         endpoint.close(reset=True)
         node.wait_for_log("session data dropped.* to=client")
@@ -78,8 +78,8 @@
 
 
 def test_a_client_that_half_closes_still_receives_data() -> None:
-    with Node(peer := SilentEndpoint()) as node:
-        client, endpoint = session(node, peer)
+    with Node(fake_endpoint := SilentEndpoint()) as node:
+        client, endpoint = session(node, fake_endpoint)
         client.send("LAST words")
         client.sock.shutdown(socket.SHUT_WR)
         assert read_to_end(endpoint) == ["LAST words", ""]
@@ -89,8 +89,8 @@
 
 
 def test_an_endpoint_that_half_closes_still_receives_data() -> None:
-    with Node(peer := SilentEndpoint()) as node:
-        client, endpoint = session(node, peer)
+    with Node(fake_endpoint := SilentEndpoint()) as node:
+        client, endpoint = session(node, fake_endpoint)
         with suspended(node):
             client.send("LAST words")
             endpoint.send(*LAST_LINES)
@@ -102,8 +102,8 @@
 
 @pytest.mark.parametrize("by_client", [False, True])
 def test_lines_before_an_overlong_line_are_relayed(by_client: bool) -> None:
-    with Node(peer := SilentEndpoint()) as node:
-        client, endpoint = session(node, peer)
+    with Node(fake_endpoint := SilentEndpoint()) as node:
+        client, endpoint = session(node, fake_endpoint)
         writer, reader = (client, endpoint) if by_client else (endpoint, client)
         with suspended(node):
             writer.send(*LAST_LINES, "x" * 5000)
@@ -112,8 +112,8 @@
 
 def test_lines_unread_at_a_migration_are_relayed_before_move() -> None:
     """The data exceeds what the node reads from one connection in a turn."""
-    with Node(peer := SilentEndpoint()) as node:
-        client, endpoint = session(node, peer)
+    with Node(fake_endpoint := SilentEndpoint()) as node:
+        client, endpoint = session(node, fake_endpoint)
         node.terminate()
         node.wait_for_log("stopped accepting clients")
         with suspended(node):
@@ -124,8 +124,11 @@
 
 @pytest.mark.parametrize("reset", [False, True])
 def test_last_lines_reach_both_sides_during_a_shutdown(reset: bool) -> None:
-    with Node(peer := SilentEndpoint()) as node:
-        (client, endpoint), (other, other_endpoint) = session(node, peer), session(node, peer, 2)
+    with Node(fake_endpoint := SilentEndpoint()) as node:
+        (client, endpoint), (other, other_endpoint) = (
+            session(node, fake_endpoint),
+            session(node, fake_endpoint, 2),
+        )
         node.terminate()
         node.wait_for_log("shutdown started")
         with suspended(node):
@@ -140,8 +143,8 @@
 @pytest.mark.parametrize("by_client", [False, True])
 @pytest.mark.parametrize("reset", [False, True])
 def test_last_lines_are_relayed_after_a_hand_over(reset: bool, by_client: bool) -> None:
-    with Node(peer := SilentEndpoint()) as node:
-        client, endpoint = session(node, peer)
+    with Node(fake_endpoint := SilentEndpoint()) as node:
+        client, endpoint = session(node, fake_endpoint)
         with node.successor() as successor:
             node.terminate()
             node.process.wait(TIMEOUT_S)
@@ -156,8 +159,8 @@
 @pytest.mark.parametrize("reset", [False, True])
 def test_last_lines_are_relayed_during_a_hand_over(reset: bool, by_client: bool) -> None:
     """They arrive while the connections are passed between the processes and neither process reads them."""
-    with Node(peer := SilentEndpoint(), edit_config=set_class(give_up_us=3_000_000)) as node:
-        client, endpoint = session(node, peer)
+    with Node(fake_endpoint := SilentEndpoint(), edit_config=set_class(give_up_us=3_000_000)) as node:
+        client, endpoint = session(node, fake_endpoint)
         with node.successor() as successor:
             time.sleep(0.3)  # until the successor has announced that it serves
             with suspended(successor):
@@ -190,13 +193,13 @@
 
 def test_a_rejection_followed_by_a_reset_counts_as_a_rejection() -> None:
     """The close resets the connection. After a reset alone, a non-idempotent request would be failed."""
-    with Node(peer := SilentEndpoint(up=None), edit_config=set_class(effect="once")) as node:
+    with Node(fake_endpoint := SilentEndpoint(up=None), edit_config=set_class(effect="once")) as node:
         client = node.client(open_line())
-        endpoint = peer.connections.get(timeout=TIMEOUT_S)
+        endpoint = fake_endpoint.connections.get(timeout=TIMEOUT_S)
         with suspended(node):
             endpoint.send("BUSY")
             endpoint.close(reset=True)
-        attempts = [peer.connections.get(timeout=TIMEOUT_S)]  # a rejected request is retried
+        attempts = [fake_endpoint.connections.get(timeout=TIMEOUT_S)]  # a rejected request is retried
         attempts[0].send("UP r1")
         assert client.read() == "UP r1"
 
@@ -207,7 +210,7 @@
 )
 def test_a_session_survives_transient_errors_of_recv_and_send(tmp_path: Path, call: Call, error: int) -> None:
     machine = Machine(tmp_path)
-    with with_faults(machine, Node(peer := FakeEndpoint("s-1"))) as node:
+    with with_faults(machine, Node(endpoint := FakeEndpoint("s-1"))) as node:
         client = node.client(open_line())
         assert client.read() == "UP r1"
         machine.fail(call, 0.6, [error])
@@ -216,15 +219,15 @@
             assert client.read() == f"M {number}"
         assert machine.injected(call) > 0
         machine.heal()
-        peer.connections.get(timeout=TIMEOUT_S).send(*LAST_LINES)
+        endpoint.connections.get(timeout=TIMEOUT_S).send(*LAST_LINES)
         assert [client.read() for _ in LAST_LINES] == LAST_LINES
 
 
 @pytest.mark.parametrize("call", [Call.RECV_ACCEPTED, Call.RECV_DIALLED])
 def test_last_lines_are_read_although_recv_fails_with_enomem(tmp_path: Path, call: Call) -> None:
     machine = Machine(tmp_path)
-    with with_faults(machine, Node(peer := SilentEndpoint())) as node:
-        client, endpoint = session(node, peer)
+    with with_faults(machine, Node(fake_endpoint := SilentEndpoint())) as node:
+        client, endpoint = session(node, fake_endpoint)
         writer, reader = (client, endpoint) if call is Call.RECV_ACCEPTED else (endpoint, client)
         machine.fail(call, 0.8, [errno.ENOMEM])
         with suspended(node):
--- a/tests/node/test_last_lines.py
+++ b/tests/node/test_last_lines.py
@@ -20,9 +20,9 @@
 
 @pytest.mark.parametrize("reset", [False, True])
 def test_the_answer_of_an_endpoint_that_ends_at_once_reaches_its_client(reset: bool) -> None:
-    with Node(peer := SilentEndpoint(up=None)) as node:
+    with Node(fake_endpoint := SilentEndpoint(up=None)) as node:
         client = node.client(open_line())
-        endpoint = peer.connections.get(timeout=TIMEOUT_S)
+        endpoint = fake_endpoint.connections.get(timeout=TIMEOUT_S)
         with suspended(node):
             endpoint.send("UP r1", *LAST_LINES)
             endpoint.close(reset)
@@ -31,8 +31,8 @@
 
 @pytest.mark.parametrize("reset", [False, True])
 def test_the_last_lines_of_an_endpoint_reach_its_client(reset: bool) -> None:
-    with Node(peer := SilentEndpoint()) as node:
-        client, endpoint = session(node, peer)
+    with Node(fake_endpoint := SilentEndpoint()) as node:
+        client, endpoint = session(node, fake_endpoint)
         with suspended(node):
             endpoint.send(*LAST_LINES)
             endpoint.close(reset)
@@ -41,8 +41,8 @@
 
 @pytest.mark.parametrize("reset", [False, True])
 def test_the_last_lines_of_a_client_reach_its_endpoint(reset: bool) -> None:
-    with Node(peer := SilentEndpoint()) as node:
-        client, endpoint = session(node, peer)
+    with Node(fake_endpoint := SilentEndpoint()) as node:
+        client, endpoint = session(node, fake_endpoint)
         with suspended(node):
             client.send(*LAST_LINES)
             client.close(reset)
--- a/tests/node/test_leaks.py
+++ b/tests/node/test_leaks.py
@@ -77,7 +77,7 @@
     end: Callable[[LineConnection, LineConnection], None],
 ) -> None:
     """Regression: each relayed session left a reference cycle of 2.5 KB, which was hardly ever collected."""
-    with Node(peer := FakeEndpoint("s-1", FIN="FIN", CUT="RESET"), module="tests.census") as node:
+    with Node(endpoint := FakeEndpoint("s-1", FIN="FIN", CUT="RESET"), module="tests.census") as node:
         served = 0
         for number in range(SESSIONS):
             client = node.client(open_line(number + 1))
@@ -85,7 +85,7 @@
                 client.close()
                 continue
             served += 1
-            at_peer = peer.connections.get(timeout=TIMEOUT_S)
+            at_peer = endpoint.connections.get(timeout=TIMEOUT_S)
             client.send("M 1")
             if client.read() == "M 1":  # otherwise the session was migrated, for the same reason
                 end(client, at_peer)
--- a/tests/node/test_left_waiting.py
+++ b/tests/node/test_left_waiting.py
@@ -26,8 +26,8 @@
 
 @pytest.mark.parametrize("reset", [False, True])
 def test_a_client_that_writes_as_its_endpoint_ends_is_closed_in_time(machine: Machine, reset: bool) -> None:
-    with with_faults(machine, Node(peer := SilentEndpoint())) as node:
-        client, endpoint = session(node, peer)
+    with with_faults(machine, Node(fake_endpoint := SilentEndpoint())) as node:
+        client, endpoint = session(node, fake_endpoint)
         delay_event_loop(machine)
         began = time.monotonic()
         endpoint.close(reset)
--- a/tests/node/test_node_late_connects.py
+++ b/tests/node/test_node_late_connects.py
@@ -39,10 +39,10 @@
         first.received_lines.get(timeout=TIMEOUT_S)
         client.close()
         node.wait_for_counter("left", 1)
-        for peer in node.endpoints:
-            peer.answers["OPEN"] = "UP r1"
-        before = sum(peer.received_lines.qsize() for peer in node.endpoints)
+        for endpoint in node.endpoints:
+            endpoint.answers["OPEN"] = "UP r1"
+        before = sum(endpoint.received_lines.qsize() for endpoint in node.endpoints)
         other = node.client(open_line(2))
         assert other.read() == "UP r1"
         expect_silence(0.5, other)  # longer than the delay before the next attempt
-        assert sum(peer.received_lines.qsize() for peer in node.endpoints) == before + 1
+        assert sum(endpoint.received_lines.qsize() for endpoint in node.endpoints) == before + 1
--- a/tests/node/test_node_sessions.py
+++ b/tests/node/test_node_sessions.py
@@ -12,19 +12,19 @@
 
 
 def test_session_from_open_to_bye() -> None:
-    with Node(peer := FakeEndpoint("s-1")) as node:
+    with Node(endpoint := FakeEndpoint("s-1")) as node:
         client = node.client("PING")
         assert client.read() == "PONG"
         client.send(open_line(extra_fields=",x9=odd"))
         assert client.read() == "UP r1"
-        head, _, pairs = peer.received_lines.get(timeout=TIMEOUT_S).rpartition(" ")
+        head, _, pairs = endpoint.received_lines.get(timeout=TIMEOUT_S).rpartition(" ")
         received = dict(item.split("=") for item in pairs.split(","))
         assert head == open_line().rpartition(" ")[0]
         assert 0 < int(received.pop("d")) < 1000  # the attempt's own timeout, not the client's
         assert received == {"c": "view", "x9": "odd", "g": "5c0f6e1a2b3d4c59"}
         client.send("M 1 hello")
         assert client.read() == "M 1 hello"
-        peer.connections.get(timeout=TIMEOUT_S).send("LOAD 12.5", "BYE")
+        endpoint.connections.get(timeout=TIMEOUT_S).send("LOAD 12.5", "BYE")
         assert [client.read(), client.read()] == ["LOAD 12.5", "BYE"]
 
 
@@ -36,9 +36,11 @@
 
 
 def test_session_from_before_the_start_is_retried_at_its_full_endpoint() -> None:
-    with Node(peer := FakeEndpoint("s-1", OPEN="BUSY")) as node:
+    with Node(endpoint := FakeEndpoint("s-1", OPEN="BUSY")) as node:
         client = node.client(open_line(extra_fields=",at=s-1"))
-        assert peer.received_lines.get(timeout=TIMEOUT_S) and peer.answers.update(OPEN="UP r1") is None
+        assert (
+            endpoint.received_lines.get(timeout=TIMEOUT_S) and endpoint.answers.update(OPEN="UP r1") is None
+        )
         assert client.read() == "UP r1"
 
 
@@ -85,11 +87,11 @@
 
 def test_sessions_of_a_hung_endpoint_are_migrated() -> None:
     """A hung endpoint sends no FIN, and may continue to report loads."""
-    with Node(peer := FakeEndpoint("s-1", echo=False)) as node:
+    with Node(endpoint := FakeEndpoint("s-1", echo=False)) as node:
         client = node.client(open_line())
         assert client.read() == "UP r1"
         client.send("M 1 anyone there")
-        peer.connections.get(timeout=TIMEOUT_S).send("LOAD 3")
+        endpoint.connections.get(timeout=TIMEOUT_S).send("LOAD 3")
         assert [client.read(), client.read(), client.read()] == ["LOAD 3", "MOVE", ""]
 
 
--- a/tests/node/test_node_shutdown.py
+++ b/tests/node/test_node_shutdown.py
@@ -64,10 +64,10 @@
 def test_sigterm_does_not_reject_a_request_that_may_have_taken_effect(effect: str) -> None:
     """BUSY says that a retry is safe, but the endpoint may have the request."""
     change = set_class(effect=effect, key_scope="cell", key_ttl_us=5_000_000, give_up_us=3_000_000)
-    with Node(peer := FakeEndpoint("s-1", OPEN=None), edit_config=change) as node:
+    with Node(endpoint := FakeEndpoint("s-1", OPEN=None), edit_config=change) as node:
         taken, left = node.client(open_line(1, wait_ms=3000)), node.client(open_line(2, wait_ms=3000))
-        held = [peer.unanswered.get(timeout=TIMEOUT_S) for _ in range(2)]
-        first = peer.received_lines.get(timeout=TIMEOUT_S).split(" ")[1]
+        held = [endpoint.unanswered.get(timeout=TIMEOUT_S) for _ in range(2)]
+        first = endpoint.received_lines.get(timeout=TIMEOUT_S).split(" ")[1]
         node.terminate()
         node.wait_for_log("stopped accepting clients")
         held[0].send("UP r7")
@@ -78,9 +78,11 @@
 
 
 def test_sigterm_rejects_an_idempotent_request_and_cancels_its_attempt() -> None:
-    with Node(peer := FakeEndpoint("s-1", OPEN=None), edit_config=set_class(give_up_us=3_000_000)) as node:
+    with Node(
+        endpoint := FakeEndpoint("s-1", OPEN=None), edit_config=set_class(give_up_us=3_000_000)
+    ) as node:
         client = node.client(open_line(wait_ms=3000))
-        peer.unanswered.get(timeout=TIMEOUT_S)
+        endpoint.unanswered.get(timeout=TIMEOUT_S)
         node.terminate()
         assert [client.read(), client.read()] == ["BUSY", ""]
         assert node.process.wait(TIMEOUT_S) == 0
@@ -102,10 +104,10 @@
 
 
 def test_sigterm_migrates_a_session_at_the_end_of_its_line() -> None:
-    with Node(peer := FakeEndpoint("s-1", X=None)) as node:
+    with Node(fake_endpoint := FakeEndpoint("s-1", X=None)) as node:
         client = node.client(open_line())
         assert client.read() == "UP r1"
-        endpoint = peer.connections.get(timeout=TIMEOUT_S)
+        endpoint = fake_endpoint.connections.get(timeout=TIMEOUT_S)
         endpoint.sock.sendall(b"X ha")
         assert client.sock.recv(4) == b"X ha"
         node.terminate()
--- a/tests/node/test_pushed_discovery.py
+++ b/tests/node/test_pushed_discovery.py
@@ -65,18 +65,18 @@
         wait_until_sessions_go_to(node, second_peer, 8)
 
 
-def all_sessions_go_to(node: Node, peer: FakeEndpoint, sessions: int) -> bool:
+def all_sessions_go_to(node: Node, endpoint: FakeEndpoint, sessions: int) -> bool:
     """Return whether this number of new sessions are all established at this endpoint."""
-    before = peer.received_lines.qsize()
+    before = endpoint.received_lines.qsize()
     for _ in range(sessions):
         assert node.client(open_line(next(REQUEST_NUMBERS))).read() == "UP r1"
-    return peer.received_lines.qsize() - before == sessions
+    return endpoint.received_lines.qsize() - before == sessions
 
 
-def wait_until_sessions_go_to(node: Node, peer: FakeEndpoint, sessions: int) -> None:
+def wait_until_sessions_go_to(node: Node, endpoint: FakeEndpoint, sessions: int) -> None:
     """Open this number of sessions repeatedly, until all of them are established at this endpoint."""
     deadline = time.monotonic() + TIMEOUT_S
-    while not all_sessions_go_to(node, peer, sessions) and time.monotonic() < deadline:
+    while not all_sessions_go_to(node, endpoint, sessions) and time.monotonic() < deadline:
         pass
     assert time.monotonic() < deadline
 
--- a/tests/node/test_recording.py
+++ b/tests/node/test_recording.py
@@ -21,13 +21,13 @@
 
 
 def test_node_records_its_sessions_and_writes_the_end_of_the_journal(tmp_path: Path) -> None:
-    node = Node(peer := FakeEndpoint("s-1"))
+    node = Node(endpoint := FakeEndpoint("s-1"))
     node.env["STEPFLOW_CONF"] = write_operator_file(tmp_path, str(tmp_path / "t"))
     with node:
         for number in range(3):
             client = node.client(open_line(number + 1))
             assert client.read() == "UP r1"
-            at_peer = peer.connections.get(timeout=TIMEOUT_S)
+            at_peer = endpoint.connections.get(timeout=TIMEOUT_S)
             at_peer.send("LOAD 12.5")
             assert client.read() == "LOAD 12.5"
             client.close()
--- a/tests/node/test_scarce_watches.py
+++ b/tests/node/test_scarce_watches.py
@@ -40,8 +40,8 @@
 def test_ends_are_passed_on_in_time_while_watching_connections_may_fail(
     machine: Machine, by_client: bool, reset: bool
 ) -> None:
-    with with_faults(machine, Node(peer := SilentEndpoint())) as node:
-        sessions = [session(node, peer, number) for number in range(REQUESTS)]
+    with with_faults(machine, Node(fake_endpoint := SilentEndpoint())) as node:
+        sessions = [session(node, fake_endpoint, number) for number in range(REQUESTS)]
         machine.fail(Call.WATCH, FAILURE_SHARE, [errno.ENOMEM])
         for client, endpoint in sessions:
             writer, reader = (client, endpoint) if by_client else (endpoint, client)
--- a/tests/node/test_suspended_process.py
+++ b/tests/node/test_suspended_process.py
@@ -14,9 +14,9 @@
 def pending_attempt(node: Node) -> LineConnection:
     """Return the connection of the pending attempt, whichever endpoint it goes to."""
     while True:
-        for peer in node.endpoints:
+        for endpoint in node.endpoints:
             try:
-                return peer.unanswered.get(timeout=0.01)
+                return endpoint.unanswered.get(timeout=0.01)
             except queue.Empty:
                 continue
 
@@ -35,12 +35,12 @@
 
 def test_endpoint_whose_echo_came_in_time_does_not_count_as_hung() -> None:
     """Otherwise all sessions of all endpoints would be migrated after a suspension of 2 s."""
-    with Node(peer := FakeEndpoint("s-1", X=None)) as node:
+    with Node(endpoint := FakeEndpoint("s-1", X=None)) as node:
         client = node.client(open_line())
         assert client.read() == "UP r1"
-        session = peer.connections.get(timeout=TIMEOUT_S)
+        session = endpoint.connections.get(timeout=TIMEOUT_S)
         client.send("X 1")
-        assert [peer.received_lines.get(timeout=TIMEOUT_S) for _ in range(2)][1] == "X 1"
+        assert [endpoint.received_lines.get(timeout=TIMEOUT_S) for _ in range(2)][1] == "X 1"
         node.suspend()
         session.send("X 1")
         expect_silence(2.7, client)
--- a/tests/node/test_wall_clock.py
+++ b/tests/node/test_wall_clock.py
@@ -38,10 +38,10 @@
 def test_a_graceful_shutdown_keeps_its_schedule_across_wall_clock_steps(
     machine: Machine, seconds: float
 ) -> None:
-    with with_faults(machine, Node(peer := FakeEndpoint("s-1"))) as node:
+    with with_faults(machine, Node(endpoint := FakeEndpoint("s-1"))) as node:
         client = node.client(open_line())
         assert client.read() == "UP r1"
-        peer.connections.get(timeout=TIMEOUT_S)
+        endpoint.connections.get(timeout=TIMEOUT_S)
         node.terminate()
         node.wait_for_log('event="shutdown started"')
         began = time.monotonic()
--- a/tests/node_kit.py
+++ b/tests/node_kit.py
@@ -203,7 +203,7 @@
         self.endpoints: tuple[FakeEndpoint, ...] = endpoints
         self.module = module
         self.discovery: Discovery | None = discovery or Discovery()
-        known = {"rev": 1, "all": True, "targets": [peer.list_entry() for peer in endpoints]}
+        known = {"rev": 1, "all": True, "targets": [endpoint.list_entry() for endpoint in endpoints]}
         self.config: dict[str, Any] = {
             "name": "n0",
             "listen": "127.0.0.1:0",
@@ -342,7 +342,7 @@
 def open_line(
     number: int = 1, extra_fields: str = "", wait_ms: int = 1000, group: int = 0x5C0F6E1A2B3D4C59
 ) -> str:
-    """Return an OPEN line of class `view`; `extra_fields` goes before the group."""
+    """Return a `view` OPEN line with the client's wait `wait_ms`; `extra_fields` goes before the group."""
     return f"OPEN {number:016x} 7f3a9c21e0b4d655 c=view,d={wait_ms}{extra_fields},g={group:016x}"
 
 
--- a/tests/test_terms.py
+++ b/tests/test_terms.py
@@ -32,7 +32,7 @@
 
     If Unix sockets are refused too, the node serves as well and logs once that it can't be replaced.
     """
-    node = Node(peer := FakeEndpoint("s-1"), module="tests.refused")
+    node = Node(endpoint := FakeEndpoint("s-1"), module="tests.refused")
     if not unix:
         node.env["REFUSED_UNIX"] = "1"
     with node:
@@ -49,7 +49,7 @@
         log = node.wait_exit()
         assert node.process.returncode == 0
         new_discovery.close()
-    assert peer.received_lines.get(timeout=TIMEOUT_S).startswith("OPEN ")
+    assert endpoint.received_lines.get(timeout=TIMEOUT_S).startswith("OPEN ")
     assert log.count("listening for a successor failed") == (0 if unix else 1)
     assert log.count("refused ") == (0 if unix else 1), log
 
