--- a/tests/node_kit.py
+++ b/tests/node_kit.py
@@ -342,7 +342,7 @@
 def open_line(
     number: int = 1, extra_fields: str = "", wait_ms: int = 1000, group: int = 0x5C0F6E1A2B3D4C59
 ) -> str:
-    """Return an OPEN line of class `view`; `extra_fields` goes before the group."""
+    """Return a `view` OPEN line with the client's wait `wait_ms`; `extra_fields` goes before the group."""
     return f"OPEN {number:016x} 7f3a9c21e0b4d655 c=view,d={wait_ms}{extra_fields},g={group:016x}"
 
 
