--- a/standins/soak/records.py
+++ b/standins/soak/records.py
@@ -140,7 +140,8 @@
     """All requests of a run, and the other observations that the rules need."""
 
     requests: dict[str, Request] = field(default_factory=dict)
-    drain_announced_at: dict[str, float] = field(default_factory=dict)  # by endpoint: when it counts as known
+    # Time from which all nodes are assumed to know of an endpoint's drain, by endpoint.
+    drain_announced_at: dict[str, float] = field(default_factory=dict)
     # Sessions that ended without MOVE, by node.
     cut_sessions: dict[int, list[str]] = field(default_factory=lambda: defaultdict(list))
     held_half_lines: list[str] = field(default_factory=list)  # neither answered nor closed in time
--- a/stepflow/budgets/slow_start.py
+++ b/stepflow/budgets/slow_start.py
@@ -1,10 +1,10 @@
 """Limits the attempts that one node sends to endpoints that are warming up.
 
-An endpoint that is warming up can take new sessions from all nodes at the rate that fills it over its slow
-start, however fast sessions begin and end. A node learns the number of its own sessions that fill an
-endpoint: its open sessions for each warm endpoint, divided by the mean load. If few endpoints are warm, that
-number would be many times too high, because the sessions at warming endpoints count too; then the number
-learned before applies. Pure: no clock, no I/O.
+A warming endpoint can take new sessions, from all nodes together, at the rate that fills it by the end of its
+slow start, however fast sessions begin and end. For its own rate, each node learns how many of its sessions
+an endpoint has at a load of 1: its open sessions for each warm endpoint, divided by the mean load. If few
+endpoints are warm, this number would be many times too high, because the open sessions include those at
+warming endpoints; the number that was learned before is used instead. Pure: no clock, no I/O.
 """
 
 from __future__ import annotations
--- a/stepflow/errors.py
+++ b/stepflow/errors.py
@@ -26,7 +26,7 @@
 
 
 def mark_read_error(error: InputError, cause: OSError) -> InputError:
-    """Set `is_transient` of the error of an unreadable file by its cause, and return the error."""
+    """Set the error's `is_transient` from the errno of its cause, a failed read, and return the error."""
     error.is_transient = cause.errno in TRANSIENT_FILE_ERRORS
     return error
 
--- a/stepflow/fleet/compare.py
+++ b/stepflow/fleet/compare.py
@@ -30,7 +30,7 @@
 from stepflow.fleet.policy_specs import policy_factory
 from stepflow.fleet.simulation import Simulation
 
-MAX_RUNS = 1000  # limit on the pairs of both stages together, even if the width needs more
+MAX_RUNS = 1000  # limit on the pairs of both stages together, even if the wanted interval width needs more
 MIN_RUNS = 2  # fewest pairs that have a variance
 FIGURES = ("net", *(one.name for one in fields(Score)))
 SERIES = pa.schema(
--- a/stepflow/node/clients/admission.py
+++ b/stepflow/node/clients/admission.py
@@ -49,8 +49,9 @@
     def __init__(self, free_descriptors: Callable[[], int], counters: Counters) -> None:
         self.open_connections = 0
         self._free_descriptors, self._counters = free_descriptors, counters
-        # Dictionaries serve as ordered sets of unopened clients. Those between lines are ordered by age, the
-        # oldest first; those within a line by the time of their last data, the earliest first.
+        # Dictionaries serve as ordered sets of unopened clients. `_between_lines` is ordered by the age of
+        # the connections, the oldest first. `_within_line` holds the clients whose data has ended within a
+        # line, ordered by the last time that it did, the earliest first.
         self._between_lines: dict[UnopenedClient, None] = {}
         self._within_line: dict[UnopenedClient, None] = {}
 
--- a/stepflow/node/relay/pending_echoes.py
+++ b/stepflow/node/relay/pending_echoes.py
@@ -9,9 +9,10 @@
 
 
 class PendingEchoes:
-    """Counts the lines without an echo, and stores the send times of the oldest `MAX_TIMED_LINES`.
+    """Counts the lines without an echo, and stores a time for each of the oldest `MAX_TIMED_LINES`.
 
-    Any further line is timed from when an echo frees an entry for it, so its age is never overestimated.
+    This is the time at which the line was sent. A line for which no entry was free then gets the time of the
+    echo that frees one, which is not before its sending; so its age is never overestimated.
     """
 
     def __init__(self) -> None:
--- a/stepflow/policy/policy.py
+++ b/stepflow/policy/policy.py
@@ -173,4 +173,4 @@
         self._attempts.resume(waiting)
 
     def _ignore_peer_message(self, event: PeerMessageReceived) -> None:
-        """Ignore the message: no instance sends any yet."""
+        """Ignore the message: no balancer's policy sends peer messages yet."""
--- a/stepflow/traffic/recorder.py
+++ b/stepflow/traffic/recorder.py
@@ -75,8 +75,8 @@
         self._sink, self._key = sink, key.encode()
         self._segment_bytes = segment_bytes  # size of a file at which the next one is begun
         self._file_bytes = segment_bytes  # size of the current file; full, so the first block begins one
-        # The start of the next file, built before that file's first rows are recorded: their events change
-        # the endpoint list and the sessions that it holds.
+        # The start of the next file. It is built before that file's first rows are recorded, because the
+        # events of these rows change the endpoint list and the sessions that the start holds.
         self._next_file_start = b""
         self._node, self._began_us = node, now_us
         self._rows, self._row_count, self._lost_count = bytearray(), 0, 0
--- a/tests/node/process/test_handover.py
+++ b/tests/node/process/test_handover.py
@@ -228,7 +228,8 @@
     learned = stored(old, now)
     restore(new, learned, now)
     assert stored(new, now) == learned != stored(other, now)
-    # Regression: reports arrived before the sessions, and predictions were 2 rather than 0.8 as before.
+    # Regression: load reports that arrived before the sessions raised the costs; loads were predicted as 2,
+    # not as 0.8, the prediction before the hand-over. A second restore has to undo their effect.
     new.handle(3_500_000, HealthCheckEnded("s-1", AttemptResult.OK, 1000, (0.8, 0.0, 0.8)))
     assert stored(new, now) != learned
     restore(new, learned, now)
--- a/tests/policy/test_safety_rules.py
+++ b/tests/policy/test_safety_rules.py
@@ -226,7 +226,7 @@
                     PeerMessageReceived(self.rng.randrange(5), self.rng.randbytes(self.rng.randrange(9)))
                 )
             elif draw < 0.92 and all(self.is_finished(id) or id in self.established for id in self.requests):
-                self.now += 3600 * SECOND  # no answer is due: the machine may have been suspended
+                self.now += 3600 * SECOND  # no answer is due, so the machine may be suspended now
             elif draw < 0.93:
                 for extra in range(50):  # a burst
                     self.request((id + 1) * 1000 + extra)
--- a/tests/policy/test_send_safety.py
+++ b/tests/policy/test_send_safety.py
@@ -34,7 +34,10 @@
 
 
 def test_a_rejected_retry_keeps_the_request_bound_to_the_first_endpoint() -> None:
-    """A retry that the first endpoint rejects must not allow other endpoints: attempt 1 may have run."""
+    """The first endpoint rejects the retry; the request must still not go to another endpoint.
+
+    The first attempt may have run.
+    """
     driver = make_driver(KEYED)
     [first] = of_type(StartAttempt, driver.request(1))
     driver.end(first, AttemptResult.TIMEOUT)  # the attempt may still run; only its cell drops a repeat
