--- a/standins/preload.py
+++ b/standins/preload.py
@@ -45,8 +45,8 @@
     WATCH = 17  # epoll_ctl, except for removals
 
 
-# Errors that accept(2), socket(2), connect(2), epoll_wait(2), recv(2) and write(2) document;
-# for HELD_WAIT, delays in microseconds.
+# Errors for temporary conditions that accept(2), socket(2), connect(2), epoll_wait(2), recv(2) and write(2)
+# document; for HELD_WAIT, delays in microseconds.
 DEFAULT_ERRORS: Mapping[Call, Sequence[int]] = {
     Call.ACCEPT: (errno.ECONNABORTED, errno.ENFILE, errno.EMFILE, errno.ENOBUFS, errno.ENOMEM, errno.EPROTO),
     Call.SOCKET: (errno.ENFILE, errno.EMFILE, errno.ENOBUFS, errno.ENOMEM),
--- a/stepflow/fleet/measurements.py
+++ b/stepflow/fleet/measurements.py
@@ -34,9 +34,8 @@
     broken_sessions: int = 0
     requested_work: float = 0.0
     wasted_work: float = 0.0
-    imbalance: list[float] = field(
-        default_factory=list
-    )  # by second: standard deviation of the servers' utilizations
+    # The standard deviation of the servers' utilizations, by second.
+    imbalance: list[float] = field(default_factory=list)
     kind_load: dict[str, list[float]] = field(default_factory=dict)  # by kind, each second: load / capacity
     server_load: dict[str, list[float]] = field(default_factory=dict)  # by kind: each server's mean load
     peak_load: float = 0.0  # the highest utilization of the fleet
--- a/stepflow/fleet/population.py
+++ b/stepflow/fleet/population.py
@@ -14,7 +14,7 @@
 PREFERRED_SHARE = 0.7  # share of an affinity group's sessions at its preferred servers
 PREFERRED_SERVERS = 2  # number of preferred servers of a group
 SESSIONS_PER_CORE = 750  # limit on the sessions that a server accepts
-LEAST_LOAD_PER_CORE = 1e-9  # lower limit of a divisor that is 0 for a fleet without sessions
+MIN_LOAD_PER_CORE = 1e-9  # lower limit of a divisor that is 0 for a fleet without sessions
 
 
 def make_server(scenario: Scenario, kind: int, uid: str, zone: int, rng: np.random.Generator) -> Server:
@@ -71,5 +71,5 @@
     groups_held = len(np.unique(np.stack([places, traffic.group[:count]]), axis=1).T)
     load = float(traffic.loads[:count, 0].sum()) + day.group_load * groups_held
     for server in servers:
-        server.load_per_core = max(LEAST_LOAD_PER_CORE, load / (day.utilization * float(sizes.sum())))
+        server.load_per_core = max(MIN_LOAD_PER_CORE, load / (day.utilization * float(sizes.sum())))
     return [int(place) for place in places]
--- a/stepflow/fleet/rule_checker.py
+++ b/stepflow/fleet/rule_checker.py
@@ -74,9 +74,8 @@
 
     settings: Settings
     requests: dict[int, _RequestHistory] = field(default_factory=dict)
-    unavailable_since: dict[EndpointId, int | None] = field(
-        default_factory=dict
-    )  # time since when an endpoint must not get new sessions; None for a ready one
+    # The time since when each endpoint must not get new sessions; None for a ready one.
+    unavailable_since: dict[EndpointId, int | None] = field(default_factory=dict)
 
 
 class RuleChecker:
--- a/stepflow/fleet/servers.py
+++ b/stepflow/fleet/servers.py
@@ -59,9 +59,8 @@
     advanced_us: int = 0
     connections: int = 0
     groups: dict[int, int] = field(default_factory=dict)
-    recent_loads: deque[tuple[int, float]] = field(
-        default_factory=deque
-    )  # (time, load) of sessions placed during its slow start
+    # The time and load of each session placed during the server's slow start.
+    recent_loads: deque[tuple[int, float]] = field(default_factory=deque)
     worst_overload: float = 0.0  # highest ratio of load placed in a slow-start window to the limit
     setup_work: float = 0.0  # total work of session set-ups
     health_checks: int = 0
--- a/stepflow/node/admin/site.py
+++ b/stepflow/node/admin/site.py
@@ -24,12 +24,8 @@
 REQUEST_TIMEOUT = timedelta(seconds=2)  # from connecting to the end of the response, at any transfer rate
 BACKLOG = 256
 
-OK, NOT_FOUND, METHOD_NOT_ALLOWED, UNAVAILABLE = (
-    200,
-    404,
-    405,
-    503,
-)  # literals, to avoid importing http.HTTPStatus
+# These are literals, to avoid importing http.HTTPStatus.
+OK, NOT_FOUND, METHOD_NOT_ALLOWED, UNAVAILABLE = 200, 404, 405, 503
 METHODS = (b"GET", b"HEAD")
 
 
--- a/stepflow/node/relay/pending_echoes.py
+++ b/stepflow/node/relay/pending_echoes.py
@@ -13,6 +13,8 @@
 
     This is the time at which the line was sent. A line for which no entry was free then gets the time of the
     echo that frees one, which is not before its sending; so its age is never overestimated.
+    Lines that came with a session from another process get the time at which the session was restored, which
+    is later than their sending too.
     """
 
     def __init__(self) -> None:
@@ -24,7 +26,7 @@
 
     @property
     def oldest(self) -> timedelta | None:
-        """When the oldest line without an echo was sent; None if there is no such line."""
+        """The time stored for the oldest line without an echo; None if there is no such line."""
         return self._times[0] if self._times else None
 
     def add(self, now: timedelta, lines: int = 1) -> None:
--- a/stepflow/os_errors.py
+++ b/stepflow/os_errors.py
@@ -35,9 +35,8 @@
 # Errors of open(2), read(2), bind(2) and write(2) in an existing folder that may pass.
 TRANSIENT_FILE_ERRORS = RESOURCE_SHORTAGE | {errno.EIO, errno.ESTALE, errno.ENOSPC, errno.EDQUOT}
 
-ACCEPT_RETRY_DELAY = timedelta(
-    milliseconds=5
-)  # after a shortage; without a delay, the reactor would call accept(2) again at once
+# The delay after a shortage: without one, the reactor would call accept(2) again at once.
+ACCEPT_RETRY_DELAY = timedelta(milliseconds=5)
 CONNECT_RETRY_DELAY = timedelta(milliseconds=20)
 LISTEN_RETRY_DELAY = timedelta(milliseconds=100)
 LISTEN_RETRY_LIMIT = timedelta(seconds=20)  # a process has to be ready within 30 s
--- a/stepflow/wire/events.py
+++ b/stepflow/wire/events.py
@@ -69,9 +69,8 @@
 _ADOPTED = struct.Struct("<QHHQQIQB6s")  # id, class, tenant, key, expires, load, group, flags, endpoint
 _ESTABLISHED = struct.Struct("<QI6sH")  # id, latency, endpoint, attempt
 _SESSION_REPORT = struct.Struct("<QH6sBf")  # id, attempt, endpoint, kind, value
-_ATTEMPT_ENDED = struct.Struct(
-    "<Q6sIBBHB"
-)  # id, endpoint, latency, is final, result, attempt, count of load report values
+# Fields: id, endpoint, latency, is final, result, attempt, count of load report values.
+_ATTEMPT_ENDED = struct.Struct("<Q6sIBBHB")
 _HEALTH_CHECK = struct.Struct("<6sBIB")  # endpoint, result, latency, count of load report values
 _LIST = struct.Struct("<IBI")  # version, kind, count of entries
 _LIST_ENTRY = struct.Struct("<6sBHHBfQ")  # fields in the order of Endpoint's
--- a/tests/fleet/test_fleet.py
+++ b/tests/fleet/test_fleet.py
@@ -71,9 +71,8 @@
     one = make_server()
     one.started_us = SECOND
     assert [one.capacity_share(at * SECOND) for at in (1, 5, 9)] == pytest.approx([0.3, 0.65, 1.0])
-    room = (
-        2.5 * 1.5 * one.capacity(SECOND) * one.load_per_core / one.slow_start_s
-    )  # the server may be full only at the end of slow start
+    # The server may be full only at the end of its slow start.
+    room = 2.5 * 1.5 * one.capacity(SECOND) * one.load_per_core / one.slow_start_s
     assert not one.is_overloaded_by(SECOND, room * 0.99, 2.5, 1_500_000)
     assert one.is_overloaded_by(SECOND + 1000, room * 0.05, 2.5, 1_500_000)
     assert not one.is_overloaded_by(9 * SECOND, room * 9, 2.5, 1_500_000)  # warm
@@ -263,9 +262,8 @@
     out = str(tmp_path / "kept")
     arguments = ("fleet", "compare", "present", "random", "-s", str(path), "--runs", "4", "--jobs", "2")
     result = json.loads(command(*arguments, "--json", "-o", out).stdout)
-    assert (
-        result["runs"] == 4 and result["figures"]["probes"]["high"] < 0
-    )  # random choice makes no health checks
+    # The random policy makes no health checks.
+    assert result["runs"] == 4 and result["figures"]["probes"]["high"] < 0
     kept = json.loads(next(Path(out).glob("*.json")).read_text())
     assert kept["seeds"] == [1, 2, 3, 4] and [one["policy"] for one in kept["sides"]] == ["present", "random"]
     same = command("fleet", "compare", "present", "present", "-s", str(path), "--runs", "3", "--jobs", "2")
--- a/tests/test_format_journal.py
+++ b/tests/test_format_journal.py
@@ -158,9 +158,8 @@
 def test_the_recorder_writes_the_recorded_bytes() -> None:
     expected = [JOURNAL.read_bytes(), LATER_JOURNAL.read_bytes()]
     written = written_files()
-    assert [raw_rows(data) for data in written] == [
-        raw_rows(data) for data in expected
-    ]  # compared first, since its failure is easier to read
+    # The rows are compared before the bytes, since a difference between rows is easier to read.
+    assert [raw_rows(data) for data in written] == [raw_rows(data) for data in expected]
     assert written == expected
 
 
--- a/tests/test_terms.py
+++ b/tests/test_terms.py
@@ -117,16 +117,8 @@
     names = loaded(LEAN)
     foreign = {name for name in names if not name.startswith("stepflow")}
     assert len(foreign) <= MAX_FOREIGN_MODULES, len(foreign)
-    heavy = {
-        "click",
-        "numpy",
-        "scipy",
-        "pyarrow",
-        "matplotlib",
-        "rich",
-        "simpy",
-        "hypothesis",
-    }  # used by commands only
+    # Only commands use these modules.
+    heavy = {"click", "numpy", "scipy", "pyarrow", "matplotlib", "rich", "simpy", "hypothesis"}
     assert not heavy & names and {"structlog", "msgspec", "twisted", "h11"} <= names
     assert not {"asyncio.base_events", "email", "xml", "urllib.request", "ssl", "twisted.web"} & names
 
