--- a/tests/test_terms.py
+++ b/tests/test_terms.py
@@ -15,8 +15,9 @@
 from tests.node_kit import TIMEOUT_S, Discovery, FakeEndpoint, Node, open_line
 
 ROOT = Path(__file__).resolve().parent.parent
-# Modules outside stepflow that an idle node has loaded: 311, of 364 before issue 33 and of 457 in all before
-# most were imported lazily. The node's own modules are many but small; MAX_PRIVATE_MB limits their memory.
+# Before issue 33 an idle node had loaded 364 modules, 311 of them from outside stepflow; before most modules
+# were imported lazily it had loaded 457 in all, stepflow's own included. The node's own modules are many but
+# small; MAX_PRIVATE_MB limits their memory.
 MAX_FOREIGN_MODULES = 312
 MAX_PRIVATE_MB = 21.0
 
